--- a/mustardrill_core/src/direct/fleet/census.rs
+++ b/mustardrill_core/src/direct/fleet/census.rs
@@ -1,40 +1,42 @@
-//! How many entries there are, as one of them sees it.
+//! Counts the live entries, as seen by one of them.
 //!
-//! Load pattern: the store ends the registrations of all entries while it is away, and they go on
-//! serving. Each would believe itself alone and spend what all may spend together. An entry
-//! therefore counts for a whole window after its last sign: its registration, or a word on its load.
+//! While the store is unavailable the registrations of all entries expire, although the entries keep
+//! serving. Without further evidence each entry would assume that it is alone and use the whole
+//! shared budget. A peer entry is therefore counted for a full window after its last sign of life,
+//! which is its registration or a load update.
 
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment};
 
 use crate::direct::fleet::page::PeerRecord;
 
-/// When each of the other entries gave its last sign.
+/// Time of the last sign of life of each peer entry.
 #[derive(Debug, Default)]
 pub(crate) struct EntryCensus {
-    seen: FastMap<InstanceId, Moment>,
+    last_seen: FastMap<InstanceId, Moment>,
 }
 
 impl EntryCensus {
-    /// Notes a sign of another entry: a word of it, or the end of its registration.
+    /// Records a sign of life: a message from the peer, or the end of its registration.
     pub(crate) fn note(&mut self, now: Moment, id: &InstanceId) {
-        match self.seen.get_mut(id) {
+        match self.last_seen.get_mut(id) {
             Some(seen) => *seen = now,
             None => {
-                self.seen.insert(id.clone(), now);
+                self.last_seen.insert(id.clone(), now);
             }
         }
     }
 
-    /// The entries that are registered or gave a sign within `window`, this one included.
+    /// Counts the entries that are registered or gave a sign of life within `window`, including this
+    /// one. Peers that have been silent for longer are dropped.
     pub(crate) fn count(
         &mut self,
         now: Moment,
         window: Millis,
         registered: &[PeerRecord],
     ) -> usize {
-        self.seen.retain(|_, seen| now.since(*seen) < window);
+        self.last_seen.retain(|_, seen| now.since(*seen) < window);
         let is_registered = |id: &&InstanceId| registered.iter().any(|peer| peer.id == **id);
-        let others = self.seen.keys().filter(|id| !is_registered(id)).count();
-        1 + registered.len() + others
+        let unregistered = self.last_seen.keys().filter(|id| !is_registered(id)).count();
+        1 + registered.len() + unregistered
     }
 }
--- a/mustardrill_core/src/direct/fleet/heard.rs
+++ b/mustardrill_core/src/direct/fleet/heard.rs
@@ -1,71 +1,73 @@
-//! What other entries told of their requests, summed for each upstream as their words come.
+//! Requests that peer entries have reported at each upstream, aggregated as the reports arrive.
 //!
-//! Load pattern: a choice among all engines of a fleet for each request. Added up for each choice,
-//! the look-ups would be as many as entries times engines; kept as sums they are one for each engine.
+//! Every request is routed by comparing all engines of the fleet. Adding up the reports at that point
+//! would take entries times engines look-ups; with running totals it takes one look-up per engine.
 
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment, ServiceName};
 
 use crate::direct::event::{PeerLoad, UpstreamLoad};
 
-/// What the other entries have at upstreams, and what waits there.
+/// Load of all peer entries at each upstream, and the requests queued in each peer.
 #[derive(Debug, Default)]
 pub(crate) struct HeardLoads {
-    peers: FastMap<InstanceId, HeardPeer>,
-    sums: FastMap<InstanceId, UpstreamLoad>,
-    /// No entry's last word is older than this.
-    oldest: Moment,
+    peers: FastMap<InstanceId, PeerState>,
+    totals: FastMap<InstanceId, UpstreamLoad>,
+    /// Lower bound for the time of the last report of every peer, so that most calls of
+    /// [`Self::expire`] need not look at the peers.
+    oldest_report_at: Moment,
 }
 
-/// What one entry told.
+/// The last reported state of one peer entry.
 #[derive(Debug, Default)]
-struct HeardPeer {
-    at: Moment,
+struct PeerState {
+    reported_at: Moment,
     loads: FastMap<InstanceId, UpstreamLoad>,
     waiting: FastMap<ServiceName, u32>,
 }
 
 impl HeardLoads {
-    /// Takes another entry's word.
+    /// Applies a load update of a peer entry. A snapshot replaces all that the peer reported before.
     pub(crate) fn hear(&mut self, now: Moment, load: PeerLoad) {
         let peer = self.peers.entry(load.from).or_default();
-        peer.at = now;
+        peer.reported_at = now;
         peer.waiting = load.news.waiting.into_iter().collect();
         if load.news.whole {
-            peer.loads.drain().for_each(|(id, before)| subtract(&mut self.sums, &id, before));
+            peer.loads.drain().for_each(|(id, before)| subtract(&mut self.totals, &id, before));
         }
         for (id, load) in load.news.rows {
             if let Some(before) = peer.loads.insert(id.clone(), load) {
-                subtract(&mut self.sums, &id, before);
+                subtract(&mut self.totals, &id, before);
             }
-            let sum = self.sums.entry(id).or_default();
-            sum.requests += load.requests;
-            sum.reading = Millis(sum.reading.0 + load.reading.0);
+            let total = self.totals.entry(id).or_default();
+            total.requests += load.requests;
+            total.reading = Millis(total.reading.0 + load.reading.0);
         }
     }
 
-    /// Forgets an entry.
+    /// Drops a peer entry and subtracts its load from the totals.
     pub(crate) fn forget(&mut self, id: &InstanceId) {
         let Some(peer) = self.peers.remove(id) else { return };
-        peer.loads.into_iter().for_each(|(id, before)| subtract(&mut self.sums, &id, before));
+        peer.loads.into_iter().for_each(|(id, before)| subtract(&mut self.totals, &id, before));
     }
 
-    /// Forgets entries whose last word is older than `patience`.
-    pub(crate) fn expire(&mut self, now: Moment, patience: Millis) {
-        if now.since(self.oldest) < patience {
+    /// Drops the peers whose last report is `timeout` old or older.
+    pub(crate) fn expire(&mut self, now: Moment, timeout: Millis) {
+        if now.since(self.oldest_report_at) < timeout {
             return;
         }
-        let silent = self.peers.iter().filter(|(_, peer)| now.since(peer.at) >= patience);
+        let silent = self.peers.iter().filter(|(_, peer)| now.since(peer.reported_at) >= timeout);
         let silent: Vec<_> = silent.map(|(id, _)| id.clone()).collect();
         silent.iter().for_each(|id| self.forget(id));
-        self.oldest = self.peers.values().map(|peer| peer.at).min().unwrap_or(now);
+        self.oldest_report_at =
+            self.peers.values().map(|peer| peer.reported_at).min().unwrap_or(now);
     }
 
-    /// What all of them have at an upstream.
+    /// Returns the load of all peers together at an upstream.
     pub(crate) fn sum(&self, id: &InstanceId) -> UpstreamLoad {
-        self.sums.get(id).copied().unwrap_or_default()
+        self.totals.get(id).copied().unwrap_or_default()
     }
 
-    /// The entries in which requests wait for a service, and how many.
+    /// Returns the peers that have requests queued for a service, with the number of requests.
     pub(crate) fn waiting(
         &self,
         service: &ServiceName,
@@ -75,11 +77,11 @@
     }
 }
 
-fn subtract(sums: &mut FastMap<InstanceId, UpstreamLoad>, id: &InstanceId, load: UpstreamLoad) {
-    let Some(sum) = sums.get_mut(id) else { return };
-    sum.requests = sum.requests.saturating_sub(load.requests);
-    sum.reading = Millis(sum.reading.0.saturating_sub(load.reading.0));
-    if *sum == UpstreamLoad::default() {
-        sums.remove(id);
+fn subtract(totals: &mut FastMap<InstanceId, UpstreamLoad>, id: &InstanceId, load: UpstreamLoad) {
+    let Some(total) = totals.get_mut(id) else { return };
+    total.requests = total.requests.saturating_sub(load.requests);
+    total.reading = Millis(total.reading.0.saturating_sub(load.reading.0));
+    if *total == UpstreamLoad::default() {
+        totals.remove(id);
     }
 }
--- a/mustardrill_core/src/direct/fleet/mod.rs
+++ b/mustardrill_core/src/direct/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams and other entries as one entry believes them to be.
+//! The state of upstreams and peer entries as seen by one entry.
 
 pub(in crate::direct) mod census;
 pub(in crate::direct) mod heard;
--- a/mustardrill_core/src/direct/fleet/page.rs
+++ b/mustardrill_core/src/direct/fleet/page.rs
@@ -1,4 +1,4 @@
-//! What the platform's store says of the fleet, as changes.
+//! Records and changes of the fleet as read from the platform's store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,79 +10,80 @@
 
 use crate::direct::route::RouteDocument;
 
-/// An upstream as it registered itself.
+/// The registration of an upstream, written by the upstream itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamRecord {
-    /// Its name. A restart may keep it.
+    /// The instance. An upstream may keep its id over a restart.
     pub id: InstanceId,
-    /// Which start of it this is.
+    /// Tells incarnations under the same id apart: a later start has a greater stamp.
     pub start: StartStamp,
-    /// Its service.
+    /// The service that it serves; the configuration may not name it.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Where it accepts requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it wants no further requests.
+    /// Whether it is shutting down and accepts no further requests.
     pub leaving: bool,
-    /// The weights that it holds whole; empty for a plain service.
+    /// The weights that it has loaded completely; empty for a plain service.
     pub serving: Vec<ServedWeights>,
 }
 
-/// Weights that an engine holds with all layers.
+/// Weights of which an engine holds all layers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServedWeights {
-    /// The model.
+    /// The model that the weights belong to.
     pub model: ModelName,
-    /// Its version.
+    /// The version of the model that is loaded.
     pub version: WeightVersion,
 }
 
-/// Another entry.
+/// The registration of a peer entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerRecord {
-    /// Its instance.
+    /// The instance under which it is registered.
     pub id: InstanceId,
-    /// Where it takes datagrams, and calls for chunks.
+    /// Where it accepts datagrams and requests for chunks.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// What its link carries, in Mbit/s.
+    /// Bandwidth of its link in Mbit/s.
     pub link_mbps: u32,
 }
 
-/// Something that changed in the store.
+/// One change read from the store.
 #[derive(Debug, Clone)]
 pub enum FleetChange {
-    /// A configuration was written.
+    /// The operator wrote a configuration.
     Configured(Arc<RouteDocument>),
-    /// An upstream registered or changed.
+    /// An upstream registered, or its registration changed.
     Upstream(UpstreamRecord),
-    /// An upstream's registration ended.
+    /// The registration of an upstream was removed or expired.
     UpstreamGone(InstanceId),
-    /// What stands in an upstream's place is no registration: it names nobody to send to.
+    /// The store holds something under the key of an upstream that is not a valid registration, so
+    /// there is no address to send to.
     UpstreamVoid(InstanceId),
-    /// New weights were named.
+    /// The operator announced a version of a model as current.
     VersionNamed(ModelName, WeightVersion),
-    /// An entry registered.
+    /// An entry registered, or its registration changed.
     Peer(PeerRecord),
-    /// An entry's registration ended.
+    /// The registration of an entry was removed or expired.
     PeerGone(InstanceId),
-    /// A request is run no more for a while.
+    /// Requests of this digest are refused for a while, as they crash upstreams.
     Quarantined(RequestDigest),
 }
 
-/// Changes in the order of the store.
+/// A batch of changes read from the store, in the order in which they were made there.
 #[derive(Debug, Clone, Default)]
 pub struct FleetPage {
-    /// The changes.
+    /// The changes since the revision that was read before, or everything in a snapshot.
     pub changes: Vec<FleetChange>,
-    /// Up to which state of the store they go.
+    /// The revision of the store that the changes lead up to.
     pub at: StoreRevision,
-    /// The era of the store in which that state was read.
+    /// The era of the store in which that revision was read.
     pub era: StoreEra,
-    /// Whether they are all that there is, so that what is missing is gone.
+    /// Whether this is a snapshot: what it does not contain does not exist.
     pub whole: bool,
 }
--- a/mustardrill_core/src/direct/fleet/telling.rs
+++ b/mustardrill_core/src/direct/fleet/telling.rs
@@ -1,40 +1,41 @@
-//! What an entry tells the others of its requests at upstreams, and when.
+//! Decides when an entry broadcasts its load at the upstreams to its peers, and which part of it.
 //!
-//! Load pattern: several entries have requests waiting, and an engine has room. Each of them sends
-//! until it hears of the others' requests; what is told late is sent twice and more, and the first
-//! events of all wait for each other's prompts. Rises are therefore told at once, and only what
-//! changed, as the bytes cross borders that are billed.
+//! When several entries have queued requests and one engine gets capacity, each of them sends to it
+//! until it learns of the others' requests. With late updates the same capacity is used twice or more,
+//! and the first events of all these requests wait for each other's prefill. Increases are therefore
+//! sent at once. Only changed rows are sent, because traffic across region borders is billed.
 
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment, ServiceName};
 
 use crate::direct::event::UpstreamLoad;
 
-/// Falls are told after this, sooner than a full engine ends its next request: one that is believed to
-/// be a little fuller than it is loses less than one that is overrun.
-const TELL_FALLS: Millis = Millis(50);
+/// Delay before decreases are sent. It is shorter than the time in which a full engine completes its
+/// next request; overestimating a load for that long costs less than overloading the engine.
+const DECREASE_DELAY: Millis = Millis(50);
 
-/// Everything is told anew after this, so that a lost datagram is mended and silence means absence.
-const TELL_WHOLE: Millis = Millis(500);
+/// Interval of snapshots, which make up for lost datagrams and let peers take silence for absence.
+const SNAPSHOT_INTERVAL: Millis = Millis(500);
 
-/// What one entry has at each upstream.
+/// The load of one entry at each upstream.
 pub type LoadRows = Vec<(InstanceId, UpstreamLoad)>;
 
-/// How many requests wait in one entry for each service.
+/// The number of requests queued in one entry for each service.
 pub type WaitRows = Vec<(ServiceName, u32)>;
 
-/// What is told now.
+/// A load update for the peer entries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadNews {
-    /// What the entry has.
+    /// The load at each upstream that is listed.
     pub rows: LoadRows,
-    /// Whether upstreams that are not named have nothing; otherwise they are as told before.
+    /// Whether upstreams that are not listed have no load; otherwise theirs is unchanged.
     pub whole: bool,
-    /// What waits, of all services.
+    /// The queued requests of every service; always complete.
     pub waiting: WaitRows,
 }
 
 impl LoadNews {
-    /// The same in parts of `limit` rows at most, to be told in this order.
+    /// Splits the update into parts of at most `limit` rows, which must be applied in this order:
+    /// only the first one may be a snapshot.
     pub fn parts(self, limit: usize) -> Vec<Self> {
         let Self { rows, whole, waiting } = self;
         let rest = rows.get(limit..).unwrap_or_default().chunks(limit.max(1));
@@ -46,57 +47,59 @@
     }
 }
 
-/// Remembers what the others were told.
+/// Tracks the load that was last sent to the peers and produces the next update.
 #[derive(Debug, Default)]
 pub struct LoadTeller {
-    told: FastMap<InstanceId, UpstreamLoad>,
-    told_waiting: WaitRows,
-    told_at: Moment,
-    whole_at: Moment,
+    sent_loads: FastMap<InstanceId, UpstreamLoad>,
+    sent_waiting: WaitRows,
+    sent_at: Moment,
+    snapshot_at: Moment,
 }
 
 impl LoadTeller {
-    /// What is to be told at `now`, where anything is.
+    /// Returns the update to send at `now`, or `None` if nothing changed or the change can wait.
+    /// The caller must send what is returned, as it counts as sent.
     pub fn next(&mut self, now: Moment, rows: LoadRows, waiting: WaitRows) -> Option<LoadNews> {
         let current: FastMap<_, _> = rows.iter().cloned().collect();
-        let news = if now.since(self.whole_at) >= TELL_WHOLE {
-            self.whole_at = now;
+        let update = if now.since(self.snapshot_at) >= SNAPSHOT_INTERVAL {
+            self.snapshot_at = now;
             LoadNews { rows, whole: true, waiting: waiting.clone() }
         } else {
-            let changed = self.changes(&current);
-            let has_risen = changed.iter().any(|(id, load)| self.is_rise(id, *load));
-            let is_due =
-                has_risen || self.begins_to_wait(&waiting) || now.since(self.told_at) >= TELL_FALLS;
-            let is_new = !changed.is_empty() || waiting != self.told_waiting;
+            let changed = self.changed_rows(&current);
+            let has_increased = changed.iter().any(|(id, load)| self.is_increase(id, *load));
+            let is_due = has_increased
+                || self.starts_waiting(&waiting)
+                || now.since(self.sent_at) >= DECREASE_DELAY;
+            let is_new = !changed.is_empty() || waiting != self.sent_waiting;
             if !is_new || !is_due {
                 return None;
             }
             LoadNews { rows: changed, whole: false, waiting: waiting.clone() }
         };
-        self.told = current;
-        self.told_waiting = waiting;
-        self.told_at = now;
-        Some(news)
+        self.sent_loads = current;
+        self.sent_waiting = waiting;
+        self.sent_at = now;
+        Some(update)
     }
 
-    /// The upstreams at which something changed since it was told.
-    fn changes(&self, current: &FastMap<InstanceId, UpstreamLoad>) -> LoadRows {
+    /// Returns the upstreams whose load differs from the one that was last sent.
+    fn changed_rows(&self, current: &FastMap<InstanceId, UpstreamLoad>) -> LoadRows {
         let load_of = |loads: &FastMap<InstanceId, UpstreamLoad>, id| {
             loads.get(id).copied().unwrap_or_default()
         };
-        let gone = self.told.keys().filter(|id| !current.contains_key(*id));
+        let gone = self.sent_loads.keys().filter(|id| !current.contains_key(*id));
         let ids = current.keys().chain(gone);
-        let changed = ids.filter(|id| load_of(current, id) != load_of(&self.told, id));
+        let changed = ids.filter(|id| load_of(current, id) != load_of(&self.sent_loads, id));
         changed.map(|id| (id.clone(), load_of(current, id))).collect()
     }
 
-    /// Whether requests wait for a service for which none did when it was told.
-    fn begins_to_wait(&self, waiting: &WaitRows) -> bool {
-        waiting.iter().any(|(service, _)| !self.told_waiting.iter().any(|(it, _)| it == service))
+    /// Whether requests are queued for a service that had none in the last update.
+    fn starts_waiting(&self, waiting: &WaitRows) -> bool {
+        waiting.iter().any(|(service, _)| !self.sent_waiting.iter().any(|(it, _)| it == service))
     }
 
-    fn is_rise(&self, id: &InstanceId, load: UpstreamLoad) -> bool {
-        let told = self.told.get(id).copied().unwrap_or_default();
-        load.requests > told.requests || load.reading > told.reading
+    fn is_increase(&self, id: &InstanceId, load: UpstreamLoad) -> bool {
+        let sent = self.sent_loads.get(id).copied().unwrap_or_default();
+        load.requests > sent.requests || load.reading > sent.reading
     }
 }
--- a/mustardrill_core/src/direct/fleet/upstream.rs
+++ b/mustardrill_core/src/direct/fleet/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream as an entry believes it to be.
+//! Health, load and served weights of one upstream, as seen by one entry.
 
 use log::info;
 use mustardrill_types::{InstanceId, Millis, ModelName, Moment, StartStamp, WeightVersion};
@@ -6,120 +6,122 @@
 use crate::direct::event::{AttemptOutcome, UpstreamLoad};
 use crate::direct::fleet::page::{ServedWeights, UpstreamRecord};
 
-/// The share by which one outcome moves the share of failures.
+/// Weight of one outcome in the moving average of failures.
 ///
-/// A tenth remembers about ten answers: enough to tell a failing upstream within a second of the
-/// usual traffic, and few enough to forgive it as soon.
-const FAILURE_SHARE: f64 = 0.1;
+/// One tenth covers about ten answers: enough to detect a failing upstream within a second of usual
+/// traffic, and few enough for it to recover as quickly.
+const FAILURE_WEIGHT: f64 = 0.1;
 
-/// An upstream that failed this often in a row is left alone.
-const FAILURES_IN_A_ROW: u32 = 3;
+/// Number of attempts lost in a row after which an upstream is ejected.
+const MAX_FAILURES_IN_A_ROW: u32 = 3;
 
-/// The longest that an upstream is left alone which loses what it is sent.
-const LONGEST_EJECTION: Millis = Millis(8_000);
+/// Longest ejection of an upstream that loses the requests it is sent.
+const MAX_LOST_EJECTION: Millis = Millis(8_000);
 
-/// The longest that one is left alone which can't be reached: trying it costs a request some time, not
-/// its answer, and after a restart of all most can't be reached for some seconds as links are full.
-const LONGEST_UNREACHED: Millis = Millis(2_000);
+/// Longest ejection of an upstream that cannot be reached. Trying it costs a request time but not its
+/// answer, and after a restart of the whole fleet most upstreams are unreachable for some seconds
+/// because links are full.
+const MAX_UNREACHABLE_EJECTION: Millis = Millis(2_000);
 
-/// An upstream that answered this lately is alive: it turns connections away as too many are open.
+/// An upstream that answered within this time is alive; it refuses connections because too many are
+/// open.
 ///
-/// Load pattern: more requests than slots. Upstreams with a long queue take fewer connections;
-/// leaving them alone sends their share to the others, whose queues grow in turn.
-const ALIVE_FOR: Millis = Millis(1_000);
+/// With more requests than slots, upstreams with a long queue accept fewer connections. Ejecting them
+/// would send their share to the others, whose queues would grow in turn.
+const ALIVE_WINDOW: Millis = Millis(1_000);
 
-/// How long one that turned a request away is given no other, at first: about what an engine at full
-/// load takes to end one of its requests.
+/// Cool-down of an upstream after it turned a request away: about the time in which a fully loaded
+/// engine completes one of its requests.
 ///
-/// Load pattern: an entry that starts, or whose words get lost, knows nothing of what others sent.
-/// What is turned away is back within some milliseconds, so that the fullest upstream looks like the
-/// emptiest and gets the next request as well. The same holds where another start of it, or other
-/// weights, are there than believed.
-const FIRST_REST: Millis = Millis(150);
+/// An entry that starts, or whose messages get lost, does not know what its peers have sent. A
+/// rejected request is back within some milliseconds, so the fullest upstream looks like the emptiest
+/// one and would get the next request as well. The same happens if the upstream was restarted or
+/// serves other weights than this entry assumes.
+const FIRST_COOLDOWN: Millis = Millis(150);
 
-/// How often the rest is doubled: one with a long queue of its own needs that long to work it off.
-const REST_DOUBLINGS: u32 = 3;
+/// Number of times the cool-down is doubled at most: an upstream with a long queue of its own needs
+/// that long to work it off.
+const MAX_COOLDOWN_DOUBLINGS: u32 = 3;
 
-/// One start of an upstream. What was sent to it is not counted at a later start, which knows
-/// nothing of it.
+/// One incarnation of an upstream. Requests sent to it are not counted for a later incarnation, which
+/// does not have them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct UpstreamStart {
     pub(crate) id: InstanceId,
     pub(crate) start: StartStamp,
 }
 
-/// One upstream.
+/// What one entry knows about an upstream.
 #[derive(Debug)]
 pub(crate) struct UpstreamState {
     pub(crate) record: UpstreamRecord,
-    /// What this entry has there.
+    /// This entry's own requests there.
     pub(crate) own: UpstreamLoad,
-    /// The share of its latest answers that failed.
+    /// Moving average of failures over its latest answers, from 0 to 1.
     pub(crate) failing: f64,
-    /// It takes no requests until then, as it loads weights.
+    /// It accepts no requests until then because it loads weights.
     pub(crate) paused_until: Moment,
-    /// When it is to load newer weights.
+    /// When it is scheduled to pause for loading newer weights.
     pub(crate) closes_at: Option<Moment>,
-    /// Newer weights are expected there until then.
+    /// Newer weights are expected there until then, as its agent announced.
     pub(crate) expected_until: Moment,
-    /// When it last had room again after it had none: another entry told that it has fewer requests
-    /// or unread prompts there, or it began to take requests again.
+    /// When capacity last became available after there was none: a peer entry reported fewer
+    /// requests or a shorter prefill there, or the upstream resumed after a pause.
     pub(crate) freed: Moment,
-    /// The places that this entry has taken since then.
+    /// Number of requests that this entry has sent there since then.
     pub(crate) taken: u32,
-    /// When it last answered anything.
-    answered: Moment,
-    failed_in_a_row: u32,
+    /// When it last answered anything; zero if it never did.
+    last_answer_at: Moment,
+    failures_in_a_row: u32,
     ejections: u32,
     pub(crate) ejected_until: Moment,
-    /// It has ended, and is asked by nobody until then, or until it answers all the same.
+    /// It has crashed and is sent nothing until then, unless it answers a request sent before.
     pub(crate) ended_until: Moment,
-    /// It turned a request away, and is given nothing until then.
+    /// It turned a request away and is sent nothing until then.
     pub(crate) rests_until: Moment,
-    /// Rests since it last took a request.
-    rests: u32,
-    /// Its registration has ended, and the store may have forgotten it.
+    /// Number of cool-downs since it last accepted a request.
+    cooldowns: u32,
+    /// Set once its registration has expired, if the upstream may still be running.
     pub(crate) lapse: Option<RegistrationLapse>,
 }
 
-/// A registration that has ended though its upstream may live.
+/// A registration that has expired although its upstream may still be running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RegistrationLapse {
-    /// When that was learned.
+    /// When this entry learned of it.
     pub(crate) at: Moment,
-    /// Why the store may have forgotten it.
     pub(crate) cause: LapseCause,
 }
 
-/// Why the store may have forgotten an upstream.
+/// Why the store may have lost a registration.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LapseCause {
-    /// It was away for longer than registrations outlive.
+    /// The store was unavailable for longer than registrations are kept without renewal.
     #[display("store-was-away")]
     Outage,
-    /// It came back from a copy made before the registration.
+    /// The store was restored from a copy made before the registration.
     #[display("store-returned")]
     Return,
 }
 
-/// On what evidence an upstream is listed, and how old that is.
+/// Why an upstream is listed, with the age of that evidence.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ListingEvidence {
-    /// The store lists it, by an answer of this age.
+    /// The store lists it; the age is that of the store's last answer.
     #[display("registered age={_0}")]
     Registered(Millis),
-    /// Its registration was found ended so long ago.
+    /// Its registration was found expired this long ago.
     #[display("lapsed age={_0}")]
     Lapsed(Millis),
 }
 
 impl UpstreamState {
-    /// The start that is believed to run.
+    /// Returns the incarnation that this entry assumes to be running.
     pub(crate) fn start(&self) -> UpstreamStart {
         UpstreamStart { id: self.record.id.clone(), start: self.record.start }
     }
 
-    /// On what evidence it is listed, where the store's last answer is of the age `proof_age`.
+    /// Returns why it is listed; `proof_age` is the age of the store's last answer.
     pub(crate) fn evidence(&self, now: Moment, proof_age: Millis) -> ListingEvidence {
         match self.lapse {
             Some(lapse) => ListingEvidence::Lapsed(now.since(lapse.at)),
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Whether it may have left as well as be forgotten in an outage. What an older copy lacks is no
-    /// such matter: what registered lately is missing there.
+    /// Whether it may have shut down during an outage of the store instead of being lost by it. An
+    /// older copy of the store raises no such doubt, since recent registrations are missing there.
     pub(crate) fn is_doubted(&self) -> bool {
         self.lapse.is_some_and(|lapse| lapse.cause == LapseCause::Outage)
     }
@@ -143,58 +145,60 @@
             expected_until: Moment(0),
             freed: Moment(0),
             taken: 0,
-            answered: Moment(0),
-            failed_in_a_row: 0,
+            last_answer_at: Moment(0),
+            failures_in_a_row: 0,
             ejections: 0,
             ejected_until: Moment(0),
             ended_until: Moment(0),
             rests_until: Moment(0),
-            rests: 0,
+            cooldowns: 0,
             lapse: None,
         }
     }
 
-    /// Takes how an attempt ended.
-    pub(crate) fn judge(&mut self, now: Moment, outcome: AttemptOutcome, first: Millis) {
+    /// Records the outcome of an attempt; `first_ejection` is doubled with each further ejection.
+    pub(crate) fn judge(&mut self, now: Moment, outcome: AttemptOutcome, first_ejection: Millis) {
         match outcome {
-            AttemptOutcome::Whole => self.succeeded(now),
-            AttemptOutcome::Full | AttemptOutcome::Misdirected => self.turned_away(now),
+            AttemptOutcome::Whole => self.record_success(now),
+            AttemptOutcome::Full | AttemptOutcome::Misdirected => self.record_rejection(now),
             AttemptOutcome::Failed => {
-                self.answered(now);
-                self.failing += FAILURE_SHARE * (1.0 - self.failing);
+                self.record_answer(now);
+                self.failing += FAILURE_WEIGHT * (1.0 - self.failing);
             }
-            // No answer failed, so what is remembered of its answers stays.
+            // No answer failed, so the average over its answers stays as it is.
             AttemptOutcome::NotSent => {
-                if self.answered == Moment(0) || now.since(self.answered) >= ALIVE_FOR {
-                    self.eject(now, first, LONGEST_UNREACHED);
+                if self.last_answer_at == Moment(0)
+                    || now.since(self.last_answer_at) >= ALIVE_WINDOW
+                {
+                    self.eject(now, first_ejection, MAX_UNREACHABLE_EJECTION);
                 }
             }
-            // It says nothing of the upstream.
+            // Withdrawing an attempt is this entry's decision and tells nothing about the upstream.
             AttemptOutcome::Withdrawn { .. } => {}
             AttemptOutcome::Lost { .. } => {
-                self.failing += FAILURE_SHARE * (1.0 - self.failing);
-                self.failed_in_a_row += 1;
-                if self.failed_in_a_row >= FAILURES_IN_A_ROW {
-                    self.eject(now, first, LONGEST_EJECTION);
+                self.failing += FAILURE_WEIGHT * (1.0 - self.failing);
+                self.failures_in_a_row += 1;
+                if self.failures_in_a_row >= MAX_FAILURES_IN_A_ROW {
+                    self.eject(now, first_ejection, MAX_LOST_EJECTION);
                 }
             }
         }
     }
 
-    /// Notes that it ended at a moment, unless it has answered since.
+    /// Records that it crashed at `at`, unless it has answered since.
     pub(crate) fn ended(&mut self, at: Moment) {
-        if self.answered <= at {
-            self.ended_until = at + LONGEST_EJECTION;
+        if self.last_answer_at <= at {
+            self.ended_until = at + MAX_LOST_EJECTION;
         }
     }
 
-    /// Notes that it has room again.
+    /// Records that it has capacity again.
     pub(crate) fn free(&mut self, now: Moment) {
         self.freed = now;
         self.taken = 0;
     }
 
-    /// Notes that it takes requests again, now with a version of a model.
+    /// Records that it accepts requests again and serves a version of a model.
     pub(crate) fn opened(&mut self, now: Moment, model: &ModelName, version: WeightVersion) {
         if self.paused_until > now {
             self.free(now);
@@ -205,7 +209,7 @@
         self.serves(model, version);
     }
 
-    /// Notes that it holds a version of a model.
+    /// Records the version of a model that it serves.
     pub(crate) fn serves(&mut self, model: &ModelName, version: WeightVersion) {
         let served = self.record.serving.iter_mut().find(|served| served.model == *model);
         match served {
@@ -214,45 +218,47 @@
         }
     }
 
-    /// The version of a model that it holds whole.
+    /// Returns the version of a model that it has loaded completely.
     pub(crate) fn version_of(&self, model: &ModelName) -> Option<WeightVersion> {
         let served = self.record.serving.iter().find(|served| served.model == *model);
         served.map(|served| served.version)
     }
 
-    /// Notes that it turned a request away. Those that were sent before it said so count as one.
-    fn turned_away(&mut self, now: Moment) {
-        self.answered(now);
+    /// Records a rejected request. Rejections of requests that were sent before the cool-down started
+    /// do not prolong it.
+    fn record_rejection(&mut self, now: Moment) {
+        self.record_answer(now);
         if self.rests_until > now {
             return;
         }
-        self.rests_until = now + Millis(FIRST_REST.0 << self.rests.min(REST_DOUBLINGS));
-        self.rests += 1;
+        self.rests_until =
+            now + Millis(FIRST_COOLDOWN.0 << self.cooldowns.min(MAX_COOLDOWN_DOUBLINGS));
+        self.cooldowns += 1;
     }
 
-    /// Notes that it took a request.
+    /// Records that it accepted a request, which ends the series of cool-downs.
     pub(crate) fn accepted(&mut self, now: Moment) {
-        self.answered(now);
-        self.rests = 0;
+        self.record_answer(now);
+        self.cooldowns = 0;
     }
 
-    /// Notes a sign that it runs.
-    fn answered(&mut self, now: Moment) {
-        self.answered = now;
+    /// Records a sign that it is running.
+    fn record_answer(&mut self, now: Moment) {
+        self.last_answer_at = now;
         self.ended_until = Moment(0);
     }
 
-    fn succeeded(&mut self, now: Moment) {
-        self.answered(now);
-        self.failing -= FAILURE_SHARE * self.failing;
-        self.failed_in_a_row = 0;
+    fn record_success(&mut self, now: Moment) {
+        self.record_answer(now);
+        self.failing -= FAILURE_WEIGHT * self.failing;
+        self.failures_in_a_row = 0;
         self.ejections = 0;
     }
 
     fn eject(&mut self, now: Moment, first: Millis, longest: Millis) {
         let span = Millis(first.0 << self.ejections.min(8)).min(longest);
         self.ejections += 1;
-        self.failed_in_a_row = 0;
+        self.failures_in_a_row = 0;
         self.ejected_until = now + span;
         info!("ejection instance={} span={span} times={}", self.record.id, self.ejections);
     }
--- a/mustardrill_core/src/direct/fleet/upstream_table.rs
+++ b/mustardrill_core/src/direct/fleet/upstream_table.rs
@@ -1,4 +1,4 @@
-//! All upstreams as one entry believes them to be: who is listed, and on what evidence.
+//! The upstreams known to one entry: which are listed, and on what evidence.
 
 use std::net::SocketAddr;
 
@@ -12,38 +12,38 @@
 use crate::direct::fleet::page::{ServedWeights, UpstreamRecord};
 use crate::direct::fleet::upstream::{LapseCause, RegistrationLapse, UpstreamStart, UpstreamState};
 
-/// How long it is remembered that an upstream left: longer than the copies are old from which a store
-/// comes back.
-const DEPARTED_FOR: Millis = Millis(120_000);
+/// How long a removed upstream is remembered: longer than the age of the copies from which a store is
+/// restored.
+const DEPARTURE_RETENTION: Millis = Millis(120_000);
 
-/// A store that forgets upstreams forgets most of them at once: where no more than one in so many of
-/// a service is missing, the missing ones have more likely left.
-const FORGOTTEN_PARTS: usize = 3;
+/// A store that loses registrations loses most of them at once. If no more than one in this many
+/// upstreams of a service is missing, the missing ones have more likely shut down.
+const LOST_FRACTION_DIVISOR: usize = 3;
 
-/// A start of an upstream that has left.
+/// An incarnation of an upstream that was removed from the table.
 #[derive(Debug, Clone, Copy)]
 struct Departure {
     start: StartStamp,
     at: Moment,
 }
 
-/// All upstreams, by instance and by service.
+/// The known upstreams by instance, with an index by service.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamTable {
     states: FastMap<InstanceId, UpstreamState>,
     by_service: FastMap<ServiceName, Vec<InstanceId>>,
-    /// Those that left lately.
+    /// Upstreams that were removed lately, so that an older copy of the store does not list them again.
     departed: FastMap<InstanceId, Departure>,
-    /// What the other entries have there.
+    /// The load of the peer entries at the upstreams.
     pub(crate) heard: HeardLoads,
 }
 
 impl UpstreamTable {
-    /// Takes a registration over. One of an earlier start that comes late changes nothing, one of
-    /// a later start replaces all that is believed of the earlier one.
+    /// Applies a registration. A delayed one of an earlier incarnation is ignored; one of a later
+    /// incarnation replaces all state of the earlier one.
     ///
-    /// `is_served` tells whether the configuration names its service: one that it does not name may
-    /// come from another writer and takes nobody's address.
+    /// `is_served` says whether the configuration names its service. A registration for any other
+    /// service may come from a foreign writer and replaces no upstream at the same address.
     pub(crate) fn register(&mut self, now: Moment, record: UpstreamRecord, is_served: bool) {
         if let Some(known) = self.states.get(&record.id).map(|state| &state.record) {
             if record.start < known.start {
@@ -61,7 +61,7 @@
                     "membership instance={} leaving={} serving={} outcome=changed",
                     record.id,
                     record.leaving,
-                    versions(&record.serving)
+                    format_versions(&record.serving)
                 );
             }
             if state.record.serving != record.serving {
@@ -80,28 +80,30 @@
             record.id,
             record.service,
             record.address,
-            versions(&record.serving)
+            format_versions(&record.serving)
         );
         self.departed.remove(&record.id);
         if is_served {
-            self.replace_at(now, record.address);
+            self.remove_predecessor(now, record.address);
         }
         self.by_service.entry(record.service.clone()).or_default().push(record.id.clone());
         self.states.insert(record.id.clone(), UpstreamState::new(record));
     }
 
-    /// Forgets who was at an address before. A restart has another name, and the old one stays
-    /// registered for some seconds: after a restart of all, every second request went to one.
-    fn replace_at(&mut self, now: Moment, address: SocketAddr) {
-        let before = self.states.values().find(|state| state.record.address == address);
-        if let Some(id) = before.map(|state| state.record.id.clone()) {
+    /// Removes the upstream that was at an address before. A restarted upstream may have a new id
+    /// while the old one stays registered for some seconds; after a restart of the whole fleet every
+    /// second request went to an old one.
+    fn remove_predecessor(&mut self, now: Moment, address: SocketAddr) {
+        let predecessor = self.states.values().find(|state| state.record.address == address);
+        if let Some(id) = predecessor.map(|state| state.record.id.clone()) {
             info!("membership instance={id} outcome=gone reason=replaced");
-            self.depart(now, &id);
+            self.remove_departed(now, &id);
         }
     }
 
-    /// Forgets an upstream whose registration ended, or keeps it where the store may have forgotten
-    /// it and upstreams that live are back by `limit`.
+    /// Removes an upstream whose registration has expired, or keeps it if the store may have lost the
+    /// registration. `limit` is the moment by which running upstreams have registered again; `None`
+    /// means that the store cannot have lost any.
     pub(crate) fn lapse(
         &mut self,
         now: Moment,
@@ -119,17 +121,17 @@
             return;
         }
         info!("membership instance={id} outcome=gone");
-        self.depart(now, id);
+        self.remove_departed(now, id);
     }
 
-    /// Forgets an upstream in whose place something else stands than a registration.
+    /// Removes an upstream whose key in the store no longer holds a valid registration.
     pub(crate) fn void(&mut self, id: &InstanceId) {
         info!("membership instance={id} outcome=gone reason=no-registration");
         self.remove(id);
     }
 
-    /// Takes over what an older copy of the store says of an upstream: nothing that is known to have
-    /// changed since is changed back. What is kept out is listed once it is written again.
+    /// Applies a registration from an older copy of the store. Changes that are known to be newer are
+    /// not reverted. An upstream that is not listed because of this is listed once it registers again.
     pub(crate) fn register_older(&mut self, now: Moment, record: UpstreamRecord, is_served: bool) {
         let id = &record.id;
         if self.departed.get(id).is_some_and(|departure| departure.start >= record.start) {
@@ -137,8 +139,8 @@
             return;
         }
         let Some(state) = self.states.get_mut(id) else {
-            let mut others = self.states.values();
-            if others.any(|state| state.record.address == record.address) {
+            let mut states = self.states.values();
+            if states.any(|state| state.record.address == record.address) {
                 info!("membership instance={id} outcome=kept-out reason=replaced");
             } else {
                 self.register(now, record, is_served);
@@ -146,35 +148,35 @@
             return;
         };
         if state.record.start != record.start {
-            // `register` keeps the later start.
+            // `register` keeps the later incarnation.
             return self.register(now, record, is_served);
         }
         let mut merged = record;
         merged.leaving |= state.record.leaving;
         for known in &state.record.serving {
-            match merged.serving.iter_mut().find(|told| told.model == known.model) {
-                Some(told) => told.version = told.version.max(known.version),
+            match merged.serving.iter_mut().find(|served| served.model == known.model) {
+                Some(served) => served.version = served.version.max(known.version),
                 None => merged.serving.push(known.clone()),
             }
         }
         self.register(now, merged, is_served);
     }
 
-    /// Forgets those whose registration has ended and is not back.
+    /// Removes all upstreams whose registration has expired and was not written again.
     pub(crate) fn forget_lapsed(&mut self, now: Moment) {
-        let over = self.states.iter().filter(|(_, state)| state.lapse.is_some());
-        let over: Vec<_> = over.map(|(id, _)| id.clone()).collect();
-        for id in over {
+        let expired = self.states.iter().filter(|(_, state)| state.lapse.is_some());
+        let expired: Vec<_> = expired.map(|(id, _)| id.clone()).collect();
+        for id in expired {
             info!("membership instance={id} outcome=gone reason=lapsed");
-            self.depart(now, &id);
+            self.remove_departed(now, &id);
         }
     }
 
-    /// Forgets an upstream, and remembers for a while that it left.
-    fn depart(&mut self, now: Moment, id: &InstanceId) {
+    /// Removes an upstream and remembers its incarnation for [`DEPARTURE_RETENTION`].
+    fn remove_departed(&mut self, now: Moment, id: &InstanceId) {
         if let Some(state) = self.states.get(id) {
             let departure = Departure { start: state.record.start, at: now };
-            self.departed.retain(|_, before| now.since(before.at) < DEPARTED_FOR);
+            self.departed.retain(|_, departure| now.since(departure.at) < DEPARTURE_RETENTION);
             self.departed.insert(id.clone(), departure);
         }
         self.remove(id);
@@ -184,7 +186,7 @@
         if let Some(state) = self.states.remove(id)
             && let Some(ids) = self.by_service.get_mut(&state.record.service)
         {
-            ids.retain(|other| other != id);
+            ids.retain(|known| known != id);
         }
     }
 
@@ -196,7 +198,7 @@
         self.states.len()
     }
 
-    /// How many are listed though their registration has ended.
+    /// Counts the upstreams that are listed although their registration has expired.
     pub(crate) fn lapsed(&self) -> usize {
         self.states.values().filter(|state| state.lapse.is_some()).count()
     }
@@ -205,8 +207,8 @@
         self.states.get(id)
     }
 
-    /// The state of that very start of an upstream.
-    fn of_start(&mut self, start: &UpstreamStart) -> Option<&mut UpstreamState> {
+    /// Returns the state of an upstream if exactly this incarnation of it is known.
+    fn incarnation_mut(&mut self, start: &UpstreamStart) -> Option<&mut UpstreamState> {
         let state = self.states.get_mut(&start.id)?;
         (state.record.start == start.start).then_some(state)
     }
@@ -215,88 +217,91 @@
         self.states.values_mut().find(|state| state.record.address == address)
     }
 
-    /// The upstreams of a service that are listed.
+    /// Returns the upstreams that are listed for a service.
     fn of_service(&self, service: &ServiceName) -> impl Iterator<Item = &UpstreamState> {
         let ids = self.by_service.get(service).into_iter().flatten();
         ids.filter_map(|id| self.states.get(id))
     }
 
-    /// The upstreams of a service that take requests now.
+    /// Returns the upstreams of a service that requests may be sent to now. If all of them are ejected
+    /// or have crashed, those are returned instead.
     pub(crate) fn usable(&self, now: Moment, service: &ServiceName) -> Vec<&UpstreamState> {
-        let staying = self.of_service(service).filter(|it| !it.record.leaving);
+        let staying = self.of_service(service).filter(|state| !state.record.leaving);
         let mut open: Vec<_> = staying.collect();
-        let doubted = open.iter().filter(|it| it.is_doubted()).count();
-        let are_few = doubted * FORGOTTEN_PARTS <= open.len();
-        open.retain(|it| it.paused_until <= now && !(are_few && it.is_doubted()));
-        let running: Vec<_> = open.iter().copied().filter(|it| it.ended_until <= now).collect();
-        let sound: Vec<_> = running.iter().copied().filter(|it| it.ejected_until <= now).collect();
-        // Where all are left alone, trying one is better than refusing everybody.
+        let doubted = open.iter().filter(|state| state.is_doubted()).count();
+        let are_few = doubted * LOST_FRACTION_DIVISOR <= open.len();
+        open.retain(|state| state.paused_until <= now && !(are_few && state.is_doubted()));
+        let running: Vec<_> =
+            open.iter().copied().filter(|state| state.ended_until <= now).collect();
+        let sound: Vec<_> =
+            running.iter().copied().filter(|state| state.ejected_until <= now).collect();
+        // If all are ejected, trying one of them is better than refusing all requests.
         let tiers = [sound, running];
         tiers.into_iter().find(|tier| !tier.is_empty()).unwrap_or(open)
     }
 
-    /// Whether an upstream of a service loads weights, or is about to.
+    /// Whether an upstream of a service is loading weights or is about to.
     pub(crate) fn is_loading(&self, now: Moment, service: &ServiceName) -> bool {
-        let is_awaited = |it: &UpstreamState| it.paused_until.max(it.expected_until) > now;
-        self.of_service(service).any(|state| is_awaited(state) && !state.record.leaving)
+        let is_loading = |state: &UpstreamState| state.paused_until.max(state.expected_until) > now;
+        self.of_service(service).any(|state| is_loading(state) && !state.record.leaving)
     }
 
-    /// The slots of all upstreams of a service that are listed.
+    /// Returns the number of slots of all upstreams that are listed for a service.
     pub(crate) fn slots(&self, service: &ServiceName) -> u32 {
-        self.of_service(service).map(|it| it.record.slots).sum()
+        self.of_service(service).map(|state| state.record.slots).sum()
     }
 
-    /// What is at an upstream, of all entries that were heard lately.
+    /// Returns the load at an upstream: this entry's own and that of the peers that reported lately.
     pub(crate) fn present(&self, id: &InstanceId) -> UpstreamLoad {
         let own = self.states.get(id).map_or(UpstreamLoad::default(), |state| state.own);
-        let others = self.heard.sum(id);
+        let peers = self.heard.sum(id);
         UpstreamLoad {
-            requests: own.requests + others.requests,
-            reading: Millis(own.reading.0 + others.reading.0),
+            requests: own.requests + peers.requests,
+            reading: Millis(own.reading.0 + peers.reading.0),
         }
     }
 
-    /// Notes that an upstream has room again, as others tell.
+    /// Records that an upstream has capacity again, as peer entries reported.
     pub(crate) fn freed(&mut self, now: Moment, id: &InstanceId) {
         if let Some(state) = self.states.get_mut(id) {
             state.free(now);
         }
     }
 
-    /// Notes that a request whose prompt takes `reading` was sent to an upstream.
-    pub(crate) fn sent(&mut self, start: &UpstreamStart, reading: Millis) {
-        if let Some(state) = self.of_start(start) {
+    /// Records that a request with a prefill of `prefill_time` was sent to an upstream.
+    pub(crate) fn sent(&mut self, start: &UpstreamStart, prefill_time: Millis) {
+        if let Some(state) = self.incarnation_mut(start) {
             state.own.requests += 1;
             state.taken += 1;
-            state.own.reading = Millis(state.own.reading.0 + reading.0);
+            state.own.reading = Millis(state.own.reading.0 + prefill_time.0);
         }
     }
 
-    /// Notes that an upstream has read a request's prompt, or never will.
-    pub(crate) fn read(&mut self, start: &UpstreamStart, reading: Millis) {
-        if let Some(state) = self.of_start(start) {
-            state.own.reading = Millis(state.own.reading.0.saturating_sub(reading.0));
+    /// Records that an upstream has completed the prefill of a request, or never will.
+    pub(crate) fn read(&mut self, start: &UpstreamStart, prefill_time: Millis) {
+        if let Some(state) = self.incarnation_mut(start) {
+            state.own.reading = Millis(state.own.reading.0.saturating_sub(prefill_time.0));
         }
     }
 
-    /// Notes that a request has left an upstream.
+    /// Records that a request is no longer at an upstream.
     pub(crate) fn left(&mut self, start: &UpstreamStart) {
-        if let Some(state) = self.of_start(start) {
+        if let Some(state) = self.incarnation_mut(start) {
             state.own.requests = state.own.requests.saturating_sub(1);
         }
     }
 
-    /// Notes that an upstream ended at a moment, unless it has answered since.
+    /// Records that an upstream crashed at `at`, unless it has answered since.
     ///
-    /// It goes on being listed for seconds, and looks like the emptiest of all: whatever came was
-    /// sent there until each request's attempts were spent.
+    /// A crashed upstream stays listed for some seconds and looks like the least loaded one, so all
+    /// requests were sent there until their attempts were used up.
     pub(crate) fn ended(&mut self, start: &UpstreamStart, at: Moment) {
-        if let Some(state) = self.of_start(start) {
+        if let Some(state) = self.incarnation_mut(start) {
             state.ended(at);
         }
     }
 
-    /// Takes what an answer's beginning tells.
+    /// Records the start of an answer, with the load and the weights version that it reports.
     pub(crate) fn answering(
         &mut self,
         now: Moment,
@@ -305,7 +310,7 @@
         model: Option<&ModelName>,
         version: Option<WeightVersion>,
     ) {
-        let Some(state) = self.of_start(start) else { return };
+        let Some(state) = self.incarnation_mut(start) else { return };
         state.accepted(now);
         if let Some(load) = load {
             state.record.slots = load.slots;
@@ -315,21 +320,22 @@
         }
     }
 
-    /// Takes how an attempt ended.
+    /// Records the outcome of an attempt; `first_ejection` is the length of a first ejection.
     pub(crate) fn judge(
         &mut self,
         now: Moment,
         start: &UpstreamStart,
         outcome: AttemptOutcome,
-        first: Millis,
+        first_ejection: Millis,
     ) {
-        if let Some(state) = self.of_start(start) {
-            state.judge(now, outcome, first);
+        if let Some(state) = self.incarnation_mut(start) {
+            state.judge(now, outcome, first_ejection);
         }
     }
 }
 
-fn versions(serving: &[ServedWeights]) -> String {
-    let texts: Vec<_> = serving.iter().map(|it| format!("{}:{}", it.model, it.version)).collect();
+fn format_versions(serving: &[ServedWeights]) -> String {
+    let texts: Vec<_> =
+        serving.iter().map(|served| format!("{}:{}", served.model, served.version)).collect();
     texts.join(",")
 }
--- a/mustardrill_core/src/direct/store/contact.rs
+++ b/mustardrill_core/src/direct/store/contact.rs
@@ -1,76 +1,79 @@
-//! Since when the store has answered the entries, all of them taken together.
+//! Tracks since when the store has been available, to any of the entries.
 //!
-//! Load pattern: a store that is away for longer than upstreams renew their registrations forgets
-//! upstreams that live, and for the entry that was cut off alone everything looks the same. What
-//! ended while the store answered anybody has ended for good; only what ended in a time in which it
-//! answered nobody may have been forgotten.
+//! A store that is unavailable for longer than upstreams take to renew their registrations loses the
+//! registrations of running upstreams. To a single entry that is cut off from the store this looks
+//! the same. A registration that ended while the store answered any entry has really ended; only one
+//! that ended while the store answered no entry may have been lost.
 
 use mustardrill_types::{Millis, Moment};
 
-/// A time in which the store answered somebody again and again.
+/// A period in which the store answered at least one entry again and again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerSpan {
-    /// The first answer.
+    /// Time of the first answer.
     pub since: Moment,
-    /// The last moment for which an answer is proved.
+    /// The last moment at which an answer shows the store to have been available.
     pub until: Moment,
 }
 
-/// The latest such time, by this entry's answers and by what the others told of theirs.
+/// The latest period of availability, by the answers to this entry and the reports of its peers.
 #[derive(Debug, Default)]
 pub struct StoreContact {
     span: Option<AnswerSpan>,
-    /// This entry's first answer: what it lists was registered after everything before.
-    first: Moment,
-    /// Since when the store may have been back from an older copy.
-    returned: Option<Moment>,
+    /// Time of the first answer to this entry. Everything that it lists was registered after any
+    /// earlier outage.
+    first_answer_at: Moment,
+    /// The earliest moment at which the store may have been restored from an older copy.
+    restored_at: Option<Moment>,
 }
 
 impl StoreContact {
-    /// Notes an answer that came at `now` and proves that the store was there at `proved`.
+    /// Records an answer that arrived at `now` and shows that the store was available at `confirmed`.
     ///
-    /// A gap shorter than `forgetting` makes the store forget nothing, so it ends no span.
-    pub fn answered(&mut self, now: Moment, proved: Moment, forgetting: Millis) {
+    /// The store loses nothing in a gap shorter than `expiry`, so such a gap does not end the period.
+    pub fn answered(&mut self, now: Moment, confirmed: Moment, expiry: Millis) {
         if self.span.is_none() {
-            self.first = now;
+            self.first_answer_at = now;
         }
-        // The store may have come back any time before its first answer, so the later moment counts.
-        self.merge(AnswerSpan { since: now, until: proved }, forgetting);
+        // The store may have come back at any time before its first answer, so the later moment counts.
+        self.merge(AnswerSpan { since: now, until: confirmed }, expiry);
     }
 
-    /// Notes that the store has come back from an older copy, at `moment` at the earliest: it has
-    /// forgotten what was registered since that was made, whoever had answers meanwhile.
+    /// Records that the store was restored from an older copy, at `moment` at the earliest. It lost
+    /// all registrations made since that copy, even if it answered some entries all the time.
     pub fn returned(&mut self, moment: Moment) {
-        self.returned = Some(moment);
+        self.restored_at = Some(moment);
     }
 
-    /// Takes another entry's span; by its answers, this entry has one of its own.
-    pub fn heard(&mut self, span: AnswerSpan, forgetting: Millis) {
+    /// Merges the period reported by a peer entry. It is ignored before the first answer to this
+    /// entry.
+    pub fn heard(&mut self, span: AnswerSpan, expiry: Millis) {
         if self.span.is_some() {
-            self.merge(span, forgetting);
+            self.merge(span, expiry);
         }
     }
 
-    /// The latest span.
+    /// Returns the latest period, or `None` before the first answer.
     pub fn span(&self) -> Option<AnswerSpan> {
         self.span
     }
 
-    /// Until when what is missing may be back, where upstreams need `grace` to register again after
-    /// the store's return; nothing where it was not away since this entry's first answer.
+    /// Returns the moment until which a missing upstream may still register again, if upstreams need
+    /// `grace` for that after the store is back. `None` if the store was neither unavailable nor
+    /// restored since its first answer to this entry.
     pub fn return_limit(&self, grace: Millis) -> Option<Moment> {
         let since = self.span?.since;
-        let gap_end = (since > self.first).then_some(since);
-        gap_end.max(self.returned).map(|moment| moment + grace)
+        let gap_end = (since > self.first_answer_at).then_some(since);
+        gap_end.max(self.restored_at).map(|moment| moment + grace)
     }
 
-    fn merge(&mut self, other: AnswerSpan, forgetting: Millis) {
+    fn merge(&mut self, other: AnswerSpan, expiry: Millis) {
         let Some(own) = self.span else {
             self.span = Some(other);
             return;
         };
         let (earlier, later) = if own.until <= other.until { (own, other) } else { (other, own) };
-        let is_joined = later.since.min(later.until).since(earlier.until) < forgetting;
+        let is_joined = later.since.min(later.until).since(earlier.until) < expiry;
         let since = if is_joined { earlier.since.min(later.since) } else { later.since };
         self.span = Some(AnswerSpan { since, until: later.until });
     }
--- a/mustardrill_core/src/direct/store/cursor.rs
+++ b/mustardrill_core/src/direct/store/cursor.rs
@@ -1,61 +1,62 @@
-//! Up to where a process has read the store, and in which of its histories.
+//! The position up to which a process has read the store, and the store's era that it belongs to.
 //!
-//! Load pattern: the store comes back from a copy some seconds old and gives revisions out again.
-//! Once it has grown past the revision of a reader, a watch from there tells nothing of what changed
-//! below it. A reader therefore goes on from a revision only within the era in which it read it.
+//! When the store is restored from a copy some seconds old, it assigns the same revisions a second
+//! time. Once it has grown past the revision of a reader, a watch from that revision does not report
+//! what changed below it. A revision is therefore used only within the era in which it was read.
 
 use mustardrill_types::{StoreEra, StoreRevision};
 
 use crate::direct::fleet::page::FleetPage;
 
-/// What is to be done with a page.
+/// What to do with an update read from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CursorVerdict {
-    /// It is taken over.
+    /// The update is to be applied.
     Taken {
-        /// Whether it is the first of a later era than what was read before.
+        /// Whether this is the first update of a later era than the one read before.
         returned: bool,
     },
-    /// The store has come back from a copy since: the page is void, and all is to be read anew.
+    /// The store was restored from a copy since the last update: this one must be dropped and a
+    /// snapshot read.
     ReadAnew,
-    /// It is of an era that is over: it is void.
+    /// The update belongs to an earlier era than one seen before and must be dropped.
     Outdated,
 }
 
-/// Up to where a process has read.
+/// The position up to which a process has read the store.
 #[derive(Debug, Default)]
 pub struct StoreCursor {
-    /// The newest era that was heard of.
-    newest: StoreEra,
-    /// The era of what was taken last; nothing before the first page.
-    taken: Option<StoreEra>,
+    /// The newest era seen in any update.
+    newest_era: StoreEra,
+    /// The era of the update applied last; `None` before the first one.
+    applied_era: Option<StoreEra>,
     revision: Option<StoreRevision>,
 }
 
 impl StoreCursor {
-    /// From which state on changes are to be read; nothing where all is.
+    /// Returns the revision after which to read changes, or `None` if a snapshot must be read.
     pub fn revision(&self) -> Option<StoreRevision> {
         self.revision
     }
 
-    /// Notes that the changes since are no longer to be had.
+    /// Drops the position because the store no longer has the changes after it.
     pub fn reset(&mut self) {
         self.revision = None;
     }
 
-    /// Takes a page over, unless it belongs to another history.
-    pub fn take(&mut self, page: &FleetPage) -> CursorVerdict {
-        if page.era < self.newest {
+    /// Advances to an update, unless it belongs to another era.
+    pub fn take(&mut self, update: &FleetPage) -> CursorVerdict {
+        if update.era < self.newest_era {
             return CursorVerdict::Outdated;
         }
-        self.newest = page.era;
-        let returned = self.taken.is_some_and(|era| page.era > era);
-        if returned && !page.whole {
+        self.newest_era = update.era;
+        let returned = self.applied_era.is_some_and(|era| update.era > era);
+        if returned && !update.whole {
             self.revision = None;
             return CursorVerdict::ReadAnew;
         }
-        self.taken = Some(page.era);
-        self.revision = Some(page.at);
+        self.applied_era = Some(update.era);
+        self.revision = Some(update.at);
         CursorVerdict::Taken { returned }
     }
 }
--- a/mustardrill_core/src/direct/store/freshness.rs
+++ b/mustardrill_core/src/direct/store/freshness.rs
@@ -1,63 +1,64 @@
-//! How long ago the configuration was proved to be the newest.
+//! Tracks when the configuration was last confirmed as current.
 //!
-//! A key that is taken away must be refused after a bounded time by entries that the store turns
-//! away, too. Such an entry hears nothing, so it goes by the age of its last proof. The moments
-//! must come from a clock that counts suspension: an entry that was frozen has an old proof.
+//! A key that was removed from the configuration must be refused within a bounded time, also by
+//! entries that the store does not answer. Such an entry does not learn of the removal, so it goes by
+//! the age of its last confirmation. Moments must come from a clock that counts time in suspension, so
+//! that an entry that was frozen sees an old confirmation.
 
 use mustardrill_types::{Millis, Moment};
 
-/// The time of the last proof.
+/// Time of the last confirmation by the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ProofClock {
-    proved: Option<Moment>,
+    confirmed_at: Option<Moment>,
 }
 
 impl ProofClock {
-    /// Notes a complete answer of the store to a call that was sent at `sent`.
+    /// Records a complete answer of the store to a call that was sent at `sent`.
     ///
-    /// The answer may have been made any time after that, so only the sending is certain.
+    /// The store may have produced the answer at any time after that, so only `sent` is certain.
     pub fn prove(&mut self, sent: Moment) {
-        self.proved = Some(self.proved.map_or(sent, |proved| proved.max(sent)));
+        self.confirmed_at = Some(self.confirmed_at.map_or(sent, |confirmed| confirmed.max(sent)));
     }
 
-    /// How old the proof is; nothing where there was none.
+    /// Returns the age of the last confirmation, or `None` if there was none.
     pub fn age(&self, now: Moment) -> Option<Millis> {
-        self.proved.map(|proved| now.since(proved))
+        self.confirmed_at.map(|confirmed| now.since(confirmed))
     }
 
-    /// The moment of the last proof.
+    /// Returns the time of the last confirmation, or `None` if there was none.
     pub fn last(&self) -> Option<Moment> {
-        self.proved
+        self.confirmed_at
     }
 
-    /// Whether the store was proved to be there at `moment` or later.
+    /// Whether the store was confirmed to be available at `moment` or later.
     pub fn reaches(&self, moment: Moment) -> bool {
-        self.proved.is_some_and(|proved| proved >= moment)
+        self.confirmed_at.is_some_and(|confirmed| confirmed >= moment)
     }
 
-    /// Whether the proof is younger than `limit`.
+    /// Whether the last confirmation is less than `limit` old.
     pub fn is_fresh(&self, now: Moment, limit: Millis) -> bool {
         self.age(now).is_some_and(|age| age < limit)
     }
 }
 
-/// For which moment the answer to a watch proves that nothing newer is there, where the watch was
-/// sent at `sent` for `wait` and answered at `answered`.
+/// Returns the last moment for which the answer to a watch confirms that nothing newer existed, if
+/// the watch was sent at `sent` for `wait` and answered at `answered`.
 ///
-/// The store answers a watch when something changes, and after its time otherwise. Where nothing
-/// changed and that time has passed, it looked at the end of it; any other answer may have been made
-/// just after the sending. Load pattern: the store goes away. Proved at its end, a watch lets entries go
-/// on with known customers for longer by its own time.
+/// The store answers a watch on a change, or else once `wait` has passed. An unchanged answer after
+/// `wait` means that it looked at the end of that time. Any other answer may have been produced right
+/// after `sent`. When the store becomes unavailable, counting from the end of a watch lets entries
+/// serve known customers for longer, by the length of that watch.
 pub fn proved_at(sent: Moment, answered: Moment, wait: Millis, unchanged: bool) -> Moment {
     if unchanged && answered.since(sent) >= wait { sent + wait } else { sent }
 }
 
-/// How long after the store came back from an older copy an entry reads of it at the latest, where
-/// it asked all the while.
-const NOTICED_WITHIN: Millis = Millis(800);
+/// Longest time after a restore of the store from an older copy until an entry that keeps reading
+/// gets an answer of the restored store.
+const RESTORE_DETECTION_LIMIT: Millis = Millis(800);
 
-/// The earliest moment at which the store can have come back from an older copy, where that was seen
-/// at `now` and what it held before was proved last at `last_proof`.
-pub fn returned_at(now: Moment, last_proof: Option<Moment>) -> Moment {
-    last_proof.unwrap_or(now).max(now - NOTICED_WITHIN)
+/// Returns the earliest moment at which the store can have been restored from an older copy, if the
+/// restore was detected at `now` and the state before it was last confirmed at `last_confirmed`.
+pub fn returned_at(now: Moment, last_confirmed: Option<Moment>) -> Moment {
+    last_confirmed.unwrap_or(now).max(now - RESTORE_DETECTION_LIMIT)
 }
--- a/mustardrill_core/src/direct/store/gathering.rs
+++ b/mustardrill_core/src/direct/store/gathering.rs
@@ -1,51 +1,56 @@
-//! How long an entry lets changes gather at the store before it asks for more of them.
+//! Decides how long an entry lets changes accumulate in the store before it reads them.
 //!
-//! Load pattern: engines load weights and tell so by their registrations, many times a second. Each
-//! answered watch is a billed call, and agents tell entries of their engines anyway.
-//! Upstreams that come or go are another matter: after a restart of all, whoever knows only the names
-//! of before sends to nobody, and while the last one of a service is gone its requests are refused.
+//! Engines that load weights update their registrations many times a second. Each answered watch is a
+//! billed call, and entries learn the state of engines from agents anyway, so such changes are
+//! coalesced. Upstreams that register or go are more urgent: after a restart of the whole fleet an
+//! entry that knows only the old instances has nobody to send to, and requests for a service are
+//! refused while its last upstream is gone.
 //!
-//! Load pattern: large configurations in quick succession. A watch tells each of them in full to each
-//! entry, and fills the links between regions for seconds, over which other
-//! entries then reach neither the store nor weights. Read as a whole after a pause, only the newest
-//! one crosses.
+//! Large configurations in quick succession are coalesced, too. A watch sends each of them in full to
+//! each entry and fills the links between regions for seconds, so that other entries reach neither
+//! the store nor weights. If an entry reads a snapshot after a pause, only the newest configuration
+//! is transferred.
 
 use mustardrill_types::{FastMap, Generation, InstanceId, Millis, Moment, ServiceName, StartStamp};
 
 use crate::direct::fleet::page::{FleetChange, FleetPage};
 
-/// The pause where anything else changed, above all where upstreams came or went: one that leaves is to
-/// be sent nothing more within twice that.
-const SOON: Millis = Millis(150);
+/// Pause after changes of the membership or any other kind. An upstream that shuts down must receive
+/// no further requests within twice this time.
+const MEMBERSHIP_PAUSE: Millis = Millis(150);
 
-/// The pause where engines only told what they serve: a quarter of the tightest bound on a change.
-const LATER: Millis = Millis(500);
+/// Pause after changes of engines' served weights only: a quarter of the tightest limit on the delay
+/// of a change.
+const SERVING_PAUSE: Millis = Millis(500);
 
-/// A configuration that follows another one within this time is one of a series.
-const SERIES_SPAN: Millis = Millis(2_000);
+/// A configuration that follows another one within this time belongs to a series.
+const SERIES_WINDOW: Millis = Millis(2_000);
 
-/// The pause within a series: with a reading over a busy link it leaves half of the tightest bound on
-/// a change.
+/// Pause within a series of configurations. Together with a read over a busy link it leaves half of
+/// the tightest limit on the delay of a change.
 const SERIES_PAUSE: Millis = Millis(800);
 
-/// How the store is read next.
+/// When and how the store is read next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NextReading {
-    /// How long changes gather before.
+    /// How long to wait before the read.
     pub pause: Millis,
-    /// Whether all is read anew, in place of each change since.
+    /// Whether to read a snapshot instead of each change since the last read.
     pub anew: bool,
 }
 
-/// The upstreams that were told of, to see who is new and which service is without any.
+/// Chooses the pause before the next read from the changes of the last one.
+///
+/// It remembers the upstreams that were reported, to tell which ones are new and which services have
+/// none left.
 #[derive(Debug, Default)]
 pub struct GatherPause {
-    known: FastMap<InstanceId, KnownUpstream>,
-    /// The newest configuration that was told, and when it was told first.
+    known_upstreams: FastMap<InstanceId, KnownUpstream>,
+    /// The newest configuration, and when it was first received.
     configured: Option<(Generation, Moment)>,
 }
 
-/// What was told last of an upstream.
+/// The parts of an upstream's last registration that make a change urgent.
 #[derive(Debug, PartialEq, Eq)]
 struct KnownUpstream {
     service: ServiceName,
@@ -54,74 +59,80 @@
 }
 
 impl GatherPause {
-    /// How to go on after a page that came at `now`: at once where it tells nothing, or all at once.
-    pub fn after(&mut self, now: Moment, page: &FleetPage) -> NextReading {
-        if self.is_series(now, page) {
-            for change in &page.changes {
-                self.takes(change);
+    /// Returns how to read the store after an update received at `now`. There is no pause after a
+    /// snapshot, an empty update, or one that leaves a service without upstreams.
+    pub fn after(&mut self, now: Moment, update: &FleetPage) -> NextReading {
+        if self.is_series(now, update) {
+            for change in &update.changes {
+                self.record_change(change);
             }
             return NextReading { pause: SERIES_PAUSE, anew: true };
         }
-        NextReading { pause: self.pause_after(page), anew: false }
+        NextReading { pause: self.pause_after(update), anew: false }
     }
 
-    /// Whether a page brings a configuration soon after another one.
-    fn is_series(&mut self, now: Moment, page: &FleetPage) -> bool {
-        let told = page.changes.iter().filter_map(|change| match change {
+    /// Whether an update contains a new configuration soon after another one.
+    fn is_series(&mut self, now: Moment, update: &FleetPage) -> bool {
+        let generations = update.changes.iter().filter_map(|change| match change {
             FleetChange::Configured(document) => Some(document.generation),
             _ => None,
         });
-        let Some(newest) = told.max() else { return false };
+        let Some(newest) = generations.max() else { return false };
         if self.configured.is_some_and(|(generation, _)| newest <= generation) {
             return false;
         }
         let before = self.configured.replace((newest, now));
-        !page.whole && before.is_some_and(|(_, before)| now.since(before) < SERIES_SPAN)
+        !update.whole && before.is_some_and(|(_, before)| now.since(before) < SERIES_WINDOW)
     }
 
-    fn pause_after(&mut self, page: &FleetPage) -> Millis {
-        let mut moved = false;
-        let mut bereft = false;
-        for change in &page.changes {
-            let left = self.service_left(change);
-            moved |= self.takes(change);
-            bereft |= left.is_some_and(|service| !self.is_served(&service));
+    fn pause_after(&mut self, update: &FleetPage) -> Millis {
+        let mut has_membership_change = false;
+        let mut has_unserved_service = false;
+        for change in &update.changes {
+            let affected_service = self.service_left(change);
+            has_membership_change |= self.record_change(change);
+            has_unserved_service |=
+                affected_service.is_some_and(|service| !self.is_served(&service));
         }
-        match (page.whole || page.changes.is_empty() || bereft, moved) {
+        match (
+            update.whole || update.changes.is_empty() || has_unserved_service,
+            has_membership_change,
+        ) {
             (true, _) => Millis(0),
-            (false, true) => SOON,
-            (false, false) => LATER,
+            (false, true) => MEMBERSHIP_PAUSE,
+            (false, false) => SERVING_PAUSE,
         }
     }
 
-    /// Takes a change over; says whether it is more than another state of an upstream that is known.
-    fn takes(&mut self, change: &FleetChange) -> bool {
+    /// Records a change and returns whether it is more than new served weights of a known upstream.
+    fn record_change(&mut self, change: &FleetChange) -> bool {
         match change {
             FleetChange::Upstream(record) => {
                 let (service, leaving) = (record.service.clone(), record.leaving);
-                let told = KnownUpstream { service, start: record.start, leaving };
-                let is_known = self.known.get(&record.id) == Some(&told);
-                self.known.insert(record.id.clone(), told);
+                let upstream = KnownUpstream { service, start: record.start, leaving };
+                let is_known = self.known_upstreams.get(&record.id) == Some(&upstream);
+                self.known_upstreams.insert(record.id.clone(), upstream);
                 !is_known
             }
             FleetChange::UpstreamGone(id) | FleetChange::UpstreamVoid(id) => {
-                self.known.remove(id);
+                self.known_upstreams.remove(id);
                 true
             }
             _ => true,
         }
     }
-    /// The service that an upstream leaves by a change.
+
+    /// Returns the service that loses an upstream by a change.
     fn service_left(&self, change: &FleetChange) -> Option<ServiceName> {
         let id = match change {
             FleetChange::Upstream(record) if record.leaving => &record.id,
             FleetChange::UpstreamGone(id) | FleetChange::UpstreamVoid(id) => id,
             _ => return None,
         };
-        self.known.get(id).map(|known| known.service.clone())
+        self.known_upstreams.get(id).map(|known| known.service.clone())
     }
 
     fn is_served(&self, service: &ServiceName) -> bool {
-        self.known.values().any(|known| known.service == *service && !known.leaving)
+        self.known_upstreams.values().any(|known| known.service == *service && !known.leaving)
     }
 }
--- a/mustardrill_core/src/direct/store/generation_word.rs
+++ b/mustardrill_core/src/direct/store/generation_word.rs
@@ -1,69 +1,71 @@
-//! What other entries tell an entry that starts of the newest configuration.
+//! What peer entries report about the newest configuration to an entry that starts.
 //!
-//! Load pattern: the store has come back from an older copy, and an entry starts before the operator
-//! has written again. The older configuration is the newest that it can read, with keys that were
-//! taken away; the others know better.
+//! If the store was restored from an older copy and an entry starts before the operator has written
+//! the configuration again, the newest configuration it can read is an older one, with keys that were
+//! removed since. Its peers know the newer generation.
 
 use mustardrill_types::{Generation, Millis, Moment};
 
-/// How long an entry that starts waits for the others' word: they are asked again within it, and one
-/// that has registered may have ended.
-const WORD_PATIENCE: Millis = Millis(200);
+/// How long a starting entry waits for a report. Peers are asked again within this time, and a peer
+/// that is registered may have stopped.
+const REPORT_TIMEOUT: Millis = Millis(200);
 
-/// How long the others are asked where none of them answers, while the entry serves: as long as one
-/// that has ended may be registered. Silence proves nothing, the link or the others may stand still.
-const ASK_SPAN: Millis = Millis(10_000);
+/// How long peers are asked while none of them answers and the entry serves requests: as long as a
+/// stopped entry may stay registered. Silence proves nothing, since the link or the peers may be
+/// stalled.
+const INQUIRY_LIMIT: Millis = Millis(10_000);
 
-/// The others' word, or the wait for it.
+/// The newest generation that peers have reported, or the wait for a report.
 #[derive(Debug, Default)]
 pub(crate) struct GenerationWord {
     newest: Generation,
-    until: Option<Moment>,
-    asked_until: Moment,
-    /// Until then words count. Later the age of the entry's own proof decides, which the store renews
-    /// or lets run out: a newer configuration that an entry cut off can't read would shut it out sooner.
-    counted_until: Moment,
+    wait_until: Option<Moment>,
+    ask_until: Moment,
+    /// Reports are ignored after this moment. From then on the age of the entry's own freshness check
+    /// decides, which the store renews or lets run out: a newer configuration that a cut-off entry
+    /// cannot read would make it refuse requests sooner than that.
+    accept_until: Moment,
 }
 
 impl GenerationWord {
-    /// Begins to wait at an entry's first reading.
+    /// Starts to wait for a report, at the entry's first read of the store.
     pub(crate) fn await_from(&mut self, now: Moment) {
-        self.until = Some(now + WORD_PATIENCE);
-        self.asked_until = now + ASK_SPAN;
-        self.counted_until = now + ASK_SPAN;
+        self.wait_until = Some(now + REPORT_TIMEOUT);
+        self.ask_until = now + INQUIRY_LIMIT;
+        self.accept_until = now + INQUIRY_LIMIT;
     }
 
-    /// Takes the generation that another entry has in force.
+    /// Records the generation that a peer entry has in force, which ends the wait.
     pub(crate) fn heard(&mut self, now: Moment, generation: Generation) {
-        if now >= self.counted_until {
+        if now >= self.accept_until {
             return;
         }
         self.newest = self.newest.max(generation);
-        self.until = None;
-        self.asked_until = Moment(0);
+        self.wait_until = None;
+        self.ask_until = Moment(0);
     }
 
-    /// Ends the wait where it has lasted long enough; says whether it ended now.
+    /// Ends the wait if it has timed out; returns whether this call ended it.
     pub(crate) fn end_wait(&mut self, now: Moment) -> bool {
-        self.until.take_if(|until| *until <= now).is_some()
+        self.wait_until.take_if(|until| *until <= now).is_some()
     }
 
-    /// Until when the word is waited for.
+    /// Returns when the wait times out, if a report is awaited.
     pub(crate) fn waits_until(&self) -> Option<Moment> {
-        self.until
+        self.wait_until
     }
 
-    /// Whether the word is waited for.
+    /// Whether requests must wait for a report.
     pub(crate) fn is_awaited(&self, now: Moment) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.wait_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the others are to be asked.
+    /// Whether the peers are to be asked for a report.
     pub(crate) fn is_asked(&self, now: Moment) -> bool {
-        now < self.asked_until
+        now < self.ask_until
     }
 
-    /// Whether a configuration may be the newest, by what the others told.
+    /// Whether a configuration may be used: no report is awaited and none named a newer generation.
     pub(crate) fn allows(&self, now: Moment, generation: Generation) -> bool {
         generation >= self.newest && !self.is_awaited(now)
     }
--- a/mustardrill_core/src/direct/store/mod.rs
+++ b/mustardrill_core/src/direct/store/mod.rs
@@ -1,4 +1,4 @@
-//! What an entry reads of the store, when, and what it makes of the answers and of silence.
+//! How an entry reads the store, and what it concludes from answers and from missing answers.
 
 pub(in crate::direct) mod contact;
 pub(in crate::direct) mod cursor;
--- a/mustardrill_core/src/direct/store/reader.rs
+++ b/mustardrill_core/src/direct/store/reader.rs
@@ -1,4 +1,5 @@
-//! One reader of the store: up to where it has read, what that proves, and when it reads again.
+//! One reader of the store: the position up to which it has read, what its answers confirm, and the
+//! timing of its watches.
 
 use mustardrill_types::{Millis, Moment, StoreRevision};
 
@@ -7,7 +8,7 @@
 use crate::direct::store::freshness::{ProofClock, proved_at, returned_at};
 use crate::direct::store::watch_pace::{WatchPace, WatchSpan};
 
-/// What an entry that follows the store knows of its own reading.
+/// The read state of an entry that watches the store.
 #[derive(Debug, Default)]
 pub struct StoreReader {
     cursor: StoreCursor,
@@ -15,38 +16,38 @@
     proof: ProofClock,
 }
 
-/// What an answer that was taken over tells of the store.
+/// What an answer that was applied shows about the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadOutcome {
-    /// The moment at which nothing newer was there.
+    /// The last moment for which it is confirmed that nothing newer existed.
     pub proved: Moment,
-    /// Whether it is the first after a failure, or since the store came back from an older copy.
+    /// Whether this is the first answer after a failure or after a restore from an older copy.
     pub regained: bool,
 }
 
 impl StoreReader {
-    /// From which state on changes are to be read; nothing where all is.
+    /// Returns the revision after which to read changes, or `None` if a snapshot must be read.
     pub fn revision(&self) -> Option<StoreRevision> {
         self.cursor.revision()
     }
 
-    /// The time of the next watch where one waits for `usual` in calm times, and what the store may
-    /// have forgotten is kept for `grace` after its return.
+    /// Returns the timing of the next watch. `usual` is the wait while the store is available, and
+    /// `grace` the time for which lost registrations are kept after the store is back.
     pub fn span(&mut self, now: Moment, usual: Millis, grace: Millis) -> WatchSpan {
         self.pace.span(now, usual, grace)
     }
 
-    /// Takes the answer to a call that was sent at `sent` for `span` and came at `now`; nothing where
-    /// it belongs to another history and is void.
+    /// Records the answer, received at `now`, to a call that was sent at `sent` with the timing
+    /// `span`. Returns `None` if it belongs to another era of the store and must be dropped.
     pub fn answered(
         &mut self,
         now: Moment,
         sent: Moment,
         span: WatchSpan,
-        page: &FleetPage,
+        update: &FleetPage,
     ) -> Option<ReadOutcome> {
-        let unchanged = self.revision() == Some(page.at) && page.changes.is_empty();
-        let CursorVerdict::Taken { returned } = self.cursor.take(page) else { return None };
+        let unchanged = self.revision() == Some(update.at) && update.changes.is_empty();
+        let CursorVerdict::Taken { returned } = self.cursor.take(update) else { return None };
         let regained = self.pace.answered(now) | returned;
         if returned {
             self.pace.returned(returned_at(now, self.proof.last()));
@@ -56,12 +57,12 @@
         Some(ReadOutcome { proved, regained })
     }
 
-    /// Notes that a call was not answered.
+    /// Records that a call got no answer.
     pub fn failed(&mut self) {
         self.pace.failed();
     }
 
-    /// Notes that the changes since are no longer to be had.
+    /// Drops the position because the store no longer has the changes after it.
     pub fn reset(&mut self) {
         self.cursor.reset();
     }
--- a/mustardrill_core/src/direct/store/view.rs
+++ b/mustardrill_core/src/direct/store/view.rs
@@ -1,4 +1,4 @@
-//! What an entry makes of the store's answers, and of its silence.
+//! Applies the store's answers, and its failure to answer, to the state of an entry.
 
 use std::net::IpAddr;
 
@@ -13,37 +13,38 @@
 use crate::direct::versions::table::NamingTime;
 
 impl DirectReducer {
-    /// Takes what the store tells; the call was sent, or proves the configuration, at `sent`.
+    /// Applies an update from the store. `sent` is when the call was sent, or a later moment for which
+    /// its answer confirms the configuration as current.
     pub(in crate::direct) fn fleet_seen(
         &mut self,
         now: Moment,
-        page: FleetPage,
+        update: FleetPage,
         sent: Moment,
     ) -> Vec<DirectEffect> {
-        let was_away = std::mem::take(&mut self.store_away);
-        self.note_contact(now, sent, was_away);
-        let returned = self.note_return(now, &page);
-        let is_start = self.proof.last().is_none();
-        self.revision = page.at;
-        self.era = page.era;
-        let time = self.naming_time(now, sent, was_away);
+        let was_unavailable = std::mem::take(&mut self.store_away);
+        self.record_availability(now, sent, was_unavailable);
+        let is_restored = self.detect_restore(now, &update);
+        let is_first_read = self.proof.last().is_none();
+        self.revision = update.at;
+        self.era = update.era;
+        let time = self.naming_time(now, sent, was_unavailable);
         self.read_at = now;
-        if page.whole {
-            self.forget_missing(now, &page, returned);
+        if update.whole {
+            self.expire_missing(now, &update, is_restored);
         }
-        let mut effects = if returned {
-            self.take_older(now, time, page.changes)
+        let mut effects = if is_restored {
+            self.apply_older_copy(now, time, update.changes)
         } else {
-            self.take_changes(now, time, page.changes, page.whole)
+            self.apply_changes(now, time, update.changes, update.whole)
         };
-        if page.whole {
-            effects.extend(self.tell_newest());
+        if update.whole {
+            effects.extend(self.notify_agents_of_newest());
         }
-        if is_start && !self.peers.is_empty() {
+        if is_first_read && !self.peers.is_empty() {
             self.word.await_from(now);
         }
         self.proof.prove(sent);
-        self.prove_config(sent);
+        self.confirm_config(sent);
         self.settle_lapsed(now);
         self.settle_namings(now);
         effects.extend(self.pump_all(now));
@@ -53,64 +54,65 @@
         effects
     }
 
-    /// Notes that the store was there at `sent`.
-    fn note_contact(&mut self, now: Moment, sent: Moment, was_away: bool) {
+    /// Records that the store was available at `sent`.
+    fn record_availability(&mut self, now: Moment, sent: Moment, was_unavailable: bool) {
         self.contact.answered(now, sent, self.settings.forgetting);
-        if was_away {
+        if was_unavailable {
             let answering = self.contact.span().map_or(now, |span| span.since);
             info!(
                 "dependency=store outcome=regained proof_age={} answering={}",
-                age_text(&self.proof, now),
+                format_age(&self.proof, now),
                 now.since(answering)
             );
         }
     }
 
-    /// Notes whether a page is the first since the store came back from an older copy.
-    fn note_return(&mut self, now: Moment, page: &FleetPage) -> bool {
-        let returned = page.whole && self.proof.last().is_some() && page.era > self.era;
-        if returned {
+    /// Returns whether an update is the first one since the store was restored from an older copy, and
+    /// records the restore.
+    fn detect_restore(&mut self, now: Moment, update: &FleetPage) -> bool {
+        let is_restored = update.whole && self.proof.last().is_some() && update.era > self.era;
+        if is_restored {
             warn!(
                 "dependency=store outcome=returned era={} before={} revision={} read={}",
-                page.era, self.era, page.at, self.revision
+                update.era, self.era, update.at, self.revision
             );
             self.contact.returned(returned_at(now, self.proof.last()));
             self.rewritten_at = now + self.settings.lapse_grace;
         }
-        returned
+        is_restored
     }
 
-    /// Notes that the store held the newest configuration at `sent`. One that came back from an older
-    /// copy may have lost a configuration that nobody had read, until the operator has written again.
-    fn prove_config(&mut self, sent: Moment) {
+    /// Records that the store held the newest configuration at `sent`. A store restored from an older
+    /// copy may lack a configuration that no entry had read, until the operator has written again.
+    fn confirm_config(&mut self, sent: Moment) {
         if sent >= self.rewritten_at {
             self.config_proof.prove(sent);
         }
     }
 
-    fn take_changes(
+    fn apply_changes(
         &mut self,
         now: Moment,
         time: NamingTime,
         changes: Vec<FleetChange>,
-        is_whole: bool,
+        is_snapshot: bool,
     ) -> Vec<DirectEffect> {
         let mut effects = Vec::new();
         for change in changes {
-            if let (FleetChange::VersionNamed(model, version), false) = (&change, is_whole) {
-                let machines = self.near_machines();
+            if let (FleetChange::VersionNamed(model, version), false) = (&change, is_snapshot) {
+                let machines = self.local_engine_machines();
                 effects.push(DirectEffect::TellAgents(model.clone(), *version, machines));
             }
             if let FleetChange::Quarantined(digest) = &change {
                 effects.extend(self.quarantine_seen(now, *digest));
             }
-            self.apply(now, time, change);
+            self.apply_change(now, time, change);
         }
         effects
     }
 
-    /// Takes over what an older copy of the store tells: what is known to be newer stays.
-    fn take_older(
+    /// Applies a snapshot from an older copy of the store, without reverting what is known to be newer.
+    fn apply_older_copy(
         &mut self,
         now: Moment,
         time: NamingTime,
@@ -119,58 +121,61 @@
         for change in changes {
             match change {
                 FleetChange::Upstream(record) => {
-                    let is_served = self.is_served(&record);
+                    let is_served = self.is_service_configured(&record);
                     self.upstreams.register_older(now, record, is_served);
                 }
-                // Those that hold are remembered here, and others may have ended since.
+                // Quarantines in force are known here, and others in the copy may have ended since.
                 FleetChange::Quarantined(_) => {}
-                other => self.apply(now, time, other),
+                other => self.apply_change(now, time, other),
             }
         }
         self.keep_quarantines_again(now)
     }
 
-    /// Whether the configuration names an upstream's service, as far as there is one.
-    fn is_served(&self, record: &UpstreamRecord) -> bool {
+    /// Whether the configuration names an upstream's service; true as long as there is none.
+    fn is_service_configured(&self, record: &UpstreamRecord) -> bool {
         let document = self.document.as_ref();
         document.is_none_or(|document| document.service(&record.service).is_some())
     }
 
-    /// Tells agents near by of what was found at a start: it may have been named while no entry ran,
-    /// and the calls of agents may hang in a store that fell silent before.
-    fn tell_newest(&self) -> Vec<DirectEffect> {
-        let machines = self.near_machines();
+    /// Notifies local agents of the newest versions in a snapshot. A version may have been announced while no
+    /// entry was running, and the agents' calls may hang in a store that had stopped answering.
+    fn notify_agents_of_newest(&self) -> Vec<DirectEffect> {
+        let machines = self.local_engine_machines();
         let newest = self.versions.all_newest();
         newest
             .map(|(model, version)| DirectEffect::TellAgents(model, version, machines.clone()))
             .collect()
     }
 
-    /// The machines of this data centre's engines, beside which agents run.
+    /// Returns the machines of this data centre's engines; an agent runs on each of them.
     ///
-    /// An agent that the store turns away, or whose watch hangs, would hear of a version too late
-    /// to have it before the engine's older one may no longer be used.
-    fn near_machines(&self) -> Vec<IpAddr> {
+    /// An agent that the store refuses, or whose watch hangs, would learn of a version too late to
+    /// provide it before its engine's older version may no longer be used.
+    fn local_engine_machines(&self) -> Vec<IpAddr> {
         let ids = self.upstreams.ids();
         let records = ids.iter().filter_map(|id| Some(&self.upstreams.get(id)?.record));
-        let near = records.filter(|it| it.data_centre == self.settings.data_centre);
+        let local = records.filter(|record| record.data_centre == self.settings.data_centre);
         let is_engine = |service| {
             let profile = self.document.as_ref().and_then(|document| document.service(service));
             profile.is_some_and(|profile| profile.engine.is_some())
         };
-        near.filter(|it| is_engine(&it.service)).map(|it| it.address.ip()).collect()
+        local
+            .filter(|record| is_engine(&record.service))
+            .map(|record| record.address.ip())
+            .collect()
     }
 
-    fn forget_missing(&mut self, now: Moment, page: &FleetPage, returned: bool) {
+    fn expire_missing(&mut self, now: Moment, update: &FleetPage, is_restored: bool) {
         let mut present = FastSet::default();
-        if returned {
-            // Who is missing may have registered since the copy was made.
+        if is_restored {
+            // A missing entry may have registered after the copy was made.
             self.unconfirmed = self.peers.iter().map(|peer| peer.id.clone()).collect();
         } else {
             self.peers.drain(..).for_each(|peer| self.census.note(now, &peer.id));
         }
-        let cause = if returned { LapseCause::Return } else { LapseCause::Outage };
-        for change in &page.changes {
+        let cause = if is_restored { LapseCause::Return } else { LapseCause::Outage };
+        for change in &update.changes {
             if let FleetChange::Upstream(record) = change {
                 present.insert(record.id.clone());
             }
@@ -182,44 +187,44 @@
         }
     }
 
-    /// Until when an upstream that the store lists no more may be one that it forgot.
+    /// Returns the moment until which a missing registration may be one that the store has lost.
     pub(in crate::direct) fn return_limit(&self) -> Option<Moment> {
         self.contact.return_limit(self.settings.lapse_grace)
     }
 
-    /// Forgets upstreams that the store still lists no more after they had the time to be back.
+    /// Removes upstreams and peers that are still missing after they had the time to register again.
     pub(in crate::direct) fn settle_lapsed(&mut self, now: Moment) {
         if self.return_limit().is_none_or(|limit| self.proof.reaches(limit)) {
             self.upstreams.forget_lapsed(now);
             for id in std::mem::take(&mut self.unconfirmed) {
-                self.forget_peer(now, &id);
+                self.remove_peer(now, &id);
             }
         }
     }
 
-    fn forget_peer(&mut self, now: Moment, id: &InstanceId) {
+    fn remove_peer(&mut self, now: Moment, id: &InstanceId) {
         self.census.note(now, id);
         self.peers.retain(|peer| peer.id != *id);
         self.upstreams.heard.forget(id);
     }
 
-    fn apply(&mut self, now: Moment, time: NamingTime, change: FleetChange) {
+    fn apply_change(&mut self, now: Moment, time: NamingTime, change: FleetChange) {
         match change {
             FleetChange::Configured(document) => {
                 let current = self.document.as_ref().map(|document| document.generation);
-                let newer = current.is_none_or(|generation| document.generation > generation);
+                let is_newer = current.is_none_or(|generation| document.generation > generation);
                 info!(
                     "config generation={} before={} outcome={}",
                     document.generation,
                     current.unwrap_or_default(),
-                    if newer { "applied" } else { "kept" }
+                    if is_newer { "applied" } else { "kept" }
                 );
-                if newer {
+                if is_newer {
                     self.document = Some(document);
                 }
             }
             FleetChange::Upstream(record) => {
-                let is_served = self.is_served(&record);
+                let is_served = self.is_service_configured(&record);
                 self.upstreams.register(now, record, is_served);
             }
             FleetChange::UpstreamVoid(id) => self.upstreams.void(&id),
@@ -229,7 +234,7 @@
             FleetChange::VersionNamed(model, version) => {
                 self.version_named(now, &model, version, time);
             }
-            // Its effects are those of the page.
+            // Handled in `apply_changes`, which collects the effects.
             FleetChange::Quarantined(_) => {}
             FleetChange::Peer(record) => {
                 if record.id != self.settings.own {
@@ -238,20 +243,20 @@
                     self.peers.push(record);
                 }
             }
-            FleetChange::PeerGone(id) => self.forget_peer(now, &id),
+            FleetChange::PeerGone(id) => self.remove_peer(now, &id),
         }
     }
 
-    /// Notes that the store does not answer: whoever waits for it waits no longer.
+    /// Records that the store does not answer, and releases the requests that are held for its answer.
     pub(in crate::direct) fn store_failed(&mut self, now: Moment) -> Vec<DirectEffect> {
         if !self.store_away {
-            warn!("dependency=store outcome=lost proof_age={}", age_text(&self.proof, now));
+            warn!("dependency=store outcome=lost proof_age={}", format_age(&self.proof, now));
         }
         self.store_away = true;
         self.release_all_held(now)
     }
 }
 
-fn age_text(proof: &ProofClock, now: Moment) -> String {
+fn format_age(proof: &ProofClock, now: Moment) -> String {
     proof.age(now).map_or("none".into(), |age| age.to_string())
 }
--- a/mustardrill_core/src/direct/store/watch_pace.rs
+++ b/mustardrill_core/src/direct/store/watch_pace.rs
@@ -1,88 +1,89 @@
-//! How long an entry lets a watch of the store wait, and when it takes the store for lost.
+//! Chooses how long a watch of the store may wait, and when the store is considered unavailable.
 //!
-//! Load pattern: a connection to the store falls silent, or the store is away for a moment. A watch
-//! tells only at its end that nothing comes any more, and a leaving upstream that it would have told
-//! of is sent requests until then; after the store's return one of the usual length tells as late
-//! that it is away again.
+//! A connection to the store may go silent, or the store may be unavailable for a moment. A watch
+//! detects that only at its end, and until then requests are sent to an upstream that is shutting down
+//! and that the watch would have reported. After the store is back, a watch of the usual length would
+//! be as slow to detect the next outage.
 
 use mustardrill_types::{Millis, Moment};
 
-/// How long the store may say nothing beside what a watch waits, while it answers otherwise.
-const CALM_PATIENCE: Millis = Millis(500);
+/// Answer timeout beyond the wait of a watch while the store answers.
+const STEADY_ANSWER_TIMEOUT: Millis = Millis(500);
 
-/// How long it may say nothing after a call failed: it, or the link to it, may be slow. The store's
-/// return is noticed so much later at most, and what it forgot is kept from then on.
-const FAILED_PATIENCE: Millis = Millis(600);
+/// Answer timeout after a failed call, as the store or the link to it may be slow. The return of the
+/// store is noticed later by at most this time, and lost registrations are kept from that moment on.
+const RECOVERY_ANSWER_TIMEOUT: Millis = Millis(600);
 
-/// How long a watch of an agent's may last beside its wait.
-const PATIENCE: Millis = Millis(1_000);
+/// Answer timeout beyond the wait of a watch by an agent.
+const AGENT_ANSWER_TIMEOUT: Millis = Millis(1_000);
 
-/// How long a watch waits after the store's return, until upstreams that it may have forgotten are
-/// back or are known to have left.
-const RETURN_WAIT: Millis = Millis(500);
+/// Longest wait of a watch after the store is back, until upstreams whose registration it may have
+/// lost have registered again or are known to have shut down.
+const RECOVERY_WAIT: Millis = Millis(500);
 
-/// The time that a watch may take.
+/// The timing of one watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchSpan {
     /// How long the store is asked to wait for a change.
     pub wait: Millis,
-    /// How long it may say nothing beside that.
+    /// How long the store may take for its answer beyond that.
     pub patience: Millis,
 }
 
-/// What the last calls to the store tell.
+/// Chooses the timing of watches from the results of the last calls to the store.
 #[derive(Debug, Default)]
 pub struct WatchPace {
-    failed: bool,
-    back: Option<Moment>,
+    has_failed: bool,
+    back_since: Option<Moment>,
 }
 
 impl WatchSpan {
-    /// A watch of `wait` for a reader that others tell of what is urgent.
+    /// Timing for a reader that learns of urgent changes from others, such as an agent.
     pub fn patient(wait: Millis) -> Self {
-        Self { wait, patience: PATIENCE }
+        Self { wait, patience: AGENT_ANSWER_TIMEOUT }
     }
 
-    /// After so long without an answer the call has failed.
+    /// Returns the time after which a call without an answer has failed.
     pub fn timeout(&self) -> Millis {
         Millis(self.wait.0 + self.patience.0)
     }
 }
 
 impl WatchPace {
-    /// Notes that a call was not answered.
+    /// Records that a call got no answer.
     pub fn failed(&mut self) {
-        self.failed = true;
+        self.has_failed = true;
     }
 
-    /// Notes an answer that came at `now`; says whether it is the first after a failure.
+    /// Records an answer received at `now`; returns whether it is the first one after a failure.
     pub fn answered(&mut self, now: Moment) -> bool {
-        let is_back = std::mem::take(&mut self.failed);
+        let is_back = std::mem::take(&mut self.has_failed);
         if is_back {
-            self.back = Some(now);
+            self.back_since = Some(now);
         }
         is_back
     }
 
-    /// Notes that the store has come back from an older copy, at `moment` at the earliest.
+    /// Records that the store was restored from an older copy, at `moment` at the earliest.
     pub fn returned(&mut self, moment: Moment) {
-        self.back = self.back.max(Some(moment));
+        self.back_since = self.back_since.max(Some(moment));
     }
 
-    /// The time of the next watch where one waits for `usual` in calm times, and what the store may
-    /// have forgotten is kept for `grace` after its return. The store is read once more right then.
+    /// Returns the timing of the next watch. `usual` is the wait while the store is available, and
+    /// `grace` the time for which lost registrations are kept after the store is back. A watch ends
+    /// exactly when that time is over, so that the store is read once more at that moment.
     pub fn span(&mut self, now: Moment, usual: Millis, grace: Millis) -> WatchSpan {
-        if self.failed {
-            return WatchSpan { wait: Millis(0), patience: FAILED_PATIENCE };
+        if self.has_failed {
+            return WatchSpan { wait: Millis(0), patience: RECOVERY_ANSWER_TIMEOUT };
         }
-        let Some(back) = self.back else {
-            return WatchSpan { wait: usual, patience: CALM_PATIENCE };
+        let Some(back) = self.back_since else {
+            return WatchSpan { wait: usual, patience: STEADY_ANSWER_TIMEOUT };
         };
-        let left = (back + grace).since(now);
-        if left == Millis(0) {
-            self.back = None;
+        let remaining = (back + grace).since(now);
+        if remaining == Millis(0) {
+            self.back_since = None;
         }
-        let wait = usual.min(RETURN_WAIT).min(left);
-        WatchSpan { wait, patience: FAILED_PATIENCE }
+        let wait = usual.min(RECOVERY_WAIT).min(remaining);
+        WatchSpan { wait, patience: RECOVERY_ANSWER_TIMEOUT }
     }
 }
--- a/mustardrill_core/tests/rebirth.rs
+++ b/mustardrill_core/tests/rebirth.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the id that they had, and registrations of other writers.
+//! Upstreams that restart under the same id, and registrations written by others.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -57,19 +57,23 @@
     }
 }
 
-fn page(changes: Vec<FleetChange>) -> FleetPage {
+fn fleet_update(changes: Vec<FleetChange>) -> FleetPage {
     FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() }
 }
 
-fn told(reducer: &mut DirectReducer, now: Moment, change: FleetChange) -> Vec<DirectEffect> {
-    reducer.reduce(now, DirectEvent::Fleet(page(vec![change]), now))
+fn apply_change(
+    reducer: &mut DirectReducer,
+    now: Moment,
+    change: FleetChange,
+) -> Vec<DirectEffect> {
+    reducer.reduce(now, DirectEvent::Fleet(fleet_update(vec![change]), now))
 }
 
-/// An entry that knows the configuration and one upstream.
+/// An entry that has the configuration and one upstream.
 fn entry(record: UpstreamRecord) -> DirectReducer {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = vec![FleetChange::Configured(document()), FleetChange::Upstream(record)];
-    reducer.reduce(START, DirectEvent::Fleet(page(changes), START));
+    reducer.reduce(START, DirectEvent::Fleet(fleet_update(changes), START));
     reducer
 }
 
@@ -84,30 +88,31 @@
 }
 
 #[test]
-fn a_restart_under_its_old_id_serves_nothing_of_before() {
+fn an_upstream_restarted_under_its_id_is_not_sent_requests_for_its_former_weights() {
     let mut reducer = entry(record("u1", 10, 1));
     assert!(is_sent(&arrive(&mut reducer, START, 1)));
-    told(&mut reducer, START + Millis(10), FleetChange::Upstream(record("u1", 20, 0)));
-    assert!(!is_sent(&arrive(&mut reducer, START + Millis(20), 2)), "it holds no weights now");
+    apply_change(&mut reducer, START + Millis(10), FleetChange::Upstream(record("u1", 20, 0)));
+    assert!(!is_sent(&arrive(&mut reducer, START + Millis(20), 2)), "it has no weights now");
 }
 
 #[test]
-fn an_earlier_start_that_is_told_late_replaces_nothing() {
+fn a_delayed_registration_of_an_earlier_incarnation_is_ignored() {
     let mut reducer = entry(record("u1", 20, 1));
-    told(&mut reducer, START + Millis(10), FleetChange::Upstream(record("u1", 10, 0)));
+    apply_change(&mut reducer, START + Millis(10), FleetChange::Upstream(record("u1", 10, 0)));
     assert!(is_sent(&arrive(&mut reducer, START + Millis(20), 1)));
 }
 
 #[test]
-fn what_an_earlier_start_was_sent_is_not_counted_at_the_later_one() {
+fn requests_of_an_earlier_incarnation_are_not_counted_for_the_later_one() {
     let mut reducer = entry(record("u1", 10, 1));
     for number in 0..4 {
         arrive(&mut reducer, START, number);
     }
-    told(&mut reducer, START + Millis(10), FleetChange::Upstream(record("u1", 20, 1)));
+    apply_change(&mut reducer, START + Millis(10), FleetChange::Upstream(record("u1", 20, 1)));
     assert!(reducer.outstanding().is_empty());
     assert!(is_sent(&arrive(&mut reducer, START + Millis(20), 9)));
-    // Requests of before fail now. They neither free places of the later start nor speak ill of it.
+    // The earlier requests fail now. They neither free capacity of the later incarnation nor count as
+    // its failures.
     for number in 0..4 {
         let lost = AttemptOutcome::Lost { delivered: false, crashed: false };
         reducer.reduce(START + Millis(30), DirectEvent::Ended(RequestNumber(number), lost));
@@ -119,42 +124,42 @@
 }
 
 #[test]
-fn what_stands_in_a_registrations_place_names_nobody_to_send_to() {
+fn an_invalid_registration_removes_the_upstream_until_it_registers_again() {
     let mut reducer = entry(record("u1", 10, 1));
-    let void = FleetChange::UpstreamVoid("u1".parse().unwrap());
-    told(&mut reducer, START, void);
+    let invalid = FleetChange::UpstreamVoid("u1".parse().unwrap());
+    apply_change(&mut reducer, START, invalid);
     assert!(!is_sent(&arrive(&mut reducer, START, 1)));
-    told(&mut reducer, START, FleetChange::Upstream(record("u1", 10, 1)));
-    assert!(is_sent(&arrive(&mut reducer, START, 2)), "its own next word lists it again");
+    apply_change(&mut reducer, START, FleetChange::Upstream(record("u1", 10, 1)));
+    assert!(is_sent(&arrive(&mut reducer, START, 2)), "its next registration lists it again");
 }
 
 #[test]
-fn a_registration_for_a_service_that_nobody_configured_takes_no_address() {
+fn a_registration_for_an_unconfigured_service_does_not_take_over_an_address() {
     let mut reducer = entry(record("u1", 10, 1));
-    let foreign = UpstreamRecord { service: "nobody".parse().unwrap(), ..record("x", 10, 1) };
-    told(&mut reducer, START, FleetChange::Upstream(foreign));
+    let unconfigured = UpstreamRecord { service: "nobody".parse().unwrap(), ..record("x", 10, 1) };
+    apply_change(&mut reducer, START, FleetChange::Upstream(unconfigured));
     assert!(is_sent(&arrive(&mut reducer, START, 1)));
 }
 
 #[test]
-fn a_registration_that_moves_to_another_service_is_not_sent_to_for_the_first_one() {
+fn an_upstream_that_moved_to_another_service_gets_no_requests_for_the_former_one() {
     let mut reducer = entry(record("u1", 10, 1));
     let moved = UpstreamRecord { service: "other".parse().unwrap(), ..record("u1", 10, 1) };
-    told(&mut reducer, START, FleetChange::Upstream(moved));
+    apply_change(&mut reducer, START, FleetChange::Upstream(moved));
     assert!(!is_sent(&arrive(&mut reducer, START, 1)));
 }
 
-/// An agent whose engine has taken the order to load version 2.
-fn agent_after_its_order() -> (StockReducer, Moment) {
+/// An agent whose engine has accepted the order to load version 2.
+fn agent_with_accepted_order() -> (StockReducer, Moment) {
     let mut reducer = StockReducer::new(common::stock_settings(), 3);
     let changes = vec![FleetChange::Configured(document())];
-    let whole = FleetPage { changes, at: StoreRevision(1), whole: true, ..FleetPage::default() };
-    reducer.reduce(START, StockEvent::Fleet(whole));
+    let snapshot = FleetPage { changes, at: StoreRevision(1), whole: true, ..FleetPage::default() };
+    reducer.reduce(START, StockEvent::Fleet(snapshot));
     reducer.reduce(START, engine(5, 1, 0));
     let model: mustardrill_types::ModelName = "m".parse().unwrap();
     let named = FleetChange::VersionNamed(model.clone(), WeightVersion(2));
-    reducer.reduce(START, StockEvent::Fleet(page(vec![named])));
-    let mut effects = reducer.reduce(START, StockEvent::ListSeen(version(), Some(list())));
+    reducer.reduce(START, StockEvent::Fleet(fleet_update(vec![named])));
+    let mut effects = reducer.reduce(START, StockEvent::ListSeen(version(), Some(manifest())));
     let mut now = START;
     for _ in 0..200 {
         now = now + Millis(100);
@@ -178,14 +183,14 @@
         next.extend(reducer.reduce(now, StockEvent::Woke));
         effects = next;
     }
-    panic!("no order was given");
+    panic!("no order was sent within 20 s");
 }
 
 fn version() -> VersionId {
     VersionId { model: "m".parse().unwrap(), version: WeightVersion(2) }
 }
 
-fn list() -> Arc<Manifest> {
+fn manifest() -> Arc<Manifest> {
     Arc::new(Manifest {
         model: "m".parse().unwrap(),
         version: "2".parse().unwrap(),
@@ -203,26 +208,26 @@
 }
 
 #[test]
-fn an_engine_that_starts_again_while_it_loads_is_ordered_again_at_once() {
-    let (mut reducer, now) = agent_after_its_order();
+fn an_engine_that_restarts_while_it_loads_gets_a_new_order_at_once() {
+    let (mut reducer, now) = agent_with_accepted_order();
     reducer.reduce(now + Millis(50), StockEvent::EngineSeen(None));
-    // Its count of orders stands as before: only its start tells that it knows of none.
+    // Its sequence of orders is unchanged; only its start stamp shows that it has no order.
     let effects = reducer.reduce(now + Millis(100), engine(9, 0, 0));
     assert!(
         effects.iter().any(|effect| matches!(effect, StockEffect::ReadBack(_))),
-        "the staged chunks are looked at for a new order: {effects:?}"
+        "the staged chunks are read back for a new order: {effects:?}"
     );
 }
 
-/// An agent that has just started, beside an engine that does not answer yet, with version 1 drawn.
-fn agent_before_its_engine() -> StockReducer {
+/// An agent that has just started and has fetched version 1, while its engine does not answer yet.
+fn agent_without_engine() -> StockReducer {
     let mut reducer = StockReducer::new(common::stock_settings(), 3);
     reducer.reduce(START, StockEvent::EngineSeen(None));
     let changes = vec![FleetChange::Configured(document())];
-    let whole = FleetPage { changes, at: StoreRevision(1), whole: true, ..FleetPage::default() };
-    reducer.reduce(START, StockEvent::Fleet(whole));
+    let snapshot = FleetPage { changes, at: StoreRevision(1), whole: true, ..FleetPage::default() };
+    reducer.reduce(START, StockEvent::Fleet(snapshot));
     let first = VersionId { version: WeightVersion(1), ..version() };
-    let mut effects = reducer.reduce(START, StockEvent::ListSeen(first, Some(list())));
+    let mut effects = reducer.reduce(START, StockEvent::ListSeen(first, Some(manifest())));
     for step in 1..100 {
         let now = START + Millis(step * 10);
         for effect in std::mem::take(&mut effects) {
@@ -231,35 +236,38 @@
                 StockEvent::DrawEnded(version, draw.index, draw.source, DrawOutcome::Verified);
             effects.extend(reducer.reduce(now, ended));
         }
-        let woke = reducer.reduce(now, StockEvent::Woke);
-        assert!(!woke.iter().any(|it| matches!(it, StockEffect::ReadBack(_))), "{woke:?}");
-        effects.extend(woke);
+        let wake_effects = reducer.reduce(now, StockEvent::Woke);
+        assert!(
+            !wake_effects.iter().any(|it| matches!(it, StockEffect::ReadBack(_))),
+            "{wake_effects:?}"
+        );
+        effects.extend(wake_effects);
     }
-    assert_eq!(reducer.status().held, 2, "chunks are drawn before the engine answers");
+    assert_eq!(reducer.status().held, 2, "chunks are fetched before the engine answers");
     reducer
 }
 
-/// An added engine answers a second after its agent has started: half of a copy's time.
+/// An added engine answers one second after its agent has started, which is half the time of a copy.
 #[test]
-fn an_agent_draws_while_its_engine_starts() {
-    let mut reducer = agent_before_its_engine();
+fn an_agent_fetches_chunks_while_its_engine_starts() {
+    let mut reducer = agent_without_engine();
     let effects = reducer.reduce(START + Millis(1_000), engine(5, 0, 0));
     assert!(
         effects.iter().any(|it| matches!(it, StockEffect::ReadBack(_))),
-        "the staged chunks are looked at for the order: {effects:?}"
+        "the staged chunks are read back for the order: {effects:?}"
     );
 }
 
 #[test]
-fn an_engine_that_turns_out_to_have_run_for_longer_is_looked_at_first() {
-    let mut reducer = agent_before_its_engine();
+fn an_engine_that_was_running_before_its_agent_gets_no_order_for_weights_that_it_serves() {
+    let mut reducer = agent_without_engine();
     let effects = reducer.reduce(START + Millis(1_000), engine(5, 1, 3));
     assert!(!effects.iter().any(|it| matches!(it, StockEffect::ReadBack(_))), "{effects:?}");
-    assert!(reducer.status().serving, "it serves what was drawn for it");
+    assert!(reducer.status().serving, "it already serves the fetched version");
 }
 
 #[test]
-fn a_peer_stays_whose_earlier_registration_ends_after_its_restart() {
+fn a_restarted_peer_stays_when_its_former_registration_ends() {
     let mut reducer = StockReducer::new(common::stock_settings(), 3);
     let peer = |id| UpstreamRecord {
         address: SocketAddr::from(([10, 0, 0, 7], 8_001)),
@@ -271,30 +279,30 @@
         FleetChange::Upstream(peer("new")),
         FleetChange::UpstreamGone("old".parse().unwrap()),
     ];
-    reducer.reduce(START, StockEvent::Fleet(page(changes)));
+    reducer.reduce(START, StockEvent::Fleet(fleet_update(changes)));
     reducer.reduce(START, engine(5, 1, 0));
     let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
-    let effects = reducer.reduce(START, StockEvent::Fleet(page(vec![named])));
+    let effects = reducer.reduce(START, StockEvent::Fleet(fleet_update(vec![named])));
     let sources = effects.iter().find_map(|effect| match effect {
         StockEffect::FetchList(_, sources) => Some(sources.clone()),
         _ => None,
     });
-    let sources = sources.expect("a list is asked for");
+    let sources = sources.expect("a manifest is requested");
     assert!(sources.contains(&WeightSource::Peer("10.0.0.7".parse().unwrap())), "{sources:?}");
 }
 
-/// One thing that happens to an upstream's registration.
+/// Registrations of one upstream as start stamp, version and whether the registration is invalid.
 fn history() -> impl Strategy<Value = Vec<(u64, u64, bool)>> {
     prop::collection::vec((1..6u64, 0..3u64, any::<bool>()), 1..30)
 }
 
 proptest! {
     #[test]
-    fn whatever_comes_in_whatever_order_the_latest_start_is_believed(history in history()) {
+    fn the_latest_incarnation_wins_over_registrations_in_any_order(history in history()) {
         let mut reducer = entry(record("u1", 0, 1));
         let mut latest = (0, 1);
-        for (start, version, is_void) in history {
-            let change = if is_void {
+        for (start, version, is_invalid) in history {
+            let change = if is_invalid {
                 latest = (0, 0);
                 FleetChange::UpstreamVoid("u1".parse().unwrap())
             } else {
@@ -303,7 +311,7 @@
                 }
                 FleetChange::Upstream(record("u1", start, version))
             };
-            told(&mut reducer, START, change);
+            apply_change(&mut reducer, START, change);
         }
         let sent = is_sent(&arrive(&mut reducer, START, 1));
         prop_assert_eq!(sent, latest.1 > 0);
@@ -311,10 +319,10 @@
 }
 
 #[test]
-fn a_lost_answer_of_an_earlier_start_still_ends_its_request() {
+fn a_lost_answer_of_an_earlier_incarnation_still_ends_its_request() {
     let mut reducer = entry(record("u1", 10, 1));
     arrive(&mut reducer, START, 1);
-    told(&mut reducer, START + Millis(10), FleetChange::Upstream(record("u1", 20, 0)));
+    apply_change(&mut reducer, START + Millis(10), FleetChange::Upstream(record("u1", 20, 0)));
     let lost = AttemptOutcome::Lost { delivered: false, crashed: false };
     let ended = DirectEvent::Ended(RequestNumber(1), lost);
     let effects = reducer.reduce(START + Millis(20), ended);
--- a/mustardrill_core/tests/tellings.rs
+++ b/mustardrill_core/tests/tellings.rs
@@ -1,4 +1,5 @@
-//! What an entry tells the others of its load: rises soon, the rest seldom, nothing twice.
+//! Load updates between entries: increases are sent at once, decreases after a delay, unchanged loads
+//! only in snapshots.
 
 use mustardrill_core::direct::{LoadNews, LoadRows, LoadTeller, UpstreamLoad};
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment};
@@ -12,71 +13,75 @@
 }
 
 #[test]
-fn a_rise_is_told_at_once_and_a_fall_a_little_later() {
-    let mut teller = LoadTeller::default();
-    assert!(teller.next(START, rows(&[("u1", 1)]), Vec::new()).unwrap().whole, "all at first");
+fn increases_are_sent_at_once_and_decreases_after_a_delay() {
+    let mut broadcaster = LoadTeller::default();
+    assert!(
+        broadcaster.next(START, rows(&[("u1", 1)]), Vec::new()).unwrap().whole,
+        "the first update is a snapshot"
+    );
     assert_eq!(
-        teller.next(START + Millis(10), rows(&[("u1", 1)]), Vec::new()),
+        broadcaster.next(START + Millis(10), rows(&[("u1", 1)]), Vec::new()),
         None,
-        "nothing is new"
+        "nothing has changed"
     );
-    let news = teller.next(START + Millis(20), rows(&[("u1", 1), ("u2", 1)]), Vec::new()).unwrap();
-    assert_eq!((news.rows, news.whole), (rows(&[("u2", 1)]), false));
-    let fallen = rows(&[("u2", 1)]);
-    assert_eq!(teller.next(START + Millis(30), fallen.clone(), Vec::new()), None);
-    let news = teller.next(START + Millis(70), fallen.clone(), Vec::new()).unwrap();
-    assert_eq!(news.rows, rows(&[("u1", 0)]));
+    let update =
+        broadcaster.next(START + Millis(20), rows(&[("u1", 1), ("u2", 1)]), Vec::new()).unwrap();
+    assert_eq!((update.rows, update.whole), (rows(&[("u2", 1)]), false));
+    let decreased = rows(&[("u2", 1)]);
+    assert_eq!(broadcaster.next(START + Millis(30), decreased.clone(), Vec::new()), None);
+    let update = broadcaster.next(START + Millis(70), decreased.clone(), Vec::new()).unwrap();
+    assert_eq!(update.rows, rows(&[("u1", 0)]));
     assert!(
-        teller.next(START + Millis(600), fallen, Vec::new()).unwrap().whole,
-        "a lost word is mended"
+        broadcaster.next(START + Millis(600), decreased, Vec::new()).unwrap().whole,
+        "a snapshot makes up for a lost update"
     );
 }
 
-/// Told in one datagram of more than 1,400 bytes, the load of 70 engines was cut and not heard.
+/// The load of 70 engines in one datagram exceeded 1,400 bytes; it was truncated and not received.
 #[test]
-fn the_load_of_many_upstreams_is_told_in_parts() {
-    let ids: Vec<_> = (0..120).map(|place| format!("u{place}")).collect();
+fn a_load_update_with_many_upstreams_is_split_into_parts() {
+    let ids: Vec<_> = (0..120).map(|number| format!("u{number}")).collect();
     let all = rows(&ids.iter().map(|id| (id.as_str(), 1)).collect::<Vec<_>>());
-    let news = LoadNews { rows: all.clone(), whole: true, waiting: Vec::new() };
-    let parts = news.parts(50);
+    let update = LoadNews { rows: all.clone(), whole: true, waiting: Vec::new() };
+    let parts = update.parts(50);
     assert_eq!(parts.iter().map(|part| part.whole).collect::<Vec<_>>(), [true, false, false]);
     assert_eq!(parts.into_iter().flat_map(|part| part.rows).collect::<LoadRows>(), all);
-    let nothing = LoadNews { rows: Vec::new(), whole: true, waiting: Vec::new() };
-    assert_eq!(nothing.clone().parts(50), [nothing], "absence is told, too");
+    let empty = LoadNews { rows: Vec::new(), whole: true, waiting: Vec::new() };
+    assert_eq!(empty.clone().parts(50), [empty], "an empty snapshot is sent, too");
 }
 
 proptest! {
-    /// Whoever merges what is told knows the load as it was some moments ago.
+    /// A peer that merges all updates knows the load as it was when the last one was sent.
     #[test]
-    fn what_is_told_adds_up(history in prop::collection::vec((0..4usize, 0..5u32), 1..200)) {
-        let mut teller = LoadTeller::default();
+    fn merged_updates_add_up_to_the_sent_load(history in prop::collection::vec((0..4usize, 0..5u32), 1..200)) {
+        let mut broadcaster = LoadTeller::default();
         let mut load: FastMap<InstanceId, UpstreamLoad> = FastMap::default();
-        let mut believed: FastMap<InstanceId, UpstreamLoad> = FastMap::default();
+        let mut received: FastMap<InstanceId, UpstreamLoad> = FastMap::default();
         let mut now = START;
         for (upstream, requests) in history {
             now = now + Millis(10);
             let id: InstanceId = format!("u{upstream}").parse().unwrap();
             load.insert(id, UpstreamLoad { requests, reading: Millis(0) });
-            merge(&mut believed, &mut teller, now, &load);
+            send_and_merge(&mut received, &mut broadcaster, now, &load);
         }
-        merge(&mut believed, &mut teller, now + Millis(60), &load);
-        believed.retain(|_, load| load.requests > 0);
+        send_and_merge(&mut received, &mut broadcaster, now + Millis(60), &load);
+        received.retain(|_, load| load.requests > 0);
         load.retain(|_, load| load.requests > 0);
-        prop_assert_eq!(believed, load);
+        prop_assert_eq!(received, load);
     }
 }
 
-fn merge(
-    believed: &mut FastMap<InstanceId, UpstreamLoad>,
-    teller: &mut LoadTeller,
+fn send_and_merge(
+    received: &mut FastMap<InstanceId, UpstreamLoad>,
+    broadcaster: &mut LoadTeller,
     now: Moment,
     load: &FastMap<InstanceId, UpstreamLoad>,
 ) {
     let present = load.iter().filter(|(_, load)| load.requests > 0);
     let rows = present.map(|(id, load)| (id.clone(), *load)).collect();
-    let Some(news) = teller.next(now, rows, Vec::new()) else { return };
-    if news.whole {
-        believed.clear();
+    let Some(update) = broadcaster.next(now, rows, Vec::new()) else { return };
+    if update.whole {
+        received.clear();
     }
-    believed.extend(news.rows);
+    received.extend(update.rows);
 }
