--- a/mustardrill_agent/src/stock/fleet.rs
+++ b/mustardrill_agent/src/stock/fleet.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use hyper::StatusCode;
 use log::info;
-use mustardrill_core::direct::{FleetChange, FleetPage, PeerRecord};
+use mustardrill_core::direct::{FleetChange, FleetUpdate, PeerRecord};
 use mustardrill_core::relays::{RelayItem, RelayTable};
 use mustardrill_runtime::border::{FleetPart, StoreError};
 use mustardrill_runtime::fleet_digest::FleetDigest;
@@ -33,7 +33,7 @@
 const DIGEST_LIMIT: usize = 4 << 20;
 
 /// What an entry of the agent's data centre tells of the fleet; nothing where none can.
-pub(crate) async fn read(context: &StockContext) -> Option<FleetPage> {
+pub(crate) async fn read(context: &StockContext) -> Option<FleetUpdate> {
     for round in 0..ROUNDS {
         if round > 0 {
             tokio::time::sleep(ROUND_PAUSE).await;
@@ -53,7 +53,7 @@
 }
 
 /// What one of the entries known from before tells of the fleet; nothing where none can.
-pub(crate) async fn ask_known(context: &StockContext) -> Option<FleetPage> {
+pub(crate) async fn ask_known(context: &StockContext) -> Option<FleetUpdate> {
     let known = context.entries.lock().await.known().to_vec();
     let page = ask_entry(context, known, 0).await?;
     note_entries(context, &page).await;
@@ -86,12 +86,12 @@
     context.entries.lock().await.is_due(now)
 }
 
-async fn note_entries(context: &StockContext, page: &FleetPage) {
+async fn note_entries(context: &StockContext, page: &FleetUpdate) {
     let now = context.clock.now();
     context.entries.lock().await.note(now, entries_of(page));
 }
 
-fn entries_of(page: &FleetPage) -> Vec<PeerRecord> {
+fn entries_of(page: &FleetUpdate) -> Vec<PeerRecord> {
     let peers = page.changes.iter().filter_map(|change| match change {
         FleetChange::Peer(peer) => Some(peer.clone()),
         _ => None,
@@ -103,7 +103,7 @@
     context: &StockContext,
     entries: Vec<PeerRecord>,
     round: u32,
-) -> Option<FleetPage> {
+) -> Option<FleetUpdate> {
     let (centre, service) = (&context.config.stock.data_centre, &context.config.stock.service);
     let mut table = RelayTable::default();
     table.set(entries);
@@ -126,7 +126,7 @@
         }
     };
     if let Some(page) = &page {
-        info!("fleet outcome=read source={} revision={}", entry.id, page.at);
+        info!("fleet outcome=read source={} revision={}", entry.id, page.revision);
     }
     page
 }
--- a/mustardrill_agent/src/stock/watch.rs
+++ b/mustardrill_agent/src/stock/watch.rs
@@ -5,7 +5,7 @@
 
 use kameo::prelude::*;
 use log::{info, warn};
-use mustardrill_core::direct::{CursorVerdict, FleetChange, StoreCursor, WatchSpan};
+use mustardrill_core::direct::{CursorVerdict, FleetChange, StoreCursor, WatchTiming};
 use mustardrill_core::stock::{EngineView, StockEvent};
 use mustardrill_runtime::backoff::RetryBackoff;
 use mustardrill_runtime::border::{EngineState, FleetPart, FleetScope, StoreError};
@@ -45,7 +45,7 @@
     loop {
         let read = match cursor.revision() {
             Some(revision) => {
-                let span = WatchSpan::patient(context.config.watch);
+                let span = WatchTiming::for_agent(context.config.watch);
                 source.read_changes(scope, revision, span).await
             }
             // A whole reading by each agent, with a configuration of which it needs some lines, fills
--- a/mustardrill_agent/tests/words.rs
+++ b/mustardrill_agent/tests/words.rs
@@ -10,8 +10,8 @@
 use log::LevelFilter;
 use mustardrill_agent::stock::{self, StockBorders, StockConfig};
 use mustardrill_core::direct::{
-    CallerLimits, EngineProfile, EngineWord, FleetChange, FleetPage, ModelProfile, PeerRecord,
-    RouteDocument, ServedWeights, ServiceProfile, WatchSpan,
+    CallerLimits, EngineProfile, EngineWord, FleetChange, FleetUpdate, ModelProfile, PeerRecord,
+    RouteDocument, ServedWeights, ServiceProfile, WatchTiming,
 };
 use mustardrill_core::stock::{StockSettings, TurnSettings};
 use mustardrill_core::transfer::TransferSettings;
@@ -63,8 +63,8 @@
     Arc::new(RouteDocument::new(Generation(1), Vec::new(), services, Vec::new(), limits))
 }
 
-fn page(changes: Vec<FleetChange>, whole: bool) -> FleetPage {
-    FleetPage { changes, at: StoreRevision(1), whole, ..FleetPage::default() }
+fn page(changes: Vec<FleetChange>, is_snapshot: bool) -> FleetUpdate {
+    FleetUpdate { changes, revision: StoreRevision(1), is_snapshot, ..FleetUpdate::default() }
 }
 
 fn away<T>() -> Result<T, StoreError> {
@@ -72,14 +72,14 @@
 }
 
 impl FleetSource for SlowStore {
-    fn read_all(&self) -> BoxFuture<'_, Result<FleetPage, StoreError>> {
+    fn read_all(&self) -> BoxFuture<'_, Result<FleetUpdate, StoreError>> {
         Box::pin(async move {
             self.read.store(true, Ordering::SeqCst);
             Ok(page(vec![FleetChange::Configured(document()), self.peer()], true))
         })
     }
 
-    fn read_part(&self, _: FleetPart) -> BoxFuture<'_, Result<FleetPage, StoreError>> {
+    fn read_part(&self, _: FleetPart) -> BoxFuture<'_, Result<FleetUpdate, StoreError>> {
         Box::pin(async move {
             if !self.read.load(Ordering::SeqCst) {
                 return away();
@@ -95,8 +95,8 @@
         &self,
         _: FleetScope,
         _: StoreRevision,
-        _: WatchSpan,
-    ) -> BoxFuture<'_, Result<FleetPage, StoreError>> {
+        _: WatchTiming,
+    ) -> BoxFuture<'_, Result<FleetUpdate, StoreError>> {
         Box::pin(std::future::pending())
     }
 
--- a/mustardrill_core/src/direct/dispatch.rs
+++ b/mustardrill_core/src/direct/dispatch.rs
@@ -46,7 +46,7 @@
         // Once a version has replaced others the one believed is demanded, should the belief be wrong.
         let pinned = state.pinned.or_else(|| {
             let floor = self.floor(now, state, target)?;
-            let believed = target.version_of(state.model.as_ref()?)?;
+            let believed = target.served_version(state.model.as_ref()?)?;
             (floor.0 > 1).then_some(believed)
         });
         let weights = self.weights_at(state, &upstream);
@@ -72,7 +72,7 @@
             state.attempt,
             now.since(state.arrived),
             state.tried.len() + 1,
-            self.upstreams.present(&upstream).requests,
+            self.upstreams.total_load(&upstream).requests,
             plan.pinned.map_or(0, |version| version.0),
             target.evidence(now, self.proof.age(now).unwrap_or_default()),
             state.digest,
@@ -88,7 +88,7 @@
         }
         let reading = self.reading_time(state);
         let start = target.start();
-        self.upstreams.sent(&start, reading);
+        self.upstreams.record_sent(&start, reading);
         if let Some(state) = self.requests.get_mut(&number) {
             state.reading = reading;
             state.begun = false;
@@ -112,11 +112,11 @@
         self.attempt_begun(now, number, version);
         let Some(state) = self.requests.get_mut(&number) else { return };
         let RequestStage::Sent(upstream) = state.stage.clone() else { return };
-        self.upstreams.read(&upstream, std::mem::take(&mut state.reading));
+        self.upstreams.record_prefill_end(&upstream, std::mem::take(&mut state.reading));
         if state.pinned.is_none() && state.repeat.is_stream() {
             state.pinned = version;
         }
-        self.upstreams.answering(now, &upstream, load, state.model.as_ref(), version);
+        self.upstreams.record_answer_start(now, &upstream, load, state.model.as_ref(), version);
     }
 
     pub(super) fn ended(
@@ -131,9 +131,9 @@
         state.stage = RequestStage::Between;
         let service = state.service.clone();
         let (attempt, digest) = (state.attempt.clone(), state.digest);
-        self.upstreams.read(&upstream, std::mem::take(&mut state.reading));
-        self.upstreams.left(&upstream);
-        self.upstreams.judge(now, &upstream, outcome, self.settings.ejection);
+        self.upstreams.record_prefill_end(&upstream, std::mem::take(&mut state.reading));
+        self.upstreams.record_finished(&upstream);
+        self.upstreams.record_outcome(now, &upstream, outcome, self.settings.ejection);
         let mut effects = Vec::new();
         match outcome {
             AttemptOutcome::Whole => effects.extend(self.run_succeeded(now, digest)),
--- a/mustardrill_core/src/direct/event.rs
+++ b/mustardrill_core/src/direct/event.rs
@@ -7,12 +7,12 @@
     ResultCode, StoreEra, WeightVersion,
 };
 
-use crate::direct::fleet::page::FleetPage;
-use crate::direct::fleet::telling::LoadNews;
+use crate::direct::fleet::load_broadcast::LoadUpdate;
+use crate::direct::fleet::update::FleetUpdate;
 use crate::direct::placing::forecast::WorkSize;
 use crate::direct::repeats::spending::RetryShare;
 use crate::direct::route::RepeatRule;
-use crate::direct::store::contact::AnswerSpan;
+use crate::direct::store::availability::AvailabilitySpan;
 use crate::direct::versions::table::NamingWord;
 use crate::quarantine::CrashWord;
 
@@ -100,7 +100,7 @@
     /// The entry.
     pub from: InstanceId,
     /// What it has at upstreams.
-    pub news: LoadNews,
+    pub news: LoadUpdate,
 }
 
 /// Something that happened at or to the entry.
@@ -115,13 +115,13 @@
     /// An attempt ended.
     Ended(RequestNumber, AttemptOutcome),
     /// The store answered; the call was sent at that moment.
-    Fleet(FleetPage, Moment),
+    Fleet(FleetUpdate, Moment),
     /// The store did not answer.
     StoreFailed,
     /// Another entry told its load.
     PeerHeard(PeerLoad),
     /// Another entry told since when the store has answered somebody.
-    ContactHeard(AnswerSpan),
+    ContactHeard(AvailabilitySpan),
     /// Another entry told when versions were named.
     NamingsHeard(Vec<NamingWord>),
     /// Another entry told which configuration it has in force.
--- a/mustardrill_core/src/direct/fleet/census.rs
+++ b/mustardrill_core/src/direct/fleet/entry_counter.rs
@@ -7,17 +7,17 @@
 
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment};
 
-use crate::direct::fleet::page::PeerRecord;
+use crate::direct::fleet::update::PeerRecord;
 
 /// Time of the last sign of life of each peer entry.
 #[derive(Debug, Default)]
-pub(crate) struct EntryCensus {
+pub(crate) struct EntryCounter {
     last_seen: FastMap<InstanceId, Moment>,
 }
 
-impl EntryCensus {
+impl EntryCounter {
     /// Records a sign of life: a message from the peer, or the end of its registration.
-    pub(crate) fn note(&mut self, now: Moment, id: &InstanceId) {
+    pub(crate) fn record_activity(&mut self, now: Moment, id: &InstanceId) {
         match self.last_seen.get_mut(id) {
             Some(seen) => *seen = now,
             None => {
@@ -28,7 +28,7 @@
 
     /// Counts the entries that are registered or gave a sign of life within `window`, including this
     /// one. Peers that have been silent for longer are dropped.
-    pub(crate) fn count(
+    pub(crate) fn count_live(
         &mut self,
         now: Moment,
         window: Millis,
--- a/mustardrill_core/src/direct/fleet/telling.rs
+++ b/mustardrill_core/src/direct/fleet/load_broadcast.rs
@@ -24,46 +24,54 @@
 
 /// A load update for the peer entries.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LoadNews {
+pub struct LoadUpdate {
     /// The load at each upstream that is listed.
     pub rows: LoadRows,
     /// Whether upstreams that are not listed have no load; otherwise theirs is unchanged.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// The queued requests of every service; always complete.
     pub waiting: WaitRows,
 }
 
-impl LoadNews {
+impl LoadUpdate {
     /// Splits the update into parts of at most `limit` rows, which must be applied in this order:
     /// only the first one may be a snapshot.
-    pub fn parts(self, limit: usize) -> Vec<Self> {
-        let Self { rows, whole, waiting } = self;
+    pub fn split(self, limit: usize) -> Vec<Self> {
+        let Self { rows, is_snapshot, waiting } = self;
         let rest = rows.get(limit..).unwrap_or_default().chunks(limit.max(1));
-        let part =
-            |rows: &[_], whole| Self { rows: rows.to_vec(), whole, waiting: waiting.clone() };
+        let part = |rows: &[_], is_snapshot| Self {
+            rows: rows.to_vec(),
+            is_snapshot,
+            waiting: waiting.clone(),
+        };
         let rest = rest.map(|rows| part(rows, false));
-        let first = part(&rows[..limit.min(rows.len())], whole);
+        let first = part(&rows[..limit.min(rows.len())], is_snapshot);
         std::iter::once(first).chain(rest).collect()
     }
 }
 
 /// Tracks the load that was last sent to the peers and produces the next update.
 #[derive(Debug, Default)]
-pub struct LoadTeller {
+pub struct LoadBroadcaster {
     sent_loads: FastMap<InstanceId, UpstreamLoad>,
     sent_waiting: WaitRows,
     sent_at: Moment,
     snapshot_at: Moment,
 }
 
-impl LoadTeller {
+impl LoadBroadcaster {
     /// Returns the update to send at `now`, or `None` if nothing changed or the change can wait.
     /// The caller must send what is returned, as it counts as sent.
-    pub fn next(&mut self, now: Moment, rows: LoadRows, waiting: WaitRows) -> Option<LoadNews> {
+    pub fn next_update(
+        &mut self,
+        now: Moment,
+        rows: LoadRows,
+        waiting: WaitRows,
+    ) -> Option<LoadUpdate> {
         let current: FastMap<_, _> = rows.iter().cloned().collect();
         let update = if now.since(self.snapshot_at) >= SNAPSHOT_INTERVAL {
             self.snapshot_at = now;
-            LoadNews { rows, whole: true, waiting: waiting.clone() }
+            LoadUpdate { rows, is_snapshot: true, waiting: waiting.clone() }
         } else {
             let changed = self.changed_rows(&current);
             let has_increased = changed.iter().any(|(id, load)| self.is_increase(id, *load));
@@ -74,7 +82,7 @@
             if !is_new || !is_due {
                 return None;
             }
-            LoadNews { rows: changed, whole: false, waiting: waiting.clone() }
+            LoadUpdate { rows: changed, is_snapshot: false, waiting: waiting.clone() }
         };
         self.sent_loads = current;
         self.sent_waiting = waiting;
--- a/mustardrill_core/src/direct/fleet/mod.rs
+++ b/mustardrill_core/src/direct/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! The state of upstreams and peer entries as seen by one entry.
 
-pub(in crate::direct) mod census;
-pub(in crate::direct) mod heard;
-pub(in crate::direct) mod page;
-pub(in crate::direct) mod telling;
+pub(in crate::direct) mod entry_counter;
+pub(in crate::direct) mod load_broadcast;
+pub(in crate::direct) mod peer_loads;
+pub(in crate::direct) mod update;
 pub(in crate::direct) mod upstream;
 pub(in crate::direct) mod upstream_table;
--- a/mustardrill_core/src/direct/fleet/heard.rs
+++ b/mustardrill_core/src/direct/fleet/peer_loads.rs
@@ -9,11 +9,11 @@
 
 /// Load of all peer entries at each upstream, and the requests queued in each peer.
 #[derive(Debug, Default)]
-pub(crate) struct HeardLoads {
+pub(crate) struct PeerLoadTotals {
     peers: FastMap<InstanceId, PeerState>,
     totals: FastMap<InstanceId, UpstreamLoad>,
     /// Lower bound for the time of the last report of every peer, so that most calls of
-    /// [`Self::expire`] need not look at the peers.
+    /// [`Self::expire_silent`] need not look at the peers.
     oldest_report_at: Moment,
 }
 
@@ -25,13 +25,13 @@
     waiting: FastMap<ServiceName, u32>,
 }
 
-impl HeardLoads {
+impl PeerLoadTotals {
     /// Applies a load update of a peer entry. A snapshot replaces all that the peer reported before.
-    pub(crate) fn hear(&mut self, now: Moment, load: PeerLoad) {
+    pub(crate) fn apply_update(&mut self, now: Moment, load: PeerLoad) {
         let peer = self.peers.entry(load.from).or_default();
         peer.reported_at = now;
         peer.waiting = load.news.waiting.into_iter().collect();
-        if load.news.whole {
+        if load.news.is_snapshot {
             peer.loads.drain().for_each(|(id, before)| subtract(&mut self.totals, &id, before));
         }
         for (id, load) in load.news.rows {
@@ -45,30 +45,30 @@
     }
 
     /// Drops a peer entry and subtracts its load from the totals.
-    pub(crate) fn forget(&mut self, id: &InstanceId) {
+    pub(crate) fn remove_peer(&mut self, id: &InstanceId) {
         let Some(peer) = self.peers.remove(id) else { return };
         peer.loads.into_iter().for_each(|(id, before)| subtract(&mut self.totals, &id, before));
     }
 
     /// Drops the peers whose last report is `timeout` old or older.
-    pub(crate) fn expire(&mut self, now: Moment, timeout: Millis) {
+    pub(crate) fn expire_silent(&mut self, now: Moment, timeout: Millis) {
         if now.since(self.oldest_report_at) < timeout {
             return;
         }
         let silent = self.peers.iter().filter(|(_, peer)| now.since(peer.reported_at) >= timeout);
         let silent: Vec<_> = silent.map(|(id, _)| id.clone()).collect();
-        silent.iter().for_each(|id| self.forget(id));
+        silent.iter().for_each(|id| self.remove_peer(id));
         self.oldest_report_at =
             self.peers.values().map(|peer| peer.reported_at).min().unwrap_or(now);
     }
 
     /// Returns the load of all peers together at an upstream.
-    pub(crate) fn sum(&self, id: &InstanceId) -> UpstreamLoad {
+    pub(crate) fn total_at(&self, id: &InstanceId) -> UpstreamLoad {
         self.totals.get(id).copied().unwrap_or_default()
     }
 
     /// Returns the peers that have requests queued for a service, with the number of requests.
-    pub(crate) fn waiting(
+    pub(crate) fn waiting_peers(
         &self,
         service: &ServiceName,
     ) -> impl Iterator<Item = (&InstanceId, u32)> {
--- a/mustardrill_core/src/direct/fleet/page.rs
+++ b/mustardrill_core/src/direct/fleet/update.rs
@@ -64,9 +64,9 @@
     UpstreamGone(InstanceId),
     /// The store holds something under the key of an upstream that is not a valid registration, so
     /// there is no address to send to.
-    UpstreamVoid(InstanceId),
+    UpstreamInvalid(InstanceId),
     /// The operator announced a version of a model as current.
-    VersionNamed(ModelName, WeightVersion),
+    VersionAnnounced(ModelName, WeightVersion),
     /// An entry registered, or its registration changed.
     Peer(PeerRecord),
     /// The registration of an entry was removed or expired.
@@ -77,13 +77,13 @@
 
 /// A batch of changes read from the store, in the order in which they were made there.
 #[derive(Debug, Clone, Default)]
-pub struct FleetPage {
+pub struct FleetUpdate {
     /// The changes since the revision that was read before, or everything in a snapshot.
     pub changes: Vec<FleetChange>,
     /// The revision of the store that the changes lead up to.
-    pub at: StoreRevision,
+    pub revision: StoreRevision,
     /// The era of the store in which that revision was read.
     pub era: StoreEra,
     /// Whether this is a snapshot: what it does not contain does not exist.
-    pub whole: bool,
+    pub is_snapshot: bool,
 }
--- a/mustardrill_core/src/direct/fleet/upstream.rs
+++ b/mustardrill_core/src/direct/fleet/upstream.rs
@@ -4,7 +4,7 @@
 use mustardrill_types::{InstanceId, Millis, ModelName, Moment, StartStamp, WeightVersion};
 
 use crate::direct::event::{AttemptOutcome, UpstreamLoad};
-use crate::direct::fleet::page::{ServedWeights, UpstreamRecord};
+use crate::direct::fleet::update::{ServedWeights, UpstreamRecord};
 
 /// Weight of one outcome in the moving average of failures.
 ///
@@ -56,52 +56,52 @@
 pub(crate) struct UpstreamState {
     pub(crate) record: UpstreamRecord,
     /// This entry's own requests there.
-    pub(crate) own: UpstreamLoad,
+    pub(crate) own_load: UpstreamLoad,
     /// Moving average of failures over its latest answers, from 0 to 1.
-    pub(crate) failing: f64,
+    pub(crate) failure_rate: f64,
     /// It accepts no requests until then because it loads weights.
     pub(crate) paused_until: Moment,
     /// When it is scheduled to pause for loading newer weights.
-    pub(crate) closes_at: Option<Moment>,
+    pub(crate) reload_at: Option<Moment>,
     /// Newer weights are expected there until then, as its agent announced.
-    pub(crate) expected_until: Moment,
+    pub(crate) reload_expected_until: Moment,
     /// When capacity last became available after there was none: a peer entry reported fewer
     /// requests or a shorter prefill there, or the upstream resumed after a pause.
-    pub(crate) freed: Moment,
+    pub(crate) capacity_freed_at: Moment,
     /// Number of requests that this entry has sent there since then.
-    pub(crate) taken: u32,
+    pub(crate) sent_since_freed: u32,
     /// When it last answered anything; zero if it never did.
     last_answer_at: Moment,
     failures_in_a_row: u32,
     ejections: u32,
     pub(crate) ejected_until: Moment,
     /// It has crashed and is sent nothing until then, unless it answers a request sent before.
-    pub(crate) ended_until: Moment,
+    pub(crate) crashed_until: Moment,
     /// It turned a request away and is sent nothing until then.
-    pub(crate) rests_until: Moment,
+    pub(crate) cooldown_until: Moment,
     /// Number of cool-downs since it last accepted a request.
     cooldowns: u32,
     /// Set once its registration has expired, if the upstream may still be running.
-    pub(crate) lapse: Option<RegistrationLapse>,
+    pub(crate) expired_registration: Option<ExpiredRegistration>,
 }
 
 /// A registration that has expired although its upstream may still be running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct RegistrationLapse {
+pub(crate) struct ExpiredRegistration {
     /// When this entry learned of it.
     pub(crate) at: Moment,
-    pub(crate) cause: LapseCause,
+    pub(crate) cause: ExpiryCause,
 }
 
 /// Why the store may have lost a registration.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum LapseCause {
+pub(crate) enum ExpiryCause {
     /// The store was unavailable for longer than registrations are kept without renewal.
     #[display("store-was-away")]
     Outage,
     /// The store was restored from a copy made before the registration.
     #[display("store-returned")]
-    Return,
+    Restore,
 }
 
 /// Why an upstream is listed, with the age of that evidence.
@@ -112,7 +112,7 @@
     Registered(Millis),
     /// Its registration was found expired this long ago.
     #[display("lapsed age={_0}")]
-    Lapsed(Millis),
+    Expired(Millis),
 }
 
 impl UpstreamState {
@@ -123,47 +123,52 @@
 
     /// Returns why it is listed; `proof_age` is the age of the store's last answer.
     pub(crate) fn evidence(&self, now: Moment, proof_age: Millis) -> ListingEvidence {
-        match self.lapse {
-            Some(lapse) => ListingEvidence::Lapsed(now.since(lapse.at)),
+        match self.expired_registration {
+            Some(expired) => ListingEvidence::Expired(now.since(expired.at)),
             None => ListingEvidence::Registered(proof_age),
         }
     }
 
     /// Whether it may have shut down during an outage of the store instead of being lost by it. An
     /// older copy of the store raises no such doubt, since recent registrations are missing there.
-    pub(crate) fn is_doubted(&self) -> bool {
-        self.lapse.is_some_and(|lapse| lapse.cause == LapseCause::Outage)
+    pub(crate) fn may_have_shut_down(&self) -> bool {
+        self.expired_registration.is_some_and(|expired| expired.cause == ExpiryCause::Outage)
     }
 
     pub(crate) fn new(record: UpstreamRecord) -> Self {
         Self {
             record,
-            own: UpstreamLoad::default(),
-            failing: 0.0,
+            own_load: UpstreamLoad::default(),
+            failure_rate: 0.0,
             paused_until: Moment(0),
-            closes_at: None,
-            expected_until: Moment(0),
-            freed: Moment(0),
-            taken: 0,
+            reload_at: None,
+            reload_expected_until: Moment(0),
+            capacity_freed_at: Moment(0),
+            sent_since_freed: 0,
             last_answer_at: Moment(0),
             failures_in_a_row: 0,
             ejections: 0,
             ejected_until: Moment(0),
-            ended_until: Moment(0),
-            rests_until: Moment(0),
+            crashed_until: Moment(0),
+            cooldown_until: Moment(0),
             cooldowns: 0,
-            lapse: None,
+            expired_registration: None,
         }
     }
 
     /// Records the outcome of an attempt; `first_ejection` is doubled with each further ejection.
-    pub(crate) fn judge(&mut self, now: Moment, outcome: AttemptOutcome, first_ejection: Millis) {
+    pub(crate) fn record_outcome(
+        &mut self,
+        now: Moment,
+        outcome: AttemptOutcome,
+        first_ejection: Millis,
+    ) {
         match outcome {
             AttemptOutcome::Whole => self.record_success(now),
             AttemptOutcome::Full | AttemptOutcome::Misdirected => self.record_rejection(now),
             AttemptOutcome::Failed => {
                 self.record_answer(now);
-                self.failing += FAILURE_WEIGHT * (1.0 - self.failing);
+                self.failure_rate += FAILURE_WEIGHT * (1.0 - self.failure_rate);
             }
             // No answer failed, so the average over its answers stays as it is.
             AttemptOutcome::NotSent => {
@@ -176,7 +181,7 @@
             // Withdrawing an attempt is this entry's decision and tells nothing about the upstream.
             AttemptOutcome::Withdrawn { .. } => {}
             AttemptOutcome::Lost { .. } => {
-                self.failing += FAILURE_WEIGHT * (1.0 - self.failing);
+                self.failure_rate += FAILURE_WEIGHT * (1.0 - self.failure_rate);
                 self.failures_in_a_row += 1;
                 if self.failures_in_a_row >= MAX_FAILURES_IN_A_ROW {
                     self.eject(now, first_ejection, MAX_LOST_EJECTION);
@@ -186,31 +191,31 @@
     }
 
     /// Records that it crashed at `at`, unless it has answered since.
-    pub(crate) fn ended(&mut self, at: Moment) {
+    pub(crate) fn record_crash(&mut self, at: Moment) {
         if self.last_answer_at <= at {
-            self.ended_until = at + MAX_LOST_EJECTION;
+            self.crashed_until = at + MAX_LOST_EJECTION;
         }
     }
 
     /// Records that it has capacity again.
-    pub(crate) fn free(&mut self, now: Moment) {
-        self.freed = now;
-        self.taken = 0;
+    pub(crate) fn record_free_capacity(&mut self, now: Moment) {
+        self.capacity_freed_at = now;
+        self.sent_since_freed = 0;
     }
 
     /// Records that it accepts requests again and serves a version of a model.
-    pub(crate) fn opened(&mut self, now: Moment, model: &ModelName, version: WeightVersion) {
+    pub(crate) fn record_resume(&mut self, now: Moment, model: &ModelName, version: WeightVersion) {
         if self.paused_until > now {
-            self.free(now);
+            self.record_free_capacity(now);
         }
         self.paused_until = Moment(0);
-        self.closes_at = None;
-        self.rests_until = Moment(0);
-        self.serves(model, version);
+        self.reload_at = None;
+        self.cooldown_until = Moment(0);
+        self.set_served_version(model, version);
     }
 
     /// Records the version of a model that it serves.
-    pub(crate) fn serves(&mut self, model: &ModelName, version: WeightVersion) {
+    pub(crate) fn set_served_version(&mut self, model: &ModelName, version: WeightVersion) {
         let served = self.record.serving.iter_mut().find(|served| served.model == *model);
         match served {
             Some(served) => served.version = version,
@@ -219,7 +224,7 @@
     }
 
     /// Returns the version of a model that it has loaded completely.
-    pub(crate) fn version_of(&self, model: &ModelName) -> Option<WeightVersion> {
+    pub(crate) fn served_version(&self, model: &ModelName) -> Option<WeightVersion> {
         let served = self.record.serving.iter().find(|served| served.model == *model);
         served.map(|served| served.version)
     }
@@ -228,16 +233,16 @@
     /// do not prolong it.
     fn record_rejection(&mut self, now: Moment) {
         self.record_answer(now);
-        if self.rests_until > now {
+        if self.cooldown_until > now {
             return;
         }
-        self.rests_until =
+        self.cooldown_until =
             now + Millis(FIRST_COOLDOWN.0 << self.cooldowns.min(MAX_COOLDOWN_DOUBLINGS));
         self.cooldowns += 1;
     }
 
     /// Records that it accepted a request, which ends the series of cool-downs.
-    pub(crate) fn accepted(&mut self, now: Moment) {
+    pub(crate) fn record_acceptance(&mut self, now: Moment) {
         self.record_answer(now);
         self.cooldowns = 0;
     }
@@ -245,12 +250,12 @@
     /// Records a sign that it is running.
     fn record_answer(&mut self, now: Moment) {
         self.last_answer_at = now;
-        self.ended_until = Moment(0);
+        self.crashed_until = Moment(0);
     }
 
     fn record_success(&mut self, now: Moment) {
         self.record_answer(now);
-        self.failing -= FAILURE_WEIGHT * self.failing;
+        self.failure_rate -= FAILURE_WEIGHT * self.failure_rate;
         self.failures_in_a_row = 0;
         self.ejections = 0;
     }
--- a/mustardrill_core/src/direct/fleet/upstream_table.rs
+++ b/mustardrill_core/src/direct/fleet/upstream_table.rs
@@ -8,9 +8,11 @@
 };
 
 use crate::direct::event::{AttemptOutcome, LoadReport, UpstreamLoad};
-use crate::direct::fleet::heard::HeardLoads;
-use crate::direct::fleet::page::{ServedWeights, UpstreamRecord};
-use crate::direct::fleet::upstream::{LapseCause, RegistrationLapse, UpstreamStart, UpstreamState};
+use crate::direct::fleet::peer_loads::PeerLoadTotals;
+use crate::direct::fleet::update::{ServedWeights, UpstreamRecord};
+use crate::direct::fleet::upstream::{
+    ExpiredRegistration, ExpiryCause, UpstreamStart, UpstreamState,
+};
 
 /// How long a removed upstream is remembered: longer than the age of the copies from which a store is
 /// restored.
@@ -35,7 +37,7 @@
     /// Upstreams that were removed lately, so that an older copy of the store does not list them again.
     departed: FastMap<InstanceId, Departure>,
     /// The load of the peer entries at the upstreams.
-    pub(crate) heard: HeardLoads,
+    pub(crate) peer_loads: PeerLoadTotals,
 }
 
 impl UpstreamTable {
@@ -66,11 +68,11 @@
             }
             if state.record.serving != record.serving {
                 state.paused_until = Moment(0);
-                state.closes_at = None;
+                state.reload_at = None;
             }
             state.record = record;
-            if let Some(lapse) = state.lapse.take() {
-                let span = now.since(lapse.at);
+            if let Some(expired) = state.expired_registration.take() {
+                let span = now.since(expired.at);
                 info!("membership instance={} outcome=confirmed after={span}", state.record.id);
             }
             return;
@@ -104,17 +106,17 @@
     /// Removes an upstream whose registration has expired, or keeps it if the store may have lost the
     /// registration. `limit` is the moment by which running upstreams have registered again; `None`
     /// means that the store cannot have lost any.
-    pub(crate) fn lapse(
+    pub(crate) fn expire(
         &mut self,
         now: Moment,
         id: &InstanceId,
         limit: Option<Moment>,
-        cause: LapseCause,
+        cause: ExpiryCause,
     ) {
         let Some(state) = self.states.get_mut(id) else { return };
         if let Some(limit) = limit.filter(|limit| *limit > now && !state.record.leaving) {
-            if state.lapse.is_none() {
-                state.lapse = Some(RegistrationLapse { at: now, cause });
+            if state.expired_registration.is_none() {
+                state.expired_registration = Some(ExpiredRegistration { at: now, cause });
                 let span = limit.since(now);
                 info!("membership instance={id} outcome=lapsed reason={cause} for={span}");
             }
@@ -125,14 +127,19 @@
     }
 
     /// Removes an upstream whose key in the store no longer holds a valid registration.
-    pub(crate) fn void(&mut self, id: &InstanceId) {
+    pub(crate) fn remove_invalid(&mut self, id: &InstanceId) {
         info!("membership instance={id} outcome=gone reason=no-registration");
         self.remove(id);
     }
 
     /// Applies a registration from an older copy of the store. Changes that are known to be newer are
     /// not reverted. An upstream that is not listed because of this is listed once it registers again.
-    pub(crate) fn register_older(&mut self, now: Moment, record: UpstreamRecord, is_served: bool) {
+    pub(crate) fn register_from_older_copy(
+        &mut self,
+        now: Moment,
+        record: UpstreamRecord,
+        is_served: bool,
+    ) {
         let id = &record.id;
         if self.departed.get(id).is_some_and(|departure| departure.start >= record.start) {
             info!("membership instance={id} outcome=kept-out reason=left");
@@ -163,8 +170,8 @@
     }
 
     /// Removes all upstreams whose registration has expired and was not written again.
-    pub(crate) fn forget_lapsed(&mut self, now: Moment) {
-        let expired = self.states.iter().filter(|(_, state)| state.lapse.is_some());
+    pub(crate) fn remove_expired(&mut self, now: Moment) {
+        let expired = self.states.iter().filter(|(_, state)| state.expired_registration.is_some());
         let expired: Vec<_> = expired.map(|(id, _)| id.clone()).collect();
         for id in expired {
             info!("membership instance={id} outcome=gone reason=lapsed");
@@ -199,8 +206,8 @@
     }
 
     /// Counts the upstreams that are listed although their registration has expired.
-    pub(crate) fn lapsed(&self) -> usize {
-        self.states.values().filter(|state| state.lapse.is_some()).count()
+    pub(crate) fn expired_count(&self) -> usize {
+        self.states.values().filter(|state| state.expired_registration.is_some()).count()
     }
 
     pub(crate) fn get(&self, id: &InstanceId) -> Option<&UpstreamState> {
@@ -228,11 +235,11 @@
     pub(crate) fn usable(&self, now: Moment, service: &ServiceName) -> Vec<&UpstreamState> {
         let staying = self.of_service(service).filter(|state| !state.record.leaving);
         let mut open: Vec<_> = staying.collect();
-        let doubted = open.iter().filter(|state| state.is_doubted()).count();
+        let doubted = open.iter().filter(|state| state.may_have_shut_down()).count();
         let are_few = doubted * LOST_FRACTION_DIVISOR <= open.len();
-        open.retain(|state| state.paused_until <= now && !(are_few && state.is_doubted()));
+        open.retain(|state| state.paused_until <= now && !(are_few && state.may_have_shut_down()));
         let running: Vec<_> =
-            open.iter().copied().filter(|state| state.ended_until <= now).collect();
+            open.iter().copied().filter(|state| state.crashed_until <= now).collect();
         let sound: Vec<_> =
             running.iter().copied().filter(|state| state.ejected_until <= now).collect();
         // If all are ejected, trying one of them is better than refusing all requests.
@@ -242,19 +249,20 @@
 
     /// Whether an upstream of a service is loading weights or is about to.
     pub(crate) fn is_loading(&self, now: Moment, service: &ServiceName) -> bool {
-        let is_loading = |state: &UpstreamState| state.paused_until.max(state.expected_until) > now;
+        let is_loading =
+            |state: &UpstreamState| state.paused_until.max(state.reload_expected_until) > now;
         self.of_service(service).any(|state| is_loading(state) && !state.record.leaving)
     }
 
     /// Returns the number of slots of all upstreams that are listed for a service.
-    pub(crate) fn slots(&self, service: &ServiceName) -> u32 {
+    pub(crate) fn total_slots(&self, service: &ServiceName) -> u32 {
         self.of_service(service).map(|state| state.record.slots).sum()
     }
 
     /// Returns the load at an upstream: this entry's own and that of the peers that reported lately.
-    pub(crate) fn present(&self, id: &InstanceId) -> UpstreamLoad {
-        let own = self.states.get(id).map_or(UpstreamLoad::default(), |state| state.own);
-        let peers = self.heard.sum(id);
+    pub(crate) fn total_load(&self, id: &InstanceId) -> UpstreamLoad {
+        let own = self.states.get(id).map_or(UpstreamLoad::default(), |state| state.own_load);
+        let peers = self.peer_loads.total_at(id);
         UpstreamLoad {
             requests: own.requests + peers.requests,
             reading: Millis(own.reading.0 + peers.reading.0),
@@ -262,32 +270,33 @@
     }
 
     /// Records that an upstream has capacity again, as peer entries reported.
-    pub(crate) fn freed(&mut self, now: Moment, id: &InstanceId) {
+    pub(crate) fn record_free_capacity(&mut self, now: Moment, id: &InstanceId) {
         if let Some(state) = self.states.get_mut(id) {
-            state.free(now);
+            state.record_free_capacity(now);
         }
     }
 
     /// Records that a request with a prefill of `prefill_time` was sent to an upstream.
-    pub(crate) fn sent(&mut self, start: &UpstreamStart, prefill_time: Millis) {
+    pub(crate) fn record_sent(&mut self, start: &UpstreamStart, prefill_time: Millis) {
         if let Some(state) = self.incarnation_mut(start) {
-            state.own.requests += 1;
-            state.taken += 1;
-            state.own.reading = Millis(state.own.reading.0 + prefill_time.0);
+            state.own_load.requests += 1;
+            state.sent_since_freed += 1;
+            state.own_load.reading = Millis(state.own_load.reading.0 + prefill_time.0);
         }
     }
 
     /// Records that an upstream has completed the prefill of a request, or never will.
-    pub(crate) fn read(&mut self, start: &UpstreamStart, prefill_time: Millis) {
+    pub(crate) fn record_prefill_end(&mut self, start: &UpstreamStart, prefill_time: Millis) {
         if let Some(state) = self.incarnation_mut(start) {
-            state.own.reading = Millis(state.own.reading.0.saturating_sub(prefill_time.0));
+            state.own_load.reading =
+                Millis(state.own_load.reading.0.saturating_sub(prefill_time.0));
         }
     }
 
     /// Records that a request is no longer at an upstream.
-    pub(crate) fn left(&mut self, start: &UpstreamStart) {
+    pub(crate) fn record_finished(&mut self, start: &UpstreamStart) {
         if let Some(state) = self.incarnation_mut(start) {
-            state.own.requests = state.own.requests.saturating_sub(1);
+            state.own_load.requests = state.own_load.requests.saturating_sub(1);
         }
     }
 
@@ -295,14 +304,14 @@
     ///
     /// A crashed upstream stays listed for some seconds and looks like the least loaded one, so all
     /// requests were sent there until their attempts were used up.
-    pub(crate) fn ended(&mut self, start: &UpstreamStart, at: Moment) {
+    pub(crate) fn record_crash(&mut self, start: &UpstreamStart, at: Moment) {
         if let Some(state) = self.incarnation_mut(start) {
-            state.ended(at);
+            state.record_crash(at);
         }
     }
 
     /// Records the start of an answer, with the load and the weights version that it reports.
-    pub(crate) fn answering(
+    pub(crate) fn record_answer_start(
         &mut self,
         now: Moment,
         start: &UpstreamStart,
@@ -311,17 +320,17 @@
         version: Option<WeightVersion>,
     ) {
         let Some(state) = self.incarnation_mut(start) else { return };
-        state.accepted(now);
+        state.record_acceptance(now);
         if let Some(load) = load {
             state.record.slots = load.slots;
         }
         if let (Some(model), Some(version)) = (model, version) {
-            state.serves(model, version);
+            state.set_served_version(model, version);
         }
     }
 
     /// Records the outcome of an attempt; `first_ejection` is the length of a first ejection.
-    pub(crate) fn judge(
+    pub(crate) fn record_outcome(
         &mut self,
         now: Moment,
         start: &UpstreamStart,
@@ -329,7 +338,7 @@
         first_ejection: Millis,
     ) {
         if let Some(state) = self.incarnation_mut(start) {
-            state.judge(now, outcome, first_ejection);
+            state.record_outcome(now, outcome, first_ejection);
         }
     }
 }
--- a/mustardrill_core/src/direct/mod.rs
+++ b/mustardrill_core/src/direct/mod.rs
@@ -21,8 +21,8 @@
     AttemptOutcome, DirectEffect, DirectEvent, DirectRequest, DirectSettings, EngineWord,
     LoadReport, PeerLoad, RefusalPlan, RequestNumber, SendPlan, StatusRow, UpstreamLoad,
 };
-pub use fleet::page::{FleetChange, FleetPage, PeerRecord, ServedWeights, UpstreamRecord};
-pub use fleet::telling::{LoadNews, LoadRows, LoadTeller, WaitRows};
+pub use fleet::load_broadcast::{LoadBroadcaster, LoadRows, LoadUpdate, WaitRows};
+pub use fleet::update::{FleetChange, FleetUpdate, PeerRecord, ServedWeights, UpstreamRecord};
 pub use placing::forecast::{EngineForecast, WorkSize};
 pub use reducer::DirectReducer;
 pub use repeats::spending::{RetryShare, RetryWindow};
@@ -30,11 +30,11 @@
     CallerLimits, CustomerRecord, EngineProfile, ModelProfile, OriginProfile, RepeatRule,
     RouteDocument, RouteRule, ServiceProfile,
 };
-pub use store::contact::{AnswerSpan, StoreContact};
+pub use store::availability::{AvailabilitySpan, StoreAvailability};
+pub use store::coalescing::{ChangeCoalescer, NextRead};
 pub use store::cursor::{CursorVerdict, StoreCursor};
-pub use store::freshness::{ProofClock, proved_at};
-pub use store::gathering::{GatherPause, NextReading};
+pub use store::freshness::{FreshnessClock, confirmation_time};
 pub use store::reader::{ReadOutcome, StoreReader};
-pub use store::watch_pace::WatchSpan;
+pub use store::watch_timing::WatchTiming;
 pub use versions::table::{NamingTime, NamingWord, VersionTable};
 pub use waiting::queue::{WaitQueue, WaitRank};
--- a/mustardrill_core/src/direct/placing/choice.rs
+++ b/mustardrill_core/src/direct/placing/choice.rs
@@ -35,7 +35,7 @@
         let mut best: Option<(f64, &InstanceId)> = None;
         for upstream in candidates {
             let id = &upstream.record.id;
-            let present = self.upstreams.present(id);
+            let present = self.upstreams.total_load(id);
             let slots = upstream.record.slots;
             let limit = if late {
                 pressure::late_limit(slots, self.settings.late_percent)
@@ -46,7 +46,7 @@
             if room == 0 || now < self.place_open(now, upstream, room) {
                 continue;
             }
-            if !closing::takes(now, upstream.closes_at, || self.whole_time(state, present)) {
+            if !closing::takes(now, upstream.reload_at, || self.whole_time(state, present)) {
                 continue;
             }
             let cost = pressure::cost(&ChoiceInputs {
@@ -54,7 +54,7 @@
                 slots,
                 reading: present.reading,
                 far: upstream.record.data_centre != self.settings.data_centre,
-                failing: upstream.failing,
+                failing: upstream.failure_rate,
                 lot: rendezvous::lot(state.attempt.as_bytes(), id.as_str()),
             });
             if best.is_none_or(|(least, _)| cost < least) {
@@ -68,10 +68,10 @@
     pub(in crate::direct) fn load_heard(&mut self, now: Moment, load: PeerLoad) {
         let named: Vec<_> = load.news.rows.iter().map(|(id, _)| id.clone()).collect();
         let full: Vec<_> = named.into_iter().filter(|id| !self.has_room(now, id)).collect();
-        self.upstreams.heard.hear(now, load);
+        self.upstreams.peer_loads.apply_update(now, load);
         for id in full {
             if self.has_room(now, &id) {
-                self.upstreams.freed(now, &id);
+                self.upstreams.record_free_capacity(now, &id);
             }
         }
     }
@@ -79,7 +79,7 @@
     /// Whether an upstream may be sent another request that can be in time.
     fn has_room(&self, now: Moment, id: &InstanceId) -> bool {
         let Some(upstream) = self.upstreams.get(id) else { return false };
-        let present = self.upstreams.present(id);
+        let present = self.upstreams.total_load(id);
         let limit = pressure::limit(upstream.record.slots, self.settings.ahead);
         self.room(now, present, limit, upstream) > 0
     }
@@ -94,7 +94,7 @@
         upstream: &UpstreamState,
     ) -> u32 {
         let places = limit.saturating_sub(present.requests);
-        if upstream.rests_until > now || present.reading > self.settings.reading_limit {
+        if upstream.cooldown_until > now || present.reading > self.settings.reading_limit {
             return 0;
         }
         let Some(profile) = self.profile(&upstream.record.service) else { return places };
@@ -106,7 +106,7 @@
     /// From when on this entry may take one of `room` free places of an upstream.
     fn place_open(&self, now: Moment, upstream: &UpstreamState, room: u32) -> Moment {
         // Most upstreams have had their room for longer, so that turns need not be worked out.
-        let last = pressure::turns_end(upstream.freed);
+        let last = pressure::turns_end(upstream.capacity_freed_at);
         if last <= now {
             return last;
         }
@@ -114,17 +114,17 @@
         let subject = upstream.record.id.as_str().as_bytes();
         let here = self.queues.get(service).map_or(0, WaitQueue::len) as u32;
         let own = rendezvous::weighted(subject, self.settings.own.as_str(), here);
-        let others = self.upstreams.heard.waiting(service);
+        let others = self.upstreams.peer_loads.waiting_peers(service);
         let scores = others.map(|(id, count)| rendezvous::weighted(subject, id.as_str(), count));
         // The others come first at one that still reads a prompt of this entry.
-        let yields = upstream.own.reading > Millis(0);
+        let yields = upstream.own_load.reading > Millis(0);
         let (mut waiting, mut before) = (0, 0);
         for score in scores {
             waiting += 1;
             before += u32::from(yields || score > own);
         }
-        let turn = PlaceTurn { before, waiting, taken: upstream.taken, room };
-        pressure::place_open(upstream.freed, &turn)
+        let turn = PlaceTurn { before, waiting, taken: upstream.sent_since_freed, room };
+        pressure::place_open(upstream.capacity_freed_at, &turn)
     }
 
     /// When a place that another entry freed becomes this entry's to take, or one that was full is
@@ -135,7 +135,7 @@
         service: &ServiceName,
     ) -> Option<Moment> {
         let usable = self.upstreams.usable(now, service);
-        let opens = usable.iter().map(|it| self.place_open(now, it, 1).max(it.rests_until));
+        let opens = usable.iter().map(|it| self.place_open(now, it, 1).max(it.cooldown_until));
         opens.filter(|open| *open > now).min()
     }
 
@@ -150,7 +150,7 @@
         if self.profile(&state.service).is_none() {
             return true;
         }
-        let Some(version) = upstream.version_of(model) else { return false };
+        let Some(version) = upstream.served_version(model) else { return false };
         if state.pinned.is_some_and(|pinned| version != pinned) {
             return false;
         }
@@ -183,7 +183,7 @@
         upstream: &UpstreamState,
     ) -> Millis {
         let Some(profile) = self.profile(&state.service) else { return Millis(0) };
-        let present = self.upstreams.present(&upstream.record.id);
+        let present = self.upstreams.total_load(&upstream.record.id);
         let forecast = EngineForecast::new(profile).first_token(present.requests, state.size);
         Millis(BEGIN_CAUTION * (forecast.0 + present.reading.0))
     }
--- a/mustardrill_core/src/direct/reducer.rs
+++ b/mustardrill_core/src/direct/reducer.rs
@@ -12,17 +12,17 @@
 use crate::direct::event::{
     DirectEffect, DirectEvent, DirectSettings, EngineWord, RequestNumber, StatusRow,
 };
-use crate::direct::fleet::census::EntryCensus;
-use crate::direct::fleet::page::{FleetChange, FleetPage, PeerRecord};
-use crate::direct::fleet::telling::{LoadRows, WaitRows};
+use crate::direct::fleet::entry_counter::EntryCounter;
+use crate::direct::fleet::load_broadcast::{LoadRows, WaitRows};
+use crate::direct::fleet::update::{FleetChange, FleetUpdate, PeerRecord};
 use crate::direct::fleet::upstream_table::UpstreamTable;
 use crate::direct::repeats::crash_words::CrashTeller;
 use crate::direct::repeats::spending::RetryWindow;
 use crate::direct::request::{RequestStage, RequestState};
 use crate::direct::route::RouteDocument;
-use crate::direct::store::contact::{AnswerSpan, StoreContact};
-use crate::direct::store::freshness::ProofClock;
-use crate::direct::store::generation_word::GenerationWord;
+use crate::direct::store::availability::{AvailabilitySpan, StoreAvailability};
+use crate::direct::store::freshness::FreshnessClock;
+use crate::direct::store::generation_report::GenerationReport;
 use crate::direct::versions::naming::NamingInquiry;
 use crate::direct::versions::replaced::UnbegunAttempts;
 use crate::direct::versions::table::{NamingWord, VersionTable};
@@ -58,9 +58,9 @@
     pub(super) settings: DirectSettings,
     pub(super) document: Option<Arc<RouteDocument>>,
     /// When the store was there last.
-    pub(super) proof: ProofClock,
+    pub(super) proof: FreshnessClock,
     /// When the configuration was the newest that the operator had written.
-    pub(super) config_proof: ProofClock,
+    pub(super) config_proof: FreshnessClock,
     /// Until then a store that came back from an older copy may lack what the operator wrote.
     pub(super) rewritten_at: Moment,
     pub(super) upstreams: UpstreamTable,
@@ -77,19 +77,19 @@
     pub(super) random: SmallRng,
     /// The other entries that are registered.
     pub(super) peers: Vec<PeerRecord>,
-    pub(super) census: EntryCensus,
+    pub(super) census: EntryCounter,
     /// The state of the store that was read last, and when it was read.
     pub(super) revision: StoreRevision,
     pub(super) era: StoreEra,
     /// What the others say of the newest configuration.
-    pub(super) word: GenerationWord,
+    pub(super) word: GenerationReport,
     /// Other entries that an older copy of the store lacks.
     pub(super) unconfirmed: FastSet<InstanceId>,
     pub(super) read_at: Moment,
     /// Whether the last call to the store failed.
     pub(super) store_away: bool,
     /// Since when the store has answered the entries.
-    pub(super) contact: StoreContact,
+    pub(super) contact: StoreAvailability,
     /// Requests that wait for a configuration that may be used.
     pub(super) held: HeldRequests,
     /// Requests under which upstreams ended.
@@ -110,8 +110,8 @@
         Self {
             settings,
             document: None,
-            proof: ProofClock::default(),
-            config_proof: ProofClock::default(),
+            proof: FreshnessClock::default(),
+            config_proof: FreshnessClock::default(),
             rewritten_at: Moment(0),
             upstreams: UpstreamTable::default(),
             versions: VersionTable::default(),
@@ -123,14 +123,14 @@
             windows: FastMap::default(),
             random: SmallRng::seed_from_u64(seed),
             peers: Vec::new(),
-            census: EntryCensus::default(),
+            census: EntryCounter::default(),
             revision: StoreRevision::default(),
             era: StoreEra::default(),
-            word: GenerationWord::default(),
+            word: GenerationReport::default(),
             unconfirmed: FastSet::default(),
             read_at: Moment(0),
             store_away: false,
-            contact: StoreContact::default(),
+            contact: StoreAvailability::default(),
             held: HeldRequests::default(),
             quarantine: QuarantineTable::new(SETTLE_SPAN),
             undecided: Vec::new(),
@@ -142,7 +142,7 @@
 
     /// Takes an event at `now` and returns what is to be done.
     pub fn reduce(&mut self, now: Moment, event: DirectEvent) -> Vec<DirectEffect> {
-        self.upstreams.heard.expire(now, self.settings.peer_patience);
+        self.upstreams.peer_loads.expire_silent(now, self.settings.peer_patience);
         let mut effects = match event {
             DirectEvent::Arrived(request) => self.arrived(now, request),
             DirectEvent::Gone(number) => self.gone(now, number),
@@ -151,17 +151,17 @@
                 Vec::new()
             }
             DirectEvent::Ended(number, outcome) => self.ended(now, number, outcome),
-            DirectEvent::Fleet(page, sent) => self.fleet_seen(now, page, sent),
-            DirectEvent::StoreFailed => self.store_failed(now),
+            DirectEvent::Fleet(page, sent) => self.apply_fleet_update(now, page, sent),
+            DirectEvent::StoreFailed => self.record_store_failure(now),
             DirectEvent::PeerHeard(load) => {
-                self.census.note(now, &load.from);
+                self.census.record_activity(now, &load.from);
                 self.load_heard(now, load);
                 self.pump_all(now)
             }
             DirectEvent::ContactHeard(span) => {
                 self.inquiry.answered();
-                self.contact.heard(span, self.settings.forgetting);
-                self.settle_lapsed(now);
+                self.contact.merge_peer_span(span, self.settings.forgetting);
+                self.remove_unreturned(now);
                 self.settle_namings(now);
                 Vec::new()
             }
@@ -170,17 +170,17 @@
                 Vec::new()
             }
             DirectEvent::GenerationHeard(generation) => {
-                self.word.heard(now, generation);
+                self.word.record_report(now, generation);
                 self.release_all_held(now)
             }
             DirectEvent::CrashHeard(word) => self.crash_heard(now, word),
             DirectEvent::EngineHeard { address, model, word } => {
                 let Some(state) = self.upstreams.by_address(address) else { return Vec::new() };
                 match word {
-                    EngineWord::Coming => state.expected_until = now + COMING_LIMIT,
-                    EngineWord::Closing(after) => state.closes_at = Some(now + after),
+                    EngineWord::Coming => state.reload_expected_until = now + COMING_LIMIT,
+                    EngineWord::Closing(after) => state.reload_at = Some(now + after),
                     EngineWord::Pausing => state.paused_until = now + PAUSE_LIMIT,
-                    EngineWord::Serving(version) => state.opened(now, &model, version),
+                    EngineWord::Serving(version) => state.record_resume(now, &model, version),
                 }
                 info!("engine instance={} model={model} word={word} source=agent", state.record.id);
                 self.pump_all(now)
@@ -206,7 +206,7 @@
     /// What this entry has at each upstream, for the other entries.
     pub fn outstanding(&self) -> LoadRows {
         let ids = self.upstreams.ids().into_iter();
-        let counted = ids.filter_map(|id| Some((self.upstreams.get(&id)?.own, id)));
+        let counted = ids.filter_map(|id| Some((self.upstreams.get(&id)?.own_load, id)));
         counted.filter(|(own, _)| own.requests > 0).map(|(own, id)| (id, own)).collect()
     }
 
@@ -217,7 +217,7 @@
     }
 
     /// Since when the store has answered, for the other entries.
-    pub fn answer_span(&self) -> Option<AnswerSpan> {
+    pub fn answer_span(&self) -> Option<AvailabilitySpan> {
         self.contact.span()
     }
 
@@ -226,15 +226,15 @@
     /// at its start, and now and then where none has answered yet, or they may know of versions, or
     /// when those were named.
     pub fn doubts(&self, now: Moment) -> Option<Millis> {
-        let may_have_forgotten = self.return_limit().is_some();
+        let may_have_forgotten = self.reregistration_deadline().is_some();
         if self.word.is_awaited(now)
             || self.inquiry.is_urgent()
-            || (may_have_forgotten && self.upstreams.lapsed() > 0)
+            || (may_have_forgotten && self.upstreams.expired_count() > 0)
         {
             return Some(ASK_SOON);
         }
         let may_miss_versions = self.store_away || self.inquiry.is_open(now);
-        (may_miss_versions || self.word.is_asked(now)).then_some(ASK_AGAIN)
+        (may_miss_versions || self.word.should_ask(now)).then_some(ASK_AGAIN)
     }
 
     /// What this entry knows of when versions were named that may not have replaced all others yet.
@@ -243,15 +243,20 @@
     }
 
     /// What this entry knows of the fleet, for agents that start.
-    pub fn fleet(&self) -> FleetPage {
+    pub fn fleet(&self) -> FleetUpdate {
         let document = self.document.iter().cloned().map(FleetChange::Configured);
         let named = self.versions.all_newest();
-        let named = named.map(|(model, version)| FleetChange::VersionNamed(model, version));
+        let named = named.map(|(model, version)| FleetChange::VersionAnnounced(model, version));
         let ids = self.upstreams.ids().into_iter();
         let records = ids.filter_map(|id| Some(self.upstreams.get(&id)?.record.clone()));
         let peers = self.peers.iter().cloned().map(FleetChange::Peer);
         let changes = document.chain(named).chain(records.map(FleetChange::Upstream)).chain(peers);
-        FleetPage { changes: changes.collect(), at: self.revision, era: self.era, whole: true }
+        FleetUpdate {
+            changes: changes.collect(),
+            revision: self.revision,
+            era: self.era,
+            is_snapshot: true,
+        }
     }
 
     /// Whether callers should be sent here.
@@ -266,7 +271,7 @@
             proof_age: self.config_proof.age(now),
             era: self.era,
             upstreams: self.upstreams.len(),
-            lapsed: self.upstreams.lapsed(),
+            lapsed: self.upstreams.expired_count(),
             requests: self.requests.len(),
             waiting: self.queues.values().map(WaitQueue::len).sum(),
             quarantined: self.quarantine.quarantined(now),
@@ -292,8 +297,8 @@
                 }
             }
             RequestStage::Sent(upstream) => {
-                self.upstreams.read(upstream, state.reading);
-                self.upstreams.left(upstream);
+                self.upstreams.record_prefill_end(upstream, state.reading);
+                self.upstreams.record_finished(upstream);
             }
             RequestStage::Between => {}
         }
@@ -325,7 +330,7 @@
         let place = self.place_at.take();
         let held = self.held.next_overdue();
         let verdict = self.quarantine.next_verdict();
-        let word = self.word.waits_until();
+        let word = self.word.wait_deadline();
         let moments = overdue.into_iter().chain(place).chain(held).chain(verdict).chain(word);
         let moments =
             moments.chain(self.inquiry.next_decision()).chain(self.unbegun.next_overdue());
--- a/mustardrill_core/src/direct/repeats/again.rs
+++ b/mustardrill_core/src/direct/repeats/again.rs
@@ -85,7 +85,7 @@
             return false;
         }
         let share = &self.settings.retry;
-        let entries = self.census.count(now, share.window, &self.peers);
+        let entries = self.census.count_live(now, share.window, &self.peers);
         let window = self.windows.entry(state.service.clone()).or_default();
         let granted = window.spend(now, share, entries);
         if !granted {
--- a/mustardrill_core/src/direct/repeats/suspicion.rs
+++ b/mustardrill_core/src/direct/repeats/suspicion.rs
@@ -126,7 +126,7 @@
 
     fn suspect(&mut self, now: Moment, run: CrashedRun) {
         let start = UpstreamStart { id: run.upstream.clone(), start: run.start };
-        self.upstreams.ended(&start, run.ended);
+        self.upstreams.record_crash(&start, run.ended);
         self.quarantine.crashed(now, run);
     }
 
--- a/mustardrill_core/src/direct/store/gathering.rs
+++ b/mustardrill_core/src/direct/store/coalescing.rs
@@ -13,7 +13,7 @@
 
 use mustardrill_types::{FastMap, Generation, InstanceId, Millis, Moment, ServiceName, StartStamp};
 
-use crate::direct::fleet::page::{FleetChange, FleetPage};
+use crate::direct::fleet::update::{FleetChange, FleetUpdate};
 
 /// Pause after changes of the membership or any other kind. An upstream that shuts down must receive
 /// no further requests within twice this time.
@@ -32,11 +32,11 @@
 
 /// When and how the store is read next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NextReading {
+pub struct NextRead {
     /// How long to wait before the read.
     pub pause: Millis,
     /// Whether to read a snapshot instead of each change since the last read.
-    pub anew: bool,
+    pub is_snapshot: bool,
 }
 
 /// Chooses the pause before the next read from the changes of the last one.
@@ -44,7 +44,7 @@
 /// It remembers the upstreams that were reported, to tell which ones are new and which services have
 /// none left.
 #[derive(Debug, Default)]
-pub struct GatherPause {
+pub struct ChangeCoalescer {
     known_upstreams: FastMap<InstanceId, KnownUpstream>,
     /// The newest configuration, and when it was first received.
     configured: Option<(Generation, Moment)>,
@@ -58,21 +58,21 @@
     leaving: bool,
 }
 
-impl GatherPause {
+impl ChangeCoalescer {
     /// Returns how to read the store after an update received at `now`. There is no pause after a
     /// snapshot, an empty update, or one that leaves a service without upstreams.
-    pub fn after(&mut self, now: Moment, update: &FleetPage) -> NextReading {
+    pub fn next_read(&mut self, now: Moment, update: &FleetUpdate) -> NextRead {
         if self.is_series(now, update) {
             for change in &update.changes {
                 self.record_change(change);
             }
-            return NextReading { pause: SERIES_PAUSE, anew: true };
+            return NextRead { pause: SERIES_PAUSE, is_snapshot: true };
         }
-        NextReading { pause: self.pause_after(update), anew: false }
+        NextRead { pause: self.pause_after(update), is_snapshot: false }
     }
 
     /// Whether an update contains a new configuration soon after another one.
-    fn is_series(&mut self, now: Moment, update: &FleetPage) -> bool {
+    fn is_series(&mut self, now: Moment, update: &FleetUpdate) -> bool {
         let generations = update.changes.iter().filter_map(|change| match change {
             FleetChange::Configured(document) => Some(document.generation),
             _ => None,
@@ -82,10 +82,10 @@
             return false;
         }
         let before = self.configured.replace((newest, now));
-        !update.whole && before.is_some_and(|(_, before)| now.since(before) < SERIES_WINDOW)
+        !update.is_snapshot && before.is_some_and(|(_, before)| now.since(before) < SERIES_WINDOW)
     }
 
-    fn pause_after(&mut self, update: &FleetPage) -> Millis {
+    fn pause_after(&mut self, update: &FleetUpdate) -> Millis {
         let mut has_membership_change = false;
         let mut has_unserved_service = false;
         for change in &update.changes {
@@ -95,7 +95,7 @@
                 affected_service.is_some_and(|service| !self.is_served(&service));
         }
         match (
-            update.whole || update.changes.is_empty() || has_unserved_service,
+            update.is_snapshot || update.changes.is_empty() || has_unserved_service,
             has_membership_change,
         ) {
             (true, _) => Millis(0),
@@ -114,7 +114,7 @@
                 self.known_upstreams.insert(record.id.clone(), upstream);
                 !is_known
             }
-            FleetChange::UpstreamGone(id) | FleetChange::UpstreamVoid(id) => {
+            FleetChange::UpstreamGone(id) | FleetChange::UpstreamInvalid(id) => {
                 self.known_upstreams.remove(id);
                 true
             }
@@ -126,7 +126,7 @@
     fn service_left(&self, change: &FleetChange) -> Option<ServiceName> {
         let id = match change {
             FleetChange::Upstream(record) if record.leaving => &record.id,
-            FleetChange::UpstreamGone(id) | FleetChange::UpstreamVoid(id) => id,
+            FleetChange::UpstreamGone(id) | FleetChange::UpstreamInvalid(id) => id,
             _ => return None,
         };
         self.known_upstreams.get(id).map(|known| known.service.clone())
--- a/mustardrill_core/src/direct/store/cursor.rs
+++ b/mustardrill_core/src/direct/store/cursor.rs
@@ -6,7 +6,7 @@
 
 use mustardrill_types::{StoreEra, StoreRevision};
 
-use crate::direct::fleet::page::FleetPage;
+use crate::direct::fleet::update::FleetUpdate;
 
 /// What to do with an update read from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -45,18 +45,18 @@
     }
 
     /// Advances to an update, unless it belongs to another era.
-    pub fn take(&mut self, update: &FleetPage) -> CursorVerdict {
+    pub fn take(&mut self, update: &FleetUpdate) -> CursorVerdict {
         if update.era < self.newest_era {
             return CursorVerdict::Outdated;
         }
         self.newest_era = update.era;
         let returned = self.applied_era.is_some_and(|era| update.era > era);
-        if returned && !update.whole {
+        if returned && !update.is_snapshot {
             self.revision = None;
             return CursorVerdict::ReadAnew;
         }
         self.applied_era = Some(update.era);
-        self.revision = Some(update.at);
+        self.revision = Some(update.revision);
         CursorVerdict::Taken { returned }
     }
 }
--- a/mustardrill_core/src/direct/store/view.rs
+++ b/mustardrill_core/src/direct/store/fleet_updates.rs
@@ -6,46 +6,46 @@
 use mustardrill_types::{FastSet, InstanceId, Moment};
 
 use crate::direct::event::DirectEffect;
-use crate::direct::fleet::page::{FleetChange, FleetPage, UpstreamRecord};
-use crate::direct::fleet::upstream::LapseCause;
+use crate::direct::fleet::update::{FleetChange, FleetUpdate, UpstreamRecord};
+use crate::direct::fleet::upstream::ExpiryCause;
 use crate::direct::reducer::DirectReducer;
-use crate::direct::store::freshness::{ProofClock, returned_at};
+use crate::direct::store::freshness::{FreshnessClock, earliest_restore_time};
 use crate::direct::versions::table::NamingTime;
 
 impl DirectReducer {
     /// Applies an update from the store. `sent` is when the call was sent, or a later moment for which
     /// its answer confirms the configuration as current.
-    pub(in crate::direct) fn fleet_seen(
+    pub(in crate::direct) fn apply_fleet_update(
         &mut self,
         now: Moment,
-        update: FleetPage,
+        update: FleetUpdate,
         sent: Moment,
     ) -> Vec<DirectEffect> {
         let was_unavailable = std::mem::take(&mut self.store_away);
         self.record_availability(now, sent, was_unavailable);
         let is_restored = self.detect_restore(now, &update);
-        let is_first_read = self.proof.last().is_none();
-        self.revision = update.at;
+        let is_first_read = self.proof.last_confirmed().is_none();
+        self.revision = update.revision;
         self.era = update.era;
         let time = self.naming_time(now, sent, was_unavailable);
         self.read_at = now;
-        if update.whole {
+        if update.is_snapshot {
             self.expire_missing(now, &update, is_restored);
         }
         let mut effects = if is_restored {
             self.apply_older_copy(now, time, update.changes)
         } else {
-            self.apply_changes(now, time, update.changes, update.whole)
+            self.apply_changes(now, time, update.changes, update.is_snapshot)
         };
-        if update.whole {
+        if update.is_snapshot {
             effects.extend(self.notify_agents_of_newest());
         }
         if is_first_read && !self.peers.is_empty() {
-            self.word.await_from(now);
+            self.word.start_wait(now);
         }
-        self.proof.prove(sent);
+        self.proof.confirm(sent);
         self.confirm_config(sent);
-        self.settle_lapsed(now);
+        self.remove_unreturned(now);
         self.settle_namings(now);
         effects.extend(self.pump_all(now));
         if !self.word.is_awaited(now) {
@@ -56,7 +56,7 @@
 
     /// Records that the store was available at `sent`.
     fn record_availability(&mut self, now: Moment, sent: Moment, was_unavailable: bool) {
-        self.contact.answered(now, sent, self.settings.forgetting);
+        self.contact.record_answer(now, sent, self.settings.forgetting);
         if was_unavailable {
             let answering = self.contact.span().map_or(now, |span| span.since);
             info!(
@@ -69,14 +69,15 @@
 
     /// Returns whether an update is the first one since the store was restored from an older copy, and
     /// records the restore.
-    fn detect_restore(&mut self, now: Moment, update: &FleetPage) -> bool {
-        let is_restored = update.whole && self.proof.last().is_some() && update.era > self.era;
+    fn detect_restore(&mut self, now: Moment, update: &FleetUpdate) -> bool {
+        let is_restored =
+            update.is_snapshot && self.proof.last_confirmed().is_some() && update.era > self.era;
         if is_restored {
             warn!(
                 "dependency=store outcome=returned era={} before={} revision={} read={}",
-                update.era, self.era, update.at, self.revision
+                update.era, self.era, update.revision, self.revision
             );
-            self.contact.returned(returned_at(now, self.proof.last()));
+            self.contact.record_restore(earliest_restore_time(now, self.proof.last_confirmed()));
             self.rewritten_at = now + self.settings.lapse_grace;
         }
         is_restored
@@ -86,7 +87,7 @@
     /// copy may lack a configuration that no entry had read, until the operator has written again.
     fn confirm_config(&mut self, sent: Moment) {
         if sent >= self.rewritten_at {
-            self.config_proof.prove(sent);
+            self.config_proof.confirm(sent);
         }
     }
 
@@ -99,7 +100,7 @@
     ) -> Vec<DirectEffect> {
         let mut effects = Vec::new();
         for change in changes {
-            if let (FleetChange::VersionNamed(model, version), false) = (&change, is_snapshot) {
+            if let (FleetChange::VersionAnnounced(model, version), false) = (&change, is_snapshot) {
                 let machines = self.local_engine_machines();
                 effects.push(DirectEffect::TellAgents(model.clone(), *version, machines));
             }
@@ -122,7 +123,7 @@
             match change {
                 FleetChange::Upstream(record) => {
                     let is_served = self.is_service_configured(&record);
-                    self.upstreams.register_older(now, record, is_served);
+                    self.upstreams.register_from_older_copy(now, record, is_served);
                 }
                 // Quarantines in force are known here, and others in the copy may have ended since.
                 FleetChange::Quarantined(_) => {}
@@ -166,15 +167,15 @@
             .collect()
     }
 
-    fn expire_missing(&mut self, now: Moment, update: &FleetPage, is_restored: bool) {
+    fn expire_missing(&mut self, now: Moment, update: &FleetUpdate, is_restored: bool) {
         let mut present = FastSet::default();
         if is_restored {
             // A missing entry may have registered after the copy was made.
             self.unconfirmed = self.peers.iter().map(|peer| peer.id.clone()).collect();
         } else {
-            self.peers.drain(..).for_each(|peer| self.census.note(now, &peer.id));
+            self.peers.drain(..).for_each(|peer| self.census.record_activity(now, &peer.id));
         }
-        let cause = if is_restored { LapseCause::Return } else { LapseCause::Outage };
+        let cause = if is_restored { ExpiryCause::Restore } else { ExpiryCause::Outage };
         for change in &update.changes {
             if let FleetChange::Upstream(record) = change {
                 present.insert(record.id.clone());
@@ -182,20 +183,20 @@
         }
         for id in self.upstreams.ids() {
             if !present.contains(&id) {
-                self.upstreams.lapse(now, &id, self.return_limit(), cause);
+                self.upstreams.expire(now, &id, self.reregistration_deadline(), cause);
             }
         }
     }
 
     /// Returns the moment until which a missing registration may be one that the store has lost.
-    pub(in crate::direct) fn return_limit(&self) -> Option<Moment> {
-        self.contact.return_limit(self.settings.lapse_grace)
+    pub(in crate::direct) fn reregistration_deadline(&self) -> Option<Moment> {
+        self.contact.reregistration_deadline(self.settings.lapse_grace)
     }
 
     /// Removes upstreams and peers that are still missing after they had the time to register again.
-    pub(in crate::direct) fn settle_lapsed(&mut self, now: Moment) {
-        if self.return_limit().is_none_or(|limit| self.proof.reaches(limit)) {
-            self.upstreams.forget_lapsed(now);
+    pub(in crate::direct) fn remove_unreturned(&mut self, now: Moment) {
+        if self.reregistration_deadline().is_none_or(|limit| self.proof.is_confirmed_since(limit)) {
+            self.upstreams.remove_expired(now);
             for id in std::mem::take(&mut self.unconfirmed) {
                 self.remove_peer(now, &id);
             }
@@ -203,9 +204,9 @@
     }
 
     fn remove_peer(&mut self, now: Moment, id: &InstanceId) {
-        self.census.note(now, id);
+        self.census.record_activity(now, id);
         self.peers.retain(|peer| peer.id != *id);
-        self.upstreams.heard.forget(id);
+        self.upstreams.peer_loads.remove_peer(id);
     }
 
     fn apply_change(&mut self, now: Moment, time: NamingTime, change: FleetChange) {
@@ -227,11 +228,16 @@
                 let is_served = self.is_service_configured(&record);
                 self.upstreams.register(now, record, is_served);
             }
-            FleetChange::UpstreamVoid(id) => self.upstreams.void(&id),
+            FleetChange::UpstreamInvalid(id) => self.upstreams.remove_invalid(&id),
             FleetChange::UpstreamGone(id) => {
-                self.upstreams.lapse(now, &id, self.return_limit(), LapseCause::Outage);
+                self.upstreams.expire(
+                    now,
+                    &id,
+                    self.reregistration_deadline(),
+                    ExpiryCause::Outage,
+                );
             }
-            FleetChange::VersionNamed(model, version) => {
+            FleetChange::VersionAnnounced(model, version) => {
                 self.version_named(now, &model, version, time);
             }
             // Handled in `apply_changes`, which collects the effects.
@@ -248,7 +254,7 @@
     }
 
     /// Records that the store does not answer, and releases the requests that are held for its answer.
-    pub(in crate::direct) fn store_failed(&mut self, now: Moment) -> Vec<DirectEffect> {
+    pub(in crate::direct) fn record_store_failure(&mut self, now: Moment) -> Vec<DirectEffect> {
         if !self.store_away {
             warn!("dependency=store outcome=lost proof_age={}", format_age(&self.proof, now));
         }
@@ -257,6 +263,6 @@
     }
 }
 
-fn format_age(proof: &ProofClock, now: Moment) -> String {
+fn format_age(proof: &FreshnessClock, now: Moment) -> String {
     proof.age(now).map_or("none".into(), |age| age.to_string())
 }
--- a/mustardrill_core/src/direct/store/freshness.rs
+++ b/mustardrill_core/src/direct/store/freshness.rs
@@ -9,15 +9,15 @@
 
 /// Time of the last confirmation by the store.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ProofClock {
+pub struct FreshnessClock {
     confirmed_at: Option<Moment>,
 }
 
-impl ProofClock {
+impl FreshnessClock {
     /// Records a complete answer of the store to a call that was sent at `sent`.
     ///
     /// The store may have produced the answer at any time after that, so only `sent` is certain.
-    pub fn prove(&mut self, sent: Moment) {
+    pub fn confirm(&mut self, sent: Moment) {
         self.confirmed_at = Some(self.confirmed_at.map_or(sent, |confirmed| confirmed.max(sent)));
     }
 
@@ -27,12 +27,12 @@
     }
 
     /// Returns the time of the last confirmation, or `None` if there was none.
-    pub fn last(&self) -> Option<Moment> {
+    pub fn last_confirmed(&self) -> Option<Moment> {
         self.confirmed_at
     }
 
     /// Whether the store was confirmed to be available at `moment` or later.
-    pub fn reaches(&self, moment: Moment) -> bool {
+    pub fn is_confirmed_since(&self, moment: Moment) -> bool {
         self.confirmed_at.is_some_and(|confirmed| confirmed >= moment)
     }
 
@@ -49,7 +49,7 @@
 /// `wait` means that it looked at the end of that time. Any other answer may have been produced right
 /// after `sent`. When the store becomes unavailable, counting from the end of a watch lets entries
 /// serve known customers for longer, by the length of that watch.
-pub fn proved_at(sent: Moment, answered: Moment, wait: Millis, unchanged: bool) -> Moment {
+pub fn confirmation_time(sent: Moment, answered: Moment, wait: Millis, unchanged: bool) -> Moment {
     if unchanged && answered.since(sent) >= wait { sent + wait } else { sent }
 }
 
@@ -59,6 +59,6 @@
 
 /// Returns the earliest moment at which the store can have been restored from an older copy, if the
 /// restore was detected at `now` and the state before it was last confirmed at `last_confirmed`.
-pub fn returned_at(now: Moment, last_confirmed: Option<Moment>) -> Moment {
+pub fn earliest_restore_time(now: Moment, last_confirmed: Option<Moment>) -> Moment {
     last_confirmed.unwrap_or(now).max(now - RESTORE_DETECTION_LIMIT)
 }
--- a/mustardrill_core/src/direct/store/generation_word.rs
+++ b/mustardrill_core/src/direct/store/generation_report.rs
@@ -17,7 +17,7 @@
 
 /// The newest generation that peers have reported, or the wait for a report.
 #[derive(Debug, Default)]
-pub(crate) struct GenerationWord {
+pub(crate) struct GenerationReport {
     newest: Generation,
     wait_until: Option<Moment>,
     ask_until: Moment,
@@ -27,16 +27,16 @@
     accept_until: Moment,
 }
 
-impl GenerationWord {
+impl GenerationReport {
     /// Starts to wait for a report, at the entry's first read of the store.
-    pub(crate) fn await_from(&mut self, now: Moment) {
+    pub(crate) fn start_wait(&mut self, now: Moment) {
         self.wait_until = Some(now + REPORT_TIMEOUT);
         self.ask_until = now + INQUIRY_LIMIT;
         self.accept_until = now + INQUIRY_LIMIT;
     }
 
     /// Records the generation that a peer entry has in force, which ends the wait.
-    pub(crate) fn heard(&mut self, now: Moment, generation: Generation) {
+    pub(crate) fn record_report(&mut self, now: Moment, generation: Generation) {
         if now >= self.accept_until {
             return;
         }
@@ -51,7 +51,7 @@
     }
 
     /// Returns when the wait times out, if a report is awaited.
-    pub(crate) fn waits_until(&self) -> Option<Moment> {
+    pub(crate) fn wait_deadline(&self) -> Option<Moment> {
         self.wait_until
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Whether the peers are to be asked for a report.
-    pub(crate) fn is_asked(&self, now: Moment) -> bool {
+    pub(crate) fn should_ask(&self, now: Moment) -> bool {
         now < self.ask_until
     }
 
--- a/mustardrill_core/src/direct/store/reader.rs
+++ b/mustardrill_core/src/direct/store/reader.rs
@@ -3,26 +3,26 @@
 
 use mustardrill_types::{Millis, Moment, StoreRevision};
 
-use crate::direct::fleet::page::FleetPage;
+use crate::direct::fleet::update::FleetUpdate;
 use crate::direct::store::cursor::{CursorVerdict, StoreCursor};
-use crate::direct::store::freshness::{ProofClock, proved_at, returned_at};
-use crate::direct::store::watch_pace::{WatchPace, WatchSpan};
+use crate::direct::store::freshness::{FreshnessClock, confirmation_time, earliest_restore_time};
+use crate::direct::store::watch_timing::{WatchScheduler, WatchTiming};
 
 /// The read state of an entry that watches the store.
 #[derive(Debug, Default)]
 pub struct StoreReader {
     cursor: StoreCursor,
-    pace: WatchPace,
-    proof: ProofClock,
+    watch_scheduler: WatchScheduler,
+    freshness: FreshnessClock,
 }
 
 /// What an answer that was applied shows about the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadOutcome {
     /// The last moment for which it is confirmed that nothing newer existed.
-    pub proved: Moment,
+    pub confirmed_at: Moment,
     /// Whether this is the first answer after a failure or after a restore from an older copy.
-    pub regained: bool,
+    pub is_recovered: bool,
 }
 
 impl StoreReader {
@@ -33,33 +33,34 @@
 
     /// Returns the timing of the next watch. `usual` is the wait while the store is available, and
     /// `grace` the time for which lost registrations are kept after the store is back.
-    pub fn span(&mut self, now: Moment, usual: Millis, grace: Millis) -> WatchSpan {
-        self.pace.span(now, usual, grace)
+    pub fn next_watch(&mut self, now: Moment, usual: Millis, grace: Millis) -> WatchTiming {
+        self.watch_scheduler.next_watch(now, usual, grace)
     }
 
     /// Records the answer, received at `now`, to a call that was sent at `sent` with the timing
     /// `span`. Returns `None` if it belongs to another era of the store and must be dropped.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Moment,
         sent: Moment,
-        span: WatchSpan,
-        update: &FleetPage,
+        span: WatchTiming,
+        update: &FleetUpdate,
     ) -> Option<ReadOutcome> {
-        let unchanged = self.revision() == Some(update.at) && update.changes.is_empty();
+        let unchanged = self.revision() == Some(update.revision) && update.changes.is_empty();
         let CursorVerdict::Taken { returned } = self.cursor.take(update) else { return None };
-        let regained = self.pace.answered(now) | returned;
+        let is_recovered = self.watch_scheduler.record_answer(now) | returned;
         if returned {
-            self.pace.returned(returned_at(now, self.proof.last()));
+            self.watch_scheduler
+                .record_restore(earliest_restore_time(now, self.freshness.last_confirmed()));
         }
-        let proved = proved_at(sent, now, span.wait, unchanged);
-        self.proof.prove(proved);
-        Some(ReadOutcome { proved, regained })
+        let confirmed_at = confirmation_time(sent, now, span.wait, unchanged);
+        self.freshness.confirm(confirmed_at);
+        Some(ReadOutcome { confirmed_at, is_recovered })
     }
 
     /// Records that a call got no answer.
-    pub fn failed(&mut self) {
-        self.pace.failed();
+    pub fn record_failure(&mut self) {
+        self.watch_scheduler.record_failure();
     }
 
     /// Drops the position because the store no longer has the changes after it.
--- a/mustardrill_core/src/direct/store/watch_pace.rs
+++ b/mustardrill_core/src/direct/store/watch_timing.rs
@@ -23,40 +23,40 @@
 
 /// The timing of one watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct WatchSpan {
+pub struct WatchTiming {
     /// How long the store is asked to wait for a change.
     pub wait: Millis,
     /// How long the store may take for its answer beyond that.
-    pub patience: Millis,
+    pub answer_timeout: Millis,
 }
 
 /// Chooses the timing of watches from the results of the last calls to the store.
 #[derive(Debug, Default)]
-pub struct WatchPace {
+pub struct WatchScheduler {
     has_failed: bool,
     back_since: Option<Moment>,
 }
 
-impl WatchSpan {
+impl WatchTiming {
     /// Timing for a reader that learns of urgent changes from others, such as an agent.
-    pub fn patient(wait: Millis) -> Self {
-        Self { wait, patience: AGENT_ANSWER_TIMEOUT }
+    pub fn for_agent(wait: Millis) -> Self {
+        Self { wait, answer_timeout: AGENT_ANSWER_TIMEOUT }
     }
 
     /// Returns the time after which a call without an answer has failed.
     pub fn timeout(&self) -> Millis {
-        Millis(self.wait.0 + self.patience.0)
+        Millis(self.wait.0 + self.answer_timeout.0)
     }
 }
 
-impl WatchPace {
+impl WatchScheduler {
     /// Records that a call got no answer.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.has_failed = true;
     }
 
     /// Records an answer received at `now`; returns whether it is the first one after a failure.
-    pub fn answered(&mut self, now: Moment) -> bool {
+    pub fn record_answer(&mut self, now: Moment) -> bool {
         let is_back = std::mem::take(&mut self.has_failed);
         if is_back {
             self.back_since = Some(now);
@@ -65,25 +65,25 @@
     }
 
     /// Records that the store was restored from an older copy, at `moment` at the earliest.
-    pub fn returned(&mut self, moment: Moment) {
+    pub fn record_restore(&mut self, moment: Moment) {
         self.back_since = self.back_since.max(Some(moment));
     }
 
     /// Returns the timing of the next watch. `usual` is the wait while the store is available, and
     /// `grace` the time for which lost registrations are kept after the store is back. A watch ends
     /// exactly when that time is over, so that the store is read once more at that moment.
-    pub fn span(&mut self, now: Moment, usual: Millis, grace: Millis) -> WatchSpan {
+    pub fn next_watch(&mut self, now: Moment, usual: Millis, grace: Millis) -> WatchTiming {
         if self.has_failed {
-            return WatchSpan { wait: Millis(0), patience: RECOVERY_ANSWER_TIMEOUT };
+            return WatchTiming { wait: Millis(0), answer_timeout: RECOVERY_ANSWER_TIMEOUT };
         }
         let Some(back) = self.back_since else {
-            return WatchSpan { wait: usual, patience: STEADY_ANSWER_TIMEOUT };
+            return WatchTiming { wait: usual, answer_timeout: STEADY_ANSWER_TIMEOUT };
         };
         let remaining = (back + grace).since(now);
         if remaining == Millis(0) {
             self.back_since = None;
         }
         let wait = usual.min(RECOVERY_WAIT).min(remaining);
-        WatchSpan { wait, patience: RECOVERY_ANSWER_TIMEOUT }
+        WatchTiming { wait, answer_timeout: RECOVERY_ANSWER_TIMEOUT }
     }
 }
--- a/mustardrill_core/src/direct/versions/naming.rs
+++ b/mustardrill_core/src/direct/versions/naming.rs
@@ -91,8 +91,8 @@
         sent: Moment,
         was_away: bool,
     ) -> NamingTime {
-        let earliest = self.proof.last().unwrap_or_default();
-        if was_away || self.proof.last().is_none() {
+        let earliest = self.proof.last_confirmed().unwrap_or_default();
+        if was_away || self.proof.last_confirmed().is_none() {
             return NamingTime::after(earliest, now);
         }
         if now.since(sent) <= sent.since(self.read_at) {
--- a/mustardrill_core/src/direct/versions/replaced.rs
+++ b/mustardrill_core/src/direct/versions/replaced.rs
@@ -111,7 +111,7 @@
         upstream: &InstanceId,
     ) -> Option<WeightVersion> {
         self.profile(&state.service)?;
-        self.upstreams.get(upstream)?.version_of(state.model.as_ref()?)
+        self.upstreams.get(upstream)?.served_version(state.model.as_ref()?)
     }
 
     /// What the attempt of a request under way is held to. An engine that is listed no more, or tells
--- a/mustardrill_core/src/direct/waiting/line.rs
+++ b/mustardrill_core/src/direct/waiting/line.rs
@@ -82,14 +82,14 @@
     /// How long a request waits behind `ahead` others, where the profile lets that be told.
     fn expected_wait(&self, state: &RequestState, ahead: usize) -> Millis {
         let Some(profile) = self.profile(&state.service) else {
-            let places = self.upstreams.slots(&state.service) as usize * PLAIN_QUEUE;
+            let places = self.upstreams.total_slots(&state.service) as usize * PLAIN_QUEUE;
             return if ahead >= places { Millis(u64::MAX / 4) } else { Millis(0) };
         };
         let forecast = EngineForecast::new(profile);
         let whole = forecast.whole_ms(profile.slots, forecast.usual());
         // Others ask for the freed slots as well, so this entry gets its share of them.
         let entries = self.peers().len() + 1;
-        let slots = self.upstreams.slots(&state.service).max(1);
+        let slots = self.upstreams.total_slots(&state.service).max(1);
         let turn = whole * entries as f64 / f64::from(slots);
         Millis((turn * (ahead + 1) as f64) as u64)
     }
--- a/mustardrill_core/src/stock/event.rs
+++ b/mustardrill_core/src/stock/event.rs
@@ -7,7 +7,7 @@
     ChunkIndex, DataCentre, InstanceId, Millis, ModelName, ServiceName, StartStamp, WeightVersion,
 };
 
-use crate::direct::{EngineWord, FleetPage, PeerRecord, ServedWeights};
+use crate::direct::{EngineWord, FleetUpdate, PeerRecord, ServedWeights};
 use crate::manifest::{ChunkBitmap, Manifest};
 use crate::stock::turn::TurnSettings;
 use crate::transfer::{ChunkDraw, ChunkSource, DrawOutcome, TransferSettings};
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone)]
 pub enum StockEvent {
     /// The store answered.
-    Fleet(FleetPage),
+    Fleet(FleetUpdate),
     /// An entry told that a version was named.
     VersionHeard(ModelName, WeightVersion),
     /// The entries were read anew; these are all that there are.
--- a/mustardrill_core/src/stock/reducer.rs
+++ b/mustardrill_core/src/stock/reducer.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 
 use crate::direct::{
-    EngineWord, FleetChange, FleetPage, NamingTime, RouteDocument, UpstreamRecord, VersionTable,
+    EngineWord, FleetChange, FleetUpdate, NamingTime, RouteDocument, UpstreamRecord, VersionTable,
 };
 use crate::manifest::Manifest;
 use crate::relays::RelayTable;
@@ -190,12 +190,12 @@
         }
     }
 
-    fn fleet_seen(&mut self, now: Moment, page: FleetPage) -> Vec<StockEffect> {
+    fn fleet_seen(&mut self, now: Moment, page: FleetUpdate) -> Vec<StockEffect> {
         let mut effects = Vec::new();
         // What an agent finds at its start was named nobody knows when.
-        let is_start = page.whole && self.document.is_none();
+        let is_start = page.is_snapshot && self.document.is_none();
         let named_since = if is_start { Moment(0) } else { now };
-        if page.whole {
+        if page.is_snapshot {
             self.peers.clear();
             self.registered.clear();
             self.relays.set(Vec::new());
@@ -204,10 +204,12 @@
             match change {
                 FleetChange::Configured(document) => self.configured(document),
                 FleetChange::Upstream(record) => self.register(&record),
-                FleetChange::UpstreamGone(id) | FleetChange::UpstreamVoid(id) => self.forget(&id),
-                FleetChange::VersionNamed(model, version) => {
+                FleetChange::UpstreamGone(id) | FleetChange::UpstreamInvalid(id) => {
+                    self.forget(&id)
+                }
+                FleetChange::VersionAnnounced(model, version) => {
                     let read_peers = self.named(named_since, &model, version);
-                    if !page.whole {
+                    if !page.is_snapshot {
                         effects.extend(read_peers);
                     }
                 }
--- a/mustardrill_core/tests/budgets.rs
+++ b/mustardrill_core/tests/budgets.rs
@@ -2,7 +2,7 @@
 
 use mustardrill_core::direct::{
     AttemptOutcome, DirectEffect, DirectEvent, DirectReducer, DirectSettings, FleetChange,
-    FleetPage, LoadNews, PeerLoad, RequestNumber, RetryShare,
+    FleetUpdate, LoadUpdate, PeerLoad, RequestNumber, RetryShare,
 };
 use mustardrill_types::{InstanceId, Millis, Moment, StoreRevision};
 
@@ -30,8 +30,9 @@
     reducer
 }
 
-fn fleet(reducer: &mut DirectReducer, now: Moment, changes: Vec<FleetChange>, whole: bool) {
-    let page = FleetPage { changes, at: StoreRevision(1), whole, ..FleetPage::default() };
+fn fleet(reducer: &mut DirectReducer, now: Moment, changes: Vec<FleetChange>, is_snapshot: bool) {
+    let page =
+        FleetUpdate { changes, revision: StoreRevision(1), is_snapshot, ..FleetUpdate::default() };
     reducer.reduce(now, DirectEvent::Fleet(page, now));
 }
 
@@ -82,7 +83,7 @@
 fn entries_that_are_heard_count_also_where_the_store_does_not_list_them() {
     let mut reducer = entry_of(1);
     for place in 1..36 {
-        let news = LoadNews { rows: Vec::new(), whole: true, waiting: Vec::new() };
+        let news = LoadUpdate { rows: Vec::new(), is_snapshot: true, waiting: Vec::new() };
         let load = PeerLoad { from: name(place), news };
         reducer.reduce(START, DirectEvent::PeerHeard(load));
     }
--- a/mustardrill_core/tests/contention.rs
+++ b/mustardrill_core/tests/contention.rs
@@ -6,7 +6,7 @@
 
 use mustardrill_core::direct::{
     AttemptOutcome, CallerLimits, DirectEffect, DirectEvent, DirectReducer, DirectSettings,
-    EngineProfile, EngineWord, FleetChange, FleetPage, LoadTeller, PeerLoad, RepeatRule,
+    EngineProfile, EngineWord, FleetChange, FleetUpdate, LoadBroadcaster, PeerLoad, RepeatRule,
     RequestNumber, RouteDocument, RouteRule, ServedWeights, ServiceProfile, UpstreamRecord,
     WorkSize,
 };
@@ -62,7 +62,12 @@
     let mut changes = vec![FleetChange::Configured(document())];
     changes.extend((1..=1 + pattern.paused).map(engine));
     changes.extend((0..pattern.entries).map(peer));
-    let page = FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() };
+    let page = FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot: false,
+        ..FleetUpdate::default()
+    };
     reducer.reduce(START, DirectEvent::Fleet(page, START));
     reducer
 }
@@ -125,7 +130,7 @@
 fn play(pattern: &LoadPattern) -> (u32, u32) {
     let count = pattern.entries;
     let mut entries: Vec<_> = (0..count).map(|place| entry(place, pattern)).collect();
-    let mut tellers: Vec<_> = (0..count).map(|_| LoadTeller::default()).collect();
+    let mut tellers: Vec<_> = (0..count).map(|_| LoadBroadcaster::default()).collect();
     let mut arrivals: BTreeMap<u64, Vec<Arrival>> = BTreeMap::new();
     let (mut there, mut most, mut ended, mut number) = (0, 0, 0, 0);
     let mut free_at = vec![START; SLOTS as usize];
@@ -179,7 +184,8 @@
                 }
             }
             if step % 10 == 0
-                && let Some(news) = tellers[place].next(now, entry.outstanding(), entry.waiting())
+                && let Some(news) =
+                    tellers[place].next_update(now, entry.outstanding(), entry.waiting())
             {
                 let load = PeerLoad { from: name(place as u64), news };
                 let to = (0..count as usize).filter(|other| *other != place);
--- a/mustardrill_core/tests/departures.rs
+++ b/mustardrill_core/tests/departures.rs
@@ -2,8 +2,8 @@
 //! and cannot reach the store.
 
 use mustardrill_core::direct::{
-    AnswerSpan, DirectEvent, DirectReducer, DirectSettings, FleetChange, FleetPage, StoreContact,
-    StoreReader, WatchSpan,
+    AvailabilitySpan, DirectEvent, DirectReducer, DirectSettings, FleetChange, FleetUpdate,
+    StoreAvailability, StoreReader, WatchTiming,
 };
 use mustardrill_types::{Millis, Moment, StoreEra, StoreRevision};
 use proptest::prelude::*;
@@ -29,8 +29,13 @@
     numbers.into_iter().map(|number| FleetChange::UpstreamGone(desk_id(number))).collect()
 }
 
-fn fleet_update(changes: Vec<FleetChange>) -> FleetPage {
-    FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() }
+fn fleet_update(changes: Vec<FleetChange>) -> FleetUpdate {
+    FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot: false,
+        ..FleetUpdate::default()
+    }
 }
 
 fn apply_answer(reducer: &mut DirectReducer, at: Moment, changes: Vec<FleetChange>) {
@@ -98,7 +103,7 @@
     let back = START + Millis(5_000);
     let mut reducer = entry_after_outage(Millis(5_000), 0..3);
     assert_eq!(common::reached_desks(&mut reducer, UPSTREAMS, back).len(), 6);
-    let span = AnswerSpan { since: Moment(0), until: back - Millis(900) };
+    let span = AvailabilitySpan { since: Moment(0), until: back - Millis(900) };
     reducer.reduce(back, DirectEvent::ContactHeard(span));
     assert_eq!(common::reached_desks(&mut reducer, UPSTREAMS, back), (3..6).map(desk_id).collect());
 }
@@ -123,19 +128,24 @@
 #[test]
 fn periods_of_availability_are_joined_over_gaps_too_short_to_lose_registrations() {
     let at = |millis| START + Millis(millis);
-    let mut contact = StoreContact::default();
-    contact.answered(at(0), at(0), REGISTRATION_EXPIRY);
-    contact.answered(at(2_500), at(2_300), REGISTRATION_EXPIRY);
-    assert_eq!(contact.return_limit(SHUTDOWN_LIMIT), None);
-    contact.answered(at(9_000), at(9_000), REGISTRATION_EXPIRY);
-    assert_eq!(contact.return_limit(SHUTDOWN_LIMIT), Some(at(11_000)));
+    let mut contact = StoreAvailability::default();
+    contact.record_answer(at(0), at(0), REGISTRATION_EXPIRY);
+    contact.record_answer(at(2_500), at(2_300), REGISTRATION_EXPIRY);
+    assert_eq!(contact.reregistration_deadline(SHUTDOWN_LIMIT), None);
+    contact.record_answer(at(9_000), at(9_000), REGISTRATION_EXPIRY);
+    assert_eq!(contact.reregistration_deadline(SHUTDOWN_LIMIT), Some(at(11_000)));
     // A peer's period that ended before this gap tells nothing about it.
-    contact.heard(AnswerSpan { since: at(0), until: at(3_000) }, REGISTRATION_EXPIRY);
-    assert_eq!(contact.return_limit(SHUTDOWN_LIMIT), Some(at(11_000)));
-    contact.heard(AnswerSpan { since: at(6_000), until: at(9_500) }, REGISTRATION_EXPIRY);
-    assert_eq!(contact.return_limit(SHUTDOWN_LIMIT), Some(at(8_000)));
-    contact.heard(AnswerSpan { since: at(0), until: at(4_000) }, REGISTRATION_EXPIRY);
-    assert_eq!(contact.return_limit(SHUTDOWN_LIMIT), None);
+    contact
+        .merge_peer_span(AvailabilitySpan { since: at(0), until: at(3_000) }, REGISTRATION_EXPIRY);
+    assert_eq!(contact.reregistration_deadline(SHUTDOWN_LIMIT), Some(at(11_000)));
+    contact.merge_peer_span(
+        AvailabilitySpan { since: at(6_000), until: at(9_500) },
+        REGISTRATION_EXPIRY,
+    );
+    assert_eq!(contact.reregistration_deadline(SHUTDOWN_LIMIT), Some(at(8_000)));
+    contact
+        .merge_peer_span(AvailabilitySpan { since: at(0), until: at(4_000) }, REGISTRATION_EXPIRY);
+    assert_eq!(contact.reregistration_deadline(SHUTDOWN_LIMIT), None);
 }
 
 /// Start and length of an outage in milliseconds.
@@ -157,7 +167,7 @@
 #[derive(Debug, Clone, Copy)]
 enum CallState {
     Idle { until: Moment },
-    Waiting { sent: Moment, span: WatchSpan, fails: Option<Moment> },
+    Waiting { sent: Moment, span: WatchTiming, fails: Option<Moment> },
 }
 
 /// The registrations in the store, renewed by the heartbeats of the upstreams.
@@ -238,19 +248,19 @@
     }
 
     /// Returns the answer to a reader, or `None` if its revision no longer exists.
-    fn update_after(&self, read: Option<StoreRevision>) -> Option<FleetPage> {
-        let (at, era) = (StoreRevision(self.changes.len() as u64), StoreEra(self.era));
+    fn update_after(&self, read: Option<StoreRevision>) -> Option<FleetUpdate> {
+        let (revision, era) = (StoreRevision(self.changes.len() as u64), StoreEra(self.era));
         let Some(read) = read else {
             let listed = (0..UPSTREAMS).filter(|number| self.listed[usize::from(*number)]);
             let changes = listed.map(registration).collect();
-            return Some(FleetPage { changes, at, era, whole: true });
+            return Some(FleetUpdate { changes, revision, era, is_snapshot: true });
         };
         let changes = self.changes.get(read.0 as usize..)?;
         let changes = changes.iter().map(|(number, listed)| match listed {
             true => registration(*number),
             false => FleetChange::UpstreamGone(desk_id(*number)),
         });
-        Some(FleetPage { changes: changes.collect(), at, era, whole: false })
+        Some(FleetUpdate { changes: changes.collect(), revision, era, is_snapshot: false })
     }
 }
 
@@ -273,7 +283,7 @@
         self.reducer.reduce(now, DirectEvent::Woke);
         match self.call {
             CallState::Idle { until } if now >= until => {
-                let span = self.reader.span(now, WATCH, REREGISTRATION_GRACE);
+                let span = self.reader.next_watch(now, WATCH, REREGISTRATION_GRACE);
                 let fails = is_cut_off.then_some(now + CONNECT_TIMEOUT);
                 self.call = CallState::Waiting { sent: now, span, fails };
             }
@@ -285,7 +295,7 @@
                 match fails {
                     Some(at) if now >= at => {
                         self.reducer.reduce(now, DirectEvent::StoreFailed);
-                        self.reader.failed();
+                        self.reader.record_failure();
                         // The time that the failed call took counts towards the pause.
                         let pause = Millis(RETRY_PAUSE.0.saturating_sub(now.since(sent).0));
                         self.call = CallState::Idle { until: now + pause };
@@ -297,18 +307,18 @@
         }
     }
 
-    fn try_answer(&mut self, now: Moment, sent: Moment, span: WatchSpan, registry: &Registry) {
+    fn try_answer(&mut self, now: Moment, sent: Moment, span: WatchTiming, registry: &Registry) {
         let Some(update) = registry.update_after(self.reader.revision()) else {
             self.reader.reset();
             self.call = CallState::Idle { until: now };
             return;
         };
-        if update.changes.is_empty() && !update.whole && now.since(sent) < span.wait {
+        if update.changes.is_empty() && !update.is_snapshot && now.since(sent) < span.wait {
             return;
         }
         self.call = CallState::Idle { until: now };
-        if let Some(outcome) = self.reader.answered(now, sent, span, &update) {
-            self.reducer.reduce(now, DirectEvent::Fleet(update, outcome.proved));
+        if let Some(outcome) = self.reader.record_answer(now, sent, span, &update) {
+            self.reducer.reduce(now, DirectEvent::Fleet(update, outcome.confirmed_at));
         }
     }
 }
@@ -316,9 +326,9 @@
 /// A reader that has read a snapshot at `START`.
 fn first_reader() -> StoreReader {
     let mut reader = StoreReader::default();
-    let span = reader.span(START, WATCH, REREGISTRATION_GRACE);
-    let first = FleetPage { whole: true, ..FleetPage::default() };
-    assert!(reader.answered(START, START, span, &first).is_some());
+    let span = reader.next_watch(START, WATCH, REREGISTRATION_GRACE);
+    let first = FleetUpdate { is_snapshot: true, ..FleetUpdate::default() };
+    assert!(reader.record_answer(START, START, span, &first).is_some());
     reader
 }
 
--- a/mustardrill_core/tests/direct.rs
+++ b/mustardrill_core/tests/direct.rs
@@ -4,10 +4,10 @@
 
 use assert_matches::assert_matches;
 use mustardrill_core::direct::{
-    AttemptOutcome, CallerLimits, CustomerRecord, DirectEffect, DirectEvent, DirectReducer,
-    DirectRequest, DirectSettings, EngineWord, FleetChange, FleetPage, GatherPause, LoadNews,
+    AttemptOutcome, CallerLimits, ChangeCoalescer, CustomerRecord, DirectEffect, DirectEvent,
+    DirectReducer, DirectRequest, DirectSettings, EngineWord, FleetChange, FleetUpdate, LoadUpdate,
     PeerLoad, RefusalPlan, RepeatRule, RequestNumber, RouteDocument, RouteRule, SendPlan,
-    ServedWeights, ServiceProfile, UpstreamLoad, UpstreamRecord, WorkSize, proved_at,
+    ServedWeights, ServiceProfile, UpstreamLoad, UpstreamRecord, WorkSize, confirmation_time,
 };
 use mustardrill_types::{
     FastMap, Generation, InstanceId, Millis, Moment, ResultCode, StartStamp, StoreRevision,
@@ -69,8 +69,13 @@
     }
 }
 
-fn page(changes: Vec<FleetChange>) -> FleetPage {
-    FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() }
+fn page(changes: Vec<FleetChange>) -> FleetUpdate {
+    FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot: false,
+        ..FleetUpdate::default()
+    }
 }
 
 /// An entry with one configuration and these upstreams.
@@ -211,10 +216,18 @@
 fn a_watch_that_ends_without_a_change_proves_its_end() {
     let wait = Millis(1_500);
     let at = |after: u64| START + Millis(after);
-    assert_eq!(proved_at(START, at(1_504), wait, true), at(1_500));
-    assert_eq!(proved_at(START, at(9_000), wait, true), at(1_500), "however late the answer comes");
-    assert_eq!(proved_at(START, at(1_499), wait, true), START, "it was cut short");
-    assert_eq!(proved_at(START, at(1_504), wait, false), START, "it may be an early answer, late");
+    assert_eq!(confirmation_time(START, at(1_504), wait, true), at(1_500));
+    assert_eq!(
+        confirmation_time(START, at(9_000), wait, true),
+        at(1_500),
+        "however late the answer comes"
+    );
+    assert_eq!(confirmation_time(START, at(1_499), wait, true), START, "it was cut short");
+    assert_eq!(
+        confirmation_time(START, at(1_504), wait, false),
+        START,
+        "it may be an early answer, late"
+    );
 }
 
 #[test]
@@ -343,9 +356,9 @@
     let from: InstanceId = "entry-2".parse().unwrap();
     let told = PeerLoad {
         from,
-        news: LoadNews {
+        news: LoadUpdate {
             rows: vec![("u1".parse().unwrap(), load)],
-            whole: true,
+            is_snapshot: true,
             waiting: Vec::new(),
         },
     };
@@ -367,7 +380,7 @@
         let load = UpstreamLoad { requests, reading: Millis(0) };
         let rows = vec![("u1".parse().unwrap(), load)];
         let waiting = waiting.iter().map(|(name, count)| (name.parse().unwrap(), *count));
-        let news = LoadNews { rows, whole: true, waiting: waiting.collect() };
+        let news = LoadUpdate { rows, is_snapshot: true, waiting: waiting.collect() };
         DirectEvent::PeerHeard(PeerLoad { from: "entry-2".parse().unwrap(), news })
     };
     reducer.reduce(START, word(9, &[]));
@@ -509,7 +522,7 @@
 #[test]
 fn after_its_time_nothing_begins_on_replaced_weights() {
     let mut reducer = entry(&[upstream("u1", "pool", 1), upstream("u2", "pool", 2)]);
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let named = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     reducer.reduce(START, DirectEvent::Fleet(page(vec![named]), START));
     let later = START + Millis(7_000);
     reducer.reduce(later, DirectEvent::Fleet(page(Vec::new()), later));
@@ -525,7 +538,7 @@
 
 #[test]
 fn an_entry_that_starts_or_comes_back_gives_replaced_weights_no_second_patience() {
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let named = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     let old = upstream("u1", "pool", 1);
     let mut changes = vec![FleetChange::Configured(document(1, &["key-1"])), named.clone()];
     changes.push(FleetChange::Upstream(old.clone()));
@@ -551,7 +564,7 @@
 /// While changes gather at the store nobody asks it; what was named then is not as old as its answer.
 #[test]
 fn a_version_named_while_changes_gathered_counts_from_the_answer_before() {
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let named = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     let serves = |gathered: u64, waited: u64, due: Moment| {
         let mut reducer = entry(&[upstream("u1", "pool", 1)]);
         let asked = START + Millis(gathered);
@@ -569,7 +582,7 @@
 /// The newer version is late; the older one may be begun on until its bound.
 #[test]
 fn engines_with_replaced_weights_idle_before_their_time_is_over() {
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let named = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     let bound = common::direct_settings().version_bound;
     let mut idle = entry(&[upstream("u1", "pool", 1)]);
     idle.reduce(START, DirectEvent::Fleet(page(vec![named.clone()]), START));
@@ -579,7 +592,7 @@
     // What waits inside an engine puts the beginning off.
     let mut full = entry(&[upstream("u1", "pool", 1)]);
     let rows = vec![("u1".parse().unwrap(), UpstreamLoad { requests: 16, reading: Millis(70) })];
-    let news = LoadNews { rows, whole: true, waiting: Vec::new() };
+    let news = LoadUpdate { rows, is_snapshot: true, waiting: Vec::new() };
     full.reduce(START, DirectEvent::Fleet(page(vec![named]), START));
     full.reduce(late, DirectEvent::Fleet(page(Vec::new()), late));
     let from = "entry-2".parse().unwrap();
@@ -590,16 +603,18 @@
 /// Engines that load tell so again and again; whoever comes or goes is learned of soon.
 #[test]
 fn changes_gather_for_longer_where_no_upstream_comes_or_goes() {
-    let mut gathering = GatherPause::default();
-    let whole =
-        FleetPage { whole: true, ..page(vec![FleetChange::Upstream(upstream("u1", "pool", 1))]) };
+    let mut gathering = ChangeCoalescer::default();
+    let whole = FleetUpdate {
+        is_snapshot: true,
+        ..page(vec![FleetChange::Upstream(upstream("u1", "pool", 1))])
+    };
     assert_eq!(
-        gathering.after(START, &whole).pause,
+        gathering.next_read(START, &whole).pause,
         Millis(0),
         "what changed during the reading is asked for"
     );
-    assert_eq!(gathering.after(START, &page(Vec::new())).pause, Millis(0));
-    let mut told = |change| gathering.after(START, &page(vec![change])).pause;
+    assert_eq!(gathering.next_read(START, &page(Vec::new())).pause, Millis(0));
+    let mut told = |change| gathering.next_read(START, &page(vec![change])).pause;
     let loaded = told(FleetChange::Upstream(upstream("u1", "pool", 2)));
     let came = told(FleetChange::Upstream(upstream("u2", "pool", 2)));
     assert!(loaded > came && loaded <= Millis(500), "{loaded} {came}");
@@ -616,12 +631,12 @@
 /// While changes gather, requests of a service without upstreams are refused.
 #[test]
 fn the_first_upstream_of_a_service_that_lost_its_last_is_not_kept_waiting() {
-    let mut gathering = GatherPause::default();
+    let mut gathering = ChangeCoalescer::default();
     let fleet =
         ["d1", "d2", "e1"].map(|id| upstream(id, if id == "e1" { "pool" } else { "desk" }, 1));
     let changes: Vec<_> = fleet.iter().cloned().map(FleetChange::Upstream).collect();
-    gathering.after(START, &FleetPage { whole: true, ..page(changes) });
-    let mut told = |change| gathering.after(START, &page(vec![change])).pause;
+    gathering.next_read(START, &FleetUpdate { is_snapshot: true, ..page(changes) });
+    let mut told = |change| gathering.next_read(START, &page(vec![change])).pause;
     let gone = |id: &str| FleetChange::UpstreamGone(id.parse().unwrap());
     assert!(told(gone("d1")) > Millis(0), "the other one serves");
     assert_eq!(told(gone("d2")), Millis(0), "nobody serves: the next registration is waited for");
@@ -697,10 +712,10 @@
 /// A watch tells each configuration of a series in full, at each entry.
 #[test]
 fn each_configuration_of_a_series_crosses_the_link() {
-    let mut gathering = GatherPause::default();
+    let mut gathering = ChangeCoalescer::default();
     let told = |generation| page(vec![FleetChange::Configured(document(generation, &["key-1"]))]);
-    let first = gathering.after(START, &told(2));
-    assert!(!first.anew && first.pause <= Millis(150), "a single change is told soon");
+    let first = gathering.next_read(START, &told(2));
+    assert!(!first.is_snapshot && first.pause <= Millis(150), "a single change is told soon");
     // Eight follow one another at 330 ms: the newest is read once in a while.
     let (mut now, mut read, mut latest) = (START, 1, Millis(0));
     for generation in 3..=10 {
@@ -708,16 +723,16 @@
         if written < now {
             continue;
         }
-        let next = gathering.after(written, &told(generation));
-        assert!(next.anew, "what lies between is not told");
+        let next = gathering.next_read(written, &told(generation));
+        assert!(next.is_snapshot, "what lies between is not told");
         now = written + next.pause;
         latest = next.pause;
         read += 1;
     }
     assert!(read <= 4, "{read} of 9 cross");
     assert!(latest <= Millis(1_500), "a change is in force well within the tightest bound");
-    let later = gathering.after(START + Millis(20_000), &told(11));
-    assert!(!later.anew, "the series is over");
+    let later = gathering.next_read(START + Millis(20_000), &told(11));
+    assert!(!later.is_snapshot, "the series is over");
 }
 
 #[test]
@@ -903,7 +918,7 @@
         UpstreamRecord { data_centre: "hall-b".parse().unwrap(), ..upstream("u3", "pool", 1) };
     let near = UpstreamRecord { address: ([10, 0, 0, 7], 80).into(), ..upstream("u1", "pool", 1) };
     let mut reducer = entry(&[near, far, upstream("d1", "desk", 0)]);
-    let named = || vec![FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2))];
+    let named = || vec![FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2))];
     let told = |effects: &[DirectEffect]| -> Vec<Vec<std::net::IpAddr>> {
         let words = effects.iter().filter_map(|effect| match effect {
             DirectEffect::TellAgents(_, WeightVersion(2), machines) => Some(machines.clone()),
@@ -921,7 +936,7 @@
 /// entry reads as a whole stands in any order.
 #[test]
 fn an_entry_that_starts_tells_agents_near_by_of_the_version_that_it_finds() {
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let named = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     let near = UpstreamRecord { address: ([10, 0, 0, 7], 80).into(), ..upstream("u1", "pool", 1) };
     let changes = vec![
         named,
@@ -930,7 +945,7 @@
         FleetChange::Upstream(upstream("d1", "desk", 0)),
     ];
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
-    let whole = FleetPage { whole: true, ..page(changes) };
+    let whole = FleetUpdate { is_snapshot: true, ..page(changes) };
     let effects = reducer.reduce(START, DirectEvent::Fleet(whole, START));
     let model = "m".parse().unwrap();
     let machines = vec![std::net::IpAddr::from([10, 0, 0, 7])];
--- a/mustardrill_core/tests/naming_doubts.rs
+++ b/mustardrill_core/tests/naming_doubts.rs
@@ -1,9 +1,9 @@
 //! What an entry knows of namings that it did not see itself, and of attempts whose engine it lost.
 
 use mustardrill_core::direct::{
-    AnswerSpan, DirectEffect, DirectEvent, DirectReducer, FleetChange, FleetPage, NamingTime,
-    NamingWord, RepeatRule, RequestNumber, RouteDocument, ServedWeights, ServiceProfile,
-    UpstreamRecord, VersionTable, WorkSize,
+    AvailabilitySpan, DirectEffect, DirectEvent, DirectReducer, FleetChange, FleetUpdate,
+    NamingTime, NamingWord, RepeatRule, RequestNumber, RouteDocument, ServedWeights,
+    ServiceProfile, UpstreamRecord, VersionTable, WorkSize,
 };
 use mustardrill_types::{FastMap, Generation, Millis, ModelName, Moment, WeightVersion};
 
@@ -11,8 +11,8 @@
 
 const START: Moment = Moment(100_000);
 
-fn page(changes: Vec<FleetChange>) -> FleetPage {
-    FleetPage { changes, ..FleetPage::default() }
+fn page(changes: Vec<FleetChange>) -> FleetUpdate {
+    FleetUpdate { changes, ..FleetUpdate::default() }
 }
 
 fn model() -> ModelName {
@@ -43,7 +43,7 @@
 }
 
 fn named(version: u64) -> FleetChange {
-    FleetChange::VersionNamed(model(), WeightVersion(version))
+    FleetChange::VersionAnnounced(model(), WeightVersion(version))
 }
 
 fn other() -> FleetChange {
@@ -93,7 +93,7 @@
     let started = Moment::FIRST + Millis(300);
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = vec![configured(), named(1), other(), engine(1), named(2)];
-    let whole = FleetPage { whole: true, ..page(changes) };
+    let whole = FleetUpdate { is_snapshot: true, ..page(changes) };
     reducer.reduce(started, DirectEvent::Fleet(whole, Moment::FIRST + Millis(280)));
     assert_eq!(
         send(&mut reducer, 1, Moment::FIRST + Millis(600)),
@@ -107,7 +107,7 @@
 fn a_version_named_before_an_entry_started_counts_from_its_start() {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = vec![configured(), other(), engine(1), named(2)];
-    let whole = FleetPage { whole: true, ..page(changes) };
+    let whole = FleetUpdate { is_snapshot: true, ..page(changes) };
     reducer.reduce(
         Moment::FIRST + Millis(300),
         DirectEvent::Fleet(whole, Moment::FIRST + Millis(280)),
@@ -127,7 +127,7 @@
 fn an_entry_that_starts_late_gives_replaced_weights_their_whole_time_again() {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = vec![configured(), other(), engine(1), named(2)];
-    let whole = FleetPage { whole: true, ..page(changes) };
+    let whole = FleetUpdate { is_snapshot: true, ..page(changes) };
     reducer.reduce(START, DirectEvent::Fleet(whole, START));
     assert_eq!(send(&mut reducer, 1, START + Millis(300)), None);
 }
@@ -198,9 +198,9 @@
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
     let changes = vec![configured(), engine(1), named(2), other()];
-    let whole = FleetPage { whole: true, ..page(changes) };
+    let whole = FleetUpdate { is_snapshot: true, ..page(changes) };
     reducer.reduce(back, DirectEvent::Fleet(whole, back));
-    let span = AnswerSpan { since: Moment(0), until: back - Millis(10) };
+    let span = AvailabilitySpan { since: Moment(0), until: back - Millis(10) };
     reducer.reduce(back + Millis(20), DirectEvent::ContactHeard(span));
     let over = START + bound();
     reducer.reduce(over, DirectEvent::Fleet(page(Vec::new()), over));
@@ -215,7 +215,7 @@
     let back = START + Millis(6_000);
     reducer.reduce(back, DirectEvent::Fleet(page(vec![named(2)]), back));
     reducer.reduce(back + Millis(200), DirectEvent::Woke);
-    let span = AnswerSpan { since: Moment(0), until: back - Millis(10) };
+    let span = AvailabilitySpan { since: Moment(0), until: back - Millis(10) };
     reducer.reduce(back + Millis(300), DirectEvent::ContactHeard(span));
     // It knows it only as one of some seconds.
     let time = NamingTime::after(START, START + Millis(2_000));
--- a/mustardrill_core/tests/naming_silence.rs
+++ b/mustardrill_core/tests/naming_silence.rs
@@ -1,7 +1,7 @@
 //! What an entry makes of other entries that don't tell when versions were named.
 
 use mustardrill_core::direct::{
-    DirectEffect, DirectEvent, DirectReducer, FleetChange, FleetPage, RepeatRule, RouteDocument,
+    DirectEffect, DirectEvent, DirectReducer, FleetChange, FleetUpdate, RepeatRule, RouteDocument,
     ServedWeights, ServiceProfile, UpstreamRecord, WorkSize,
 };
 use mustardrill_types::{FastMap, Generation, Millis, Moment, WeightVersion};
@@ -10,8 +10,8 @@
 
 const START: Moment = Moment(100_000);
 
-fn page(changes: Vec<FleetChange>) -> FleetPage {
-    FleetPage { changes, ..FleetPage::default() }
+fn page(changes: Vec<FleetChange>) -> FleetUpdate {
+    FleetUpdate { changes, ..FleetUpdate::default() }
 }
 
 /// An entry before one engine with the first version, that knows of another entry.
@@ -41,7 +41,7 @@
 }
 
 fn named() -> FleetChange {
-    FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2))
+    FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2))
 }
 
 fn is_sent(reducer: &mut DirectReducer, now: Moment) -> bool {
--- a/mustardrill_core/tests/quarantine.rs
+++ b/mustardrill_core/tests/quarantine.rs
@@ -2,7 +2,7 @@
 
 use mustardrill_core::crash_board::CrashBoard;
 use mustardrill_core::direct::{
-    AttemptOutcome, DirectEffect, DirectEvent, DirectReducer, DirectRequest, FleetPage,
+    AttemptOutcome, DirectEffect, DirectEvent, DirectReducer, DirectRequest, FleetUpdate,
     RequestNumber,
 };
 use mustardrill_core::quarantine::{CrashWord, CrashedRun, QUARANTINE_SPAN, QuarantineTable};
@@ -24,7 +24,12 @@
 fn entry(upstreams: u16) -> DirectReducer {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = common::desk_fleet(upstreams);
-    let page = FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() };
+    let page = FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot: false,
+        ..FleetUpdate::default()
+    };
     reducer.reduce(START, DirectEvent::Fleet(page, START));
     reducer
 }
--- a/mustardrill_core/tests/rebirth.rs
+++ b/mustardrill_core/tests/rebirth.rs
@@ -6,8 +6,8 @@
 use assert_matches::assert_matches;
 use mustardrill_core::direct::{
     AttemptOutcome, CallerLimits, DirectEffect, DirectEvent, DirectReducer, EngineProfile,
-    FleetChange, FleetPage, OriginProfile, RepeatRule, RequestNumber, RouteDocument, ServedWeights,
-    ServiceProfile, UpstreamRecord, WorkSize,
+    FleetChange, FleetUpdate, OriginProfile, RepeatRule, RequestNumber, RouteDocument,
+    ServedWeights, ServiceProfile, UpstreamRecord, WorkSize,
 };
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::stock::{
@@ -57,8 +57,13 @@
     }
 }
 
-fn fleet_update(changes: Vec<FleetChange>) -> FleetPage {
-    FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() }
+fn fleet_update(changes: Vec<FleetChange>) -> FleetUpdate {
+    FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot: false,
+        ..FleetUpdate::default()
+    }
 }
 
 fn apply_change(
@@ -126,7 +131,7 @@
 #[test]
 fn an_invalid_registration_removes_the_upstream_until_it_registers_again() {
     let mut reducer = entry(record("u1", 10, 1));
-    let invalid = FleetChange::UpstreamVoid("u1".parse().unwrap());
+    let invalid = FleetChange::UpstreamInvalid("u1".parse().unwrap());
     apply_change(&mut reducer, START, invalid);
     assert!(!is_sent(&arrive(&mut reducer, START, 1)));
     apply_change(&mut reducer, START, FleetChange::Upstream(record("u1", 10, 1)));
@@ -153,11 +158,16 @@
 fn agent_with_accepted_order() -> (StockReducer, Moment) {
     let mut reducer = StockReducer::new(common::stock_settings(), 3);
     let changes = vec![FleetChange::Configured(document())];
-    let snapshot = FleetPage { changes, at: StoreRevision(1), whole: true, ..FleetPage::default() };
+    let snapshot = FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot: true,
+        ..FleetUpdate::default()
+    };
     reducer.reduce(START, StockEvent::Fleet(snapshot));
     reducer.reduce(START, engine(5, 1, 0));
     let model: mustardrill_types::ModelName = "m".parse().unwrap();
-    let named = FleetChange::VersionNamed(model.clone(), WeightVersion(2));
+    let named = FleetChange::VersionAnnounced(model.clone(), WeightVersion(2));
     reducer.reduce(START, StockEvent::Fleet(fleet_update(vec![named])));
     let mut effects = reducer.reduce(START, StockEvent::ListSeen(version(), Some(manifest())));
     let mut now = START;
@@ -224,7 +234,12 @@
     let mut reducer = StockReducer::new(common::stock_settings(), 3);
     reducer.reduce(START, StockEvent::EngineSeen(None));
     let changes = vec![FleetChange::Configured(document())];
-    let snapshot = FleetPage { changes, at: StoreRevision(1), whole: true, ..FleetPage::default() };
+    let snapshot = FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot: true,
+        ..FleetUpdate::default()
+    };
     reducer.reduce(START, StockEvent::Fleet(snapshot));
     let first = VersionId { version: WeightVersion(1), ..version() };
     let mut effects = reducer.reduce(START, StockEvent::ListSeen(first, Some(manifest())));
@@ -281,7 +296,7 @@
     ];
     reducer.reduce(START, StockEvent::Fleet(fleet_update(changes)));
     reducer.reduce(START, engine(5, 1, 0));
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let named = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     let effects = reducer.reduce(START, StockEvent::Fleet(fleet_update(vec![named])));
     let sources = effects.iter().find_map(|effect| match effect {
         StockEffect::FetchList(_, sources) => Some(sources.clone()),
@@ -304,7 +319,7 @@
         for (start, version, is_invalid) in history {
             let change = if is_invalid {
                 latest = (0, 0);
-                FleetChange::UpstreamVoid("u1".parse().unwrap())
+                FleetChange::UpstreamInvalid("u1".parse().unwrap())
             } else {
                 if start >= latest.0 {
                     latest = (start, version);
--- a/mustardrill_core/tests/stock.rs
+++ b/mustardrill_core/tests/stock.rs
@@ -6,7 +6,7 @@
 
 use assert_matches::assert_matches;
 use mustardrill_core::direct::{
-    CallerLimits, EngineProfile, EngineWord, FleetChange, FleetPage, ModelProfile, OriginProfile,
+    CallerLimits, EngineProfile, EngineWord, FleetChange, FleetUpdate, ModelProfile, OriginProfile,
     PeerRecord, RouteDocument, ServedWeights, ServiceProfile, UpstreamRecord,
 };
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
@@ -68,8 +68,13 @@
     })
 }
 
-fn fleet(changes: Vec<FleetChange>, whole: bool) -> StockEvent {
-    StockEvent::Fleet(FleetPage { changes, at: StoreRevision(1), whole, ..FleetPage::default() })
+fn fleet(changes: Vec<FleetChange>, is_snapshot: bool) -> StockEvent {
+    StockEvent::Fleet(FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot,
+        ..FleetUpdate::default()
+    })
 }
 
 fn engine(version: u64, sequence: u64) -> StockEvent {
@@ -89,7 +94,7 @@
 }
 
 fn named(number: u64) -> FleetChange {
-    FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(number))
+    FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(number))
 }
 
 fn list(number: u64) -> StockEvent {
--- a/mustardrill_core/tests/store_eras.rs
+++ b/mustardrill_core/tests/store_eras.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use mustardrill_core::direct::{
-    AnswerSpan, CallerLimits, CursorVerdict, CustomerRecord, DirectEffect, DirectEvent,
-    DirectReducer, DirectRequest, FleetChange, FleetPage, RepeatRule, RouteDocument, RouteRule,
+    AvailabilitySpan, CallerLimits, CursorVerdict, CustomerRecord, DirectEffect, DirectEvent,
+    DirectReducer, DirectRequest, FleetChange, FleetUpdate, RepeatRule, RouteDocument, RouteRule,
     ServedWeights, ServiceProfile, StoreCursor, UpstreamRecord,
 };
 use mustardrill_types::{
@@ -23,8 +23,13 @@
 /// When the restored store answers for the first time.
 const BACK: Moment = Moment(103_000);
 
-fn fleet_update(era: u64, at: u64, whole: bool) -> FleetPage {
-    FleetPage { era: StoreEra(era), at: StoreRevision(at), whole, ..FleetPage::default() }
+fn fleet_update(era: u64, revision: u64, is_snapshot: bool) -> FleetUpdate {
+    FleetUpdate {
+        era: StoreEra(era),
+        revision: StoreRevision(revision),
+        is_snapshot,
+        ..FleetUpdate::default()
+    }
 }
 
 #[test]
@@ -49,7 +54,7 @@
 
 /// Applies changes of the era `era`.
 fn apply_changes(reducer: &mut DirectReducer, at: Moment, era: u64, changes: Vec<FleetChange>) {
-    let update = FleetPage { changes, ..fleet_update(era, 1, false) };
+    let update = FleetUpdate { changes, ..fleet_update(era, 1, false) };
     reducer.reduce(at, DirectEvent::Fleet(update, at));
 }
 
@@ -59,7 +64,7 @@
     records: impl IntoIterator<Item = UpstreamRecord>,
 ) -> Vec<DirectEffect> {
     let changes = records.into_iter().map(FleetChange::Upstream).collect();
-    let update = FleetPage { changes, ..fleet_update(1, 1, true) };
+    let update = FleetUpdate { changes, ..fleet_update(1, 1, true) };
     reducer.reduce(BACK, DirectEvent::Fleet(update, BACK))
 }
 
@@ -98,7 +103,7 @@
     let mut reducer = entry();
     apply_older_copy(&mut reducer, (1..UPSTREAMS).map(common::desk));
     // Peers got answers all the time, which proves nothing about registrations that the copy lacks.
-    let span = AnswerSpan { since: Moment(0), until: BACK };
+    let span = AvailabilitySpan { since: Moment(0), until: BACK };
     reducer.reduce(BACK, DirectEvent::ContactHeard(span));
     assert_eq!(
         common::reached_desks(&mut reducer, UPSTREAMS, BACK + Millis(100)),
@@ -154,7 +159,7 @@
     let limits = CallerLimits::default();
     let newer = RouteDocument::new(Generation(2), Vec::new(), services, customers, limits);
     apply_changes(&mut reducer, START, 0, vec![FleetChange::Configured(Arc::new(newer))]);
-    let copy = FleetPage { changes: common::desk_fleet(UPSTREAMS), ..fleet_update(1, 1, true) };
+    let copy = FleetUpdate { changes: common::desk_fleet(UPSTREAMS), ..fleet_update(1, 1, true) };
     reducer.reduce(BACK, DirectEvent::Fleet(copy, BACK));
     assert_eq!(reducer.document().unwrap().generation, Generation(2));
 }
@@ -261,7 +266,7 @@
     for (era, restored_at) in [(1, BACK), (2, BACK + Millis(1_500))] {
         let mut copy = common::desk_fleet(UPSTREAMS);
         copy[0] = FleetChange::Configured(keyed_document(1));
-        let update = FleetPage { changes: copy, ..fleet_update(era, 1, true) };
+        let update = FleetUpdate { changes: copy, ..fleet_update(era, 1, true) };
         reducer.reduce(restored_at, DirectEvent::Fleet(update, restored_at));
         apply_changes(&mut reducer, restored_at + Millis(1_000), era, Vec::new());
     }
@@ -286,7 +291,7 @@
     let mut reducer = started_entry();
     reducer.reduce(START + Millis(10), DirectEvent::GenerationHeard(Generation(1)));
     let confirmed_at = START + Millis(20_000);
-    reducer.reduce(confirmed_at, DirectEvent::Fleet(FleetPage::default(), confirmed_at));
+    reducer.reduce(confirmed_at, DirectEvent::Fleet(FleetUpdate::default(), confirmed_at));
     reducer.reduce(confirmed_at + Millis(1_500), DirectEvent::StoreFailed);
     let now = confirmed_at + Millis(2_000);
     reducer.reduce(now, DirectEvent::GenerationHeard(Generation(9)));
--- a/mustardrill_core/tests/tellings.rs
+++ b/mustardrill_core/tests/tellings.rs
@@ -1,7 +1,7 @@
 //! Load updates between entries: increases are sent at once, decreases after a delay, unchanged loads
 //! only in snapshots.
 
-use mustardrill_core::direct::{LoadNews, LoadRows, LoadTeller, UpstreamLoad};
+use mustardrill_core::direct::{LoadBroadcaster, LoadRows, LoadUpdate, UpstreamLoad};
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment};
 use proptest::prelude::*;
 
@@ -14,25 +14,27 @@
 
 #[test]
 fn increases_are_sent_at_once_and_decreases_after_a_delay() {
-    let mut broadcaster = LoadTeller::default();
+    let mut broadcaster = LoadBroadcaster::default();
     assert!(
-        broadcaster.next(START, rows(&[("u1", 1)]), Vec::new()).unwrap().whole,
+        broadcaster.next_update(START, rows(&[("u1", 1)]), Vec::new()).unwrap().is_snapshot,
         "the first update is a snapshot"
     );
     assert_eq!(
-        broadcaster.next(START + Millis(10), rows(&[("u1", 1)]), Vec::new()),
+        broadcaster.next_update(START + Millis(10), rows(&[("u1", 1)]), Vec::new()),
         None,
         "nothing has changed"
     );
-    let update =
-        broadcaster.next(START + Millis(20), rows(&[("u1", 1), ("u2", 1)]), Vec::new()).unwrap();
-    assert_eq!((update.rows, update.whole), (rows(&[("u2", 1)]), false));
+    let update = broadcaster
+        .next_update(START + Millis(20), rows(&[("u1", 1), ("u2", 1)]), Vec::new())
+        .unwrap();
+    assert_eq!((update.rows, update.is_snapshot), (rows(&[("u2", 1)]), false));
     let decreased = rows(&[("u2", 1)]);
-    assert_eq!(broadcaster.next(START + Millis(30), decreased.clone(), Vec::new()), None);
-    let update = broadcaster.next(START + Millis(70), decreased.clone(), Vec::new()).unwrap();
+    assert_eq!(broadcaster.next_update(START + Millis(30), decreased.clone(), Vec::new()), None);
+    let update =
+        broadcaster.next_update(START + Millis(70), decreased.clone(), Vec::new()).unwrap();
     assert_eq!(update.rows, rows(&[("u1", 0)]));
     assert!(
-        broadcaster.next(START + Millis(600), decreased, Vec::new()).unwrap().whole,
+        broadcaster.next_update(START + Millis(600), decreased, Vec::new()).unwrap().is_snapshot,
         "a snapshot makes up for a lost update"
     );
 }
@@ -42,19 +44,19 @@
 fn a_load_update_with_many_upstreams_is_split_into_parts() {
     let ids: Vec<_> = (0..120).map(|number| format!("u{number}")).collect();
     let all = rows(&ids.iter().map(|id| (id.as_str(), 1)).collect::<Vec<_>>());
-    let update = LoadNews { rows: all.clone(), whole: true, waiting: Vec::new() };
-    let parts = update.parts(50);
-    assert_eq!(parts.iter().map(|part| part.whole).collect::<Vec<_>>(), [true, false, false]);
+    let update = LoadUpdate { rows: all.clone(), is_snapshot: true, waiting: Vec::new() };
+    let parts = update.split(50);
+    assert_eq!(parts.iter().map(|part| part.is_snapshot).collect::<Vec<_>>(), [true, false, false]);
     assert_eq!(parts.into_iter().flat_map(|part| part.rows).collect::<LoadRows>(), all);
-    let empty = LoadNews { rows: Vec::new(), whole: true, waiting: Vec::new() };
-    assert_eq!(empty.clone().parts(50), [empty], "an empty snapshot is sent, too");
+    let empty = LoadUpdate { rows: Vec::new(), is_snapshot: true, waiting: Vec::new() };
+    assert_eq!(empty.clone().split(50), [empty], "an empty snapshot is sent, too");
 }
 
 proptest! {
     /// A peer that merges all updates knows the load as it was when the last one was sent.
     #[test]
     fn merged_updates_add_up_to_the_sent_load(history in prop::collection::vec((0..4usize, 0..5u32), 1..200)) {
-        let mut broadcaster = LoadTeller::default();
+        let mut broadcaster = LoadBroadcaster::default();
         let mut load: FastMap<InstanceId, UpstreamLoad> = FastMap::default();
         let mut received: FastMap<InstanceId, UpstreamLoad> = FastMap::default();
         let mut now = START;
@@ -73,14 +75,14 @@
 
 fn send_and_merge(
     received: &mut FastMap<InstanceId, UpstreamLoad>,
-    broadcaster: &mut LoadTeller,
+    broadcaster: &mut LoadBroadcaster,
     now: Moment,
     load: &FastMap<InstanceId, UpstreamLoad>,
 ) {
     let present = load.iter().filter(|(_, load)| load.requests > 0);
     let rows = present.map(|(id, load)| (id.clone(), *load)).collect();
-    let Some(update) = broadcaster.next(now, rows, Vec::new()) else { return };
-    if update.whole {
+    let Some(update) = broadcaster.next_update(now, rows, Vec::new()) else { return };
+    if update.is_snapshot {
         received.clear();
     }
     received.extend(update.rows);
--- a/mustardrill_core/tests/versions.rs
+++ b/mustardrill_core/tests/versions.rs
@@ -1,10 +1,10 @@
 //! Until when an entry begins requests on weights that were replaced.
 
 use mustardrill_core::direct::{
-    AnswerSpan, AttemptOutcome, DirectEffect, DirectEvent, DirectReducer, DirectRequest,
-    EngineForecast, EngineWord, FleetChange, FleetPage, LoadNews, NamingTime, NamingWord, PeerLoad,
-    RepeatRule, RequestNumber, RouteDocument, ServedWeights, ServiceProfile, UpstreamLoad,
-    UpstreamRecord, VersionTable, WorkSize,
+    AttemptOutcome, AvailabilitySpan, DirectEffect, DirectEvent, DirectReducer, DirectRequest,
+    EngineForecast, EngineWord, FleetChange, FleetUpdate, LoadUpdate, NamingTime, NamingWord,
+    PeerLoad, RepeatRule, RequestNumber, RouteDocument, ServedWeights, ServiceProfile,
+    UpstreamLoad, UpstreamRecord, VersionTable, WorkSize,
 };
 use mustardrill_types::{FastMap, Generation, Millis, Moment, ResultCode, WeightVersion};
 use proptest::prelude::*;
@@ -14,8 +14,8 @@
 
 const START: Moment = Moment(100_000);
 
-fn page(changes: Vec<FleetChange>) -> FleetPage {
-    FleetPage { changes, ..FleetPage::default() }
+fn page(changes: Vec<FleetChange>) -> FleetUpdate {
+    FleetUpdate { changes, ..FleetUpdate::default() }
 }
 
 /// An entry before one engine with the first version.
@@ -64,7 +64,7 @@
     let now = START + after;
     reducer.reduce(now, DirectEvent::Fleet(page(Vec::new()), now));
     let rows = vec![("u1".parse().unwrap(), load)];
-    let news = LoadNews { rows, whole: true, waiting: Vec::new() };
+    let news = LoadUpdate { rows, is_snapshot: true, waiting: Vec::new() };
     reducer
         .reduce(now, DirectEvent::PeerHeard(PeerLoad { from: "entry-2".parse().unwrap(), news }));
     let request = DirectRequest {
@@ -105,7 +105,7 @@
 }
 
 fn versions_named(version: u64) -> FleetChange {
-    FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(version))
+    FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(version))
 }
 
 /// Whether a request that comes at `now` is sent to the engine with the first version.
@@ -127,7 +127,7 @@
     let back = START + Millis(6_000);
     // Two versions were named meanwhile, of which the store shows the second.
     reducer.reduce(back, DirectEvent::Fleet(page(vec![versions_named(3)]), back));
-    let span = AnswerSpan { since: Moment(0), until: back - Millis(10) };
+    let span = AvailabilitySpan { since: Moment(0), until: back - Millis(10) };
     reducer.reduce(back + Millis(20), DirectEvent::ContactHeard(span));
     let over = START + bound;
     for now in [over, over + Millis(1_000), back + bound - Millis(1_000)] {
@@ -277,7 +277,7 @@
 #[test]
 fn replaced_weights_are_given_up_early_after_the_store_was_away_from_all() {
     let (mut reducer, back) = back_from_absence();
-    let span = AnswerSpan { since: back - Millis(200), until: back };
+    let span = AvailabilitySpan { since: back - Millis(200), until: back };
     reducer.reduce(back + Millis(20), DirectEvent::ContactHeard(span));
     let over = replaced_from(reducer);
     let bound = common::direct_settings().version_bound;
--- a/mustardrill_entry/src/direct/actor.rs
+++ b/mustardrill_entry/src/direct/actor.rs
@@ -7,9 +7,9 @@
 use cadence::{Gauged, StatsdClient};
 use kameo::prelude::*;
 use mustardrill_core::direct::{
-    AnswerSpan, CallerLimits, DirectEffect, DirectEvent, DirectReducer, DirectRequest, FleetChange,
-    FleetPage, LoadRows, NamingWord, OriginProfile, PeerRecord, RefusalPlan, RequestNumber,
-    SendPlan, StatusRow, WaitRows,
+    AvailabilitySpan, CallerLimits, DirectEffect, DirectEvent, DirectReducer, DirectRequest,
+    FleetChange, FleetUpdate, LoadRows, NamingWord, OriginProfile, PeerRecord, RefusalPlan,
+    RequestNumber, SendPlan, StatusRow, WaitRows,
 };
 use mustardrill_core::quarantine::CrashWord;
 use mustardrill_runtime::border::{CallDialect, ChunkOrigin, FleetSource};
@@ -121,7 +121,7 @@
 /// The answer to `ContactQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct ContactReply {
-    pub(crate) answer_span: Option<AnswerSpan>,
+    pub(crate) answer_span: Option<AvailabilitySpan>,
     pub(crate) generation: Generation,
     pub(crate) namings: Vec<NamingWord>,
 }
@@ -141,7 +141,7 @@
 
 /// The answer to `FleetQuery`.
 #[derive(Debug, Reply)]
-pub(crate) struct FleetReply(pub(crate) FleetPage);
+pub(crate) struct FleetReply(pub(crate) FleetUpdate);
 
 /// Asks whether callers should be sent here.
 pub(crate) struct ReadyQuery;
--- a/mustardrill_entry/src/direct/gossip.rs
+++ b/mustardrill_entry/src/direct/gossip.rs
@@ -7,7 +7,7 @@
 use kameo::prelude::*;
 use log::warn;
 use mustardrill_core::direct::{
-    DirectEvent, LoadNews, LoadTeller, PeerLoad, PeerRecord, UpstreamLoad,
+    DirectEvent, LoadBroadcaster, LoadUpdate, PeerLoad, PeerRecord, UpstreamLoad,
 };
 use mustardrill_runtime::datagram::{DATAGRAM_LIMIT, Datagram, LoadRow, VersionRow, WaitRow};
 use mustardrill_runtime::wire::{crash_message, crash_word};
@@ -110,8 +110,11 @@
     let rows = loads.filter_map(|row| Some((row.upstream.parse().ok()?, load_of(&row))));
     let waiting = datagram.waiting.into_iter();
     let waiting = waiting.filter_map(|row| Some((row.service.parse().ok()?, row.count)));
-    let news =
-        LoadNews { rows: rows.collect(), whole: !datagram.partial, waiting: waiting.collect() };
+    let news = LoadUpdate {
+        rows: rows.collect(),
+        is_snapshot: !datagram.partial,
+        waiting: waiting.collect(),
+    };
     let load = PeerLoad { from: datagram.from.parse().ok()?, news };
     Some(DirectEvent::PeerHeard(load))
 }
@@ -121,7 +124,7 @@
 }
 
 async fn tell(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
-    let (mut teller, mut asker) = (LoadTeller::default(), ContactAsker::default());
+    let (mut teller, mut asker) = (LoadBroadcaster::default(), ContactAsker::default());
     loop {
         tokio::time::sleep(LOOK_EVERY).await;
         let Ok(reply) = actor.ask(GossipQuery).await else { return };
@@ -134,8 +137,10 @@
             datagram.crashes = words.iter().map(|word| crash_message(now, word)).collect();
             send(&context, &reply.peers, &datagram.to_bytes()).await;
         }
-        let Some(news) = teller.next(now, reply.outstanding, reply.waiting) else { continue };
-        for part in news.parts(ROWS_LIMIT) {
+        let Some(news) = teller.next_update(now, reply.outstanding, reply.waiting) else {
+            continue;
+        };
+        for part in news.split(ROWS_LIMIT) {
             send(&context, &reply.peers, &load_datagram(&context, &part).to_bytes()).await;
         }
     }
@@ -147,9 +152,9 @@
     }
 }
 
-fn load_datagram(context: &DirectContext, news: &LoadNews) -> Datagram {
+fn load_datagram(context: &DirectContext, news: &LoadUpdate) -> Datagram {
     let mut datagram = Datagram::new(&context.config.direct.own);
-    datagram.partial = !news.whole;
+    datagram.partial = !news.is_snapshot;
     let rows = news.rows.iter().map(|(id, load)| LoadRow {
         upstream: id.to_string(),
         outstanding: load.requests,
--- a/mustardrill_entry/src/direct/watch.rs
+++ b/mustardrill_entry/src/direct/watch.rs
@@ -6,7 +6,7 @@
 use kameo::prelude::*;
 use log::{info, warn};
 use mustardrill_core::direct::{
-    DirectEvent, FleetPage, GatherPause, PeerRecord, StoreReader, WatchSpan,
+    ChangeCoalescer, DirectEvent, FleetUpdate, PeerRecord, StoreReader, WatchTiming,
 };
 use mustardrill_runtime::backoff::RetryBackoff;
 use mustardrill_runtime::border::{FleetScope, StoreError};
@@ -45,26 +45,26 @@
 async fn follow(actor: ActorRef<DirectActor>, context: Arc<DirectContext>, regained: Arc<Notify>) {
     let mut reader = StoreReader::default();
     let mut backoff = RetryBackoff::new(FIRST_PAUSE, LONGEST_PAUSE);
-    let mut gathering = GatherPause::default();
+    let mut gathering = ChangeCoalescer::default();
     loop {
         let sent = context.clock.now();
-        let span = reader.span(sent, context.config.watch, context.config.direct.lapse_grace);
+        let span = reader.next_watch(sent, context.config.watch, context.config.direct.lapse_grace);
         match read(&context, reader.revision(), span).await {
             Ok(page) => {
                 backoff.answered();
                 let now = context.clock.now();
-                let Some(outcome) = reader.answered(now, sent, span, &page) else {
-                    info!("store outcome=void era={} at={}", page.era, page.at);
+                let Some(outcome) = reader.record_answer(now, sent, span, &page) else {
+                    info!("store outcome=void era={} at={}", page.era, page.revision);
                     tokio::time::sleep(VOID_PAUSE).await;
                     continue;
                 };
-                if outcome.regained {
+                if outcome.is_recovered {
                     regained.notify_one();
                 }
-                let next = gathering.after(now, &page);
-                let _ = actor.tell(Event(DirectEvent::Fleet(page, outcome.proved))).await;
+                let next = gathering.next_read(now, &page);
+                let _ = actor.tell(Event(DirectEvent::Fleet(page, outcome.confirmed_at))).await;
                 tokio::time::sleep(next.pause.to_std()).await;
-                if next.anew {
+                if next.is_snapshot {
                     reader.reset();
                 }
             }
@@ -79,7 +79,7 @@
             Err(error) => {
                 warn!("store outcome=failed reason=\"{error}\"");
                 let _ = actor.tell(Event(DirectEvent::StoreFailed)).await;
-                reader.failed();
+                reader.record_failure();
                 // A call that hung has paused enough.
                 let spent = context.clock.now().since(sent);
                 let pause = backoff.failed(&mut rand::rng());
@@ -92,8 +92,8 @@
 async fn read(
     context: &DirectContext,
     revision: Option<StoreRevision>,
-    span: WatchSpan,
-) -> Result<FleetPage, StoreError> {
+    span: WatchTiming,
+) -> Result<FleetUpdate, StoreError> {
     let source = &context.borders.source;
     match revision {
         Some(revision) => source.read_changes(FleetScope::Whole, revision, span).await,
--- a/mustardrill_runtime/src/border.rs
+++ b/mustardrill_runtime/src/border.rs
@@ -9,8 +9,8 @@
 use futures_util::future::BoxFuture;
 use hyper::{HeaderMap, Request, StatusCode, Uri, http};
 use mustardrill_core::direct::{
-    DirectRequest, FleetPage, LoadReport, PeerRecord, RequestNumber, SendPlan, ServedWeights,
-    WatchSpan,
+    DirectRequest, FleetUpdate, LoadReport, PeerRecord, RequestNumber, SendPlan, ServedWeights,
+    WatchTiming,
 };
 use mustardrill_types::{
     ChunkIndex, Millis, ModelName, Moment, RequestDigest, ResultCode, StartStamp, StoreEra,
@@ -72,18 +72,18 @@
 /// The platform's store, as far as it tells of the fleet.
 pub trait FleetSource: Send + Sync {
     /// Reads everything.
-    fn read_all(&self) -> BoxFuture<'_, Result<FleetPage, StoreError>>;
+    fn read_all(&self) -> BoxFuture<'_, Result<FleetUpdate, StoreError>>;
 
     /// Reads one kind of item; the page is not marked as whole.
-    fn read_part(&self, part: FleetPart) -> BoxFuture<'_, Result<FleetPage, StoreError>>;
+    fn read_part(&self, part: FleetPart) -> BoxFuture<'_, Result<FleetUpdate, StoreError>>;
 
     /// Waits for changes after a state; an empty page where there were none in that time.
     fn read_changes(
         &self,
         scope: FleetScope,
         after: StoreRevision,
-        span: WatchSpan,
-    ) -> BoxFuture<'_, Result<FleetPage, StoreError>>;
+        span: WatchTiming,
+    ) -> BoxFuture<'_, Result<FleetUpdate, StoreError>>;
 
     /// Registers an entry under a new lease of `span`.
     fn announce<'a>(
--- a/mustardrill_runtime/src/datagram.rs
+++ b/mustardrill_runtime/src/datagram.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use mustardrill_core::direct::{AnswerSpan, EngineWord, NamingTime, NamingWord};
+use mustardrill_core::direct::{AvailabilitySpan, EngineWord, NamingTime, NamingWord};
 use mustardrill_proto::CrashRow;
 use mustardrill_types::{Generation, InstanceId, Millis, ModelName, Moment, WeightVersion};
 use prost::Message;
@@ -192,7 +192,7 @@
 
 impl ContactRow {
     /// What is told at `now`, of the time in which the store answered, to who asked at `asked`.
-    pub fn new(now: Moment, span: AnswerSpan, generation: Generation, asked: u64) -> Self {
+    pub fn new(now: Moment, span: AvailabilitySpan, generation: Generation, asked: u64) -> Self {
         let (since_ms, until_ms) = (now.since(span.since).0, now.since(span.until).0);
         Self { since_ms, until_ms, asked, generation: generation.0, namings: Vec::new() }
     }
@@ -216,14 +216,14 @@
 
     /// That time on the clock of the process that asked and hears it at `now`; nothing where the
     /// answer took too long, or the time was over before that clock began.
-    pub fn span(&self, now: Moment) -> Option<AnswerSpan> {
+    pub fn span(&self, now: Moment) -> Option<AvailabilitySpan> {
         let took = now.since(Moment(self.asked));
         if took > ANSWER_LIMIT {
             return None;
         }
         // Told at the earliest when it was asked: the last answer of the store is no later than so.
         let until = Moment(now.0.checked_sub(took.0.saturating_add(self.until_ms))?);
-        Some(AnswerSpan { since: now - Millis(self.since_ms), until })
+        Some(AvailabilitySpan { since: now - Millis(self.since_ms), until })
     }
 }
 
--- a/mustardrill_runtime/src/fleet_digest.rs
+++ b/mustardrill_runtime/src/fleet_digest.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use mustardrill_core::direct::{
-    CallerLimits, EngineProfile, FleetChange, FleetPage, ModelProfile, OriginProfile, PeerRecord,
+    CallerLimits, EngineProfile, FleetChange, FleetUpdate, ModelProfile, OriginProfile, PeerRecord,
     RouteDocument, ServedWeights, ServiceProfile, UpstreamRecord,
 };
 use mustardrill_types::{
@@ -129,8 +129,8 @@
 
 impl FleetDigest {
     /// The digest of `page` for the agents of `service`; nothing where it has no configuration.
-    pub fn of(page: &FleetPage, service: &ServiceName) -> Option<Self> {
-        let mut digest = Self { at: page.at.0, era: page.era.0, ..Self::default() };
+    pub fn of(page: &FleetUpdate, service: &ServiceName) -> Option<Self> {
+        let mut digest = Self { at: page.revision.0, era: page.era.0, ..Self::default() };
         let mut configured = false;
         for change in &page.changes {
             match change {
@@ -141,7 +141,7 @@
                     digest.engine = engine.map(engine_digest);
                     digest.origin = document.origin().map(origin_digest);
                 }
-                FleetChange::VersionNamed(model, version) => {
+                FleetChange::VersionAnnounced(model, version) => {
                     digest
                         .versions
                         .push(ModelDigest { name: model.to_string(), number: version.0 });
@@ -158,7 +158,7 @@
 
     /// The page that it stands for. Its configuration has neither routes nor customers, and of
     /// the engines only what loading weights needs.
-    pub fn into_page(self, service: &ServiceName) -> Option<FleetPage> {
+    pub fn into_page(self, service: &ServiceName) -> Option<FleetUpdate> {
         let mut services = FastMap::default();
         if let Some(engine) = self.engine {
             let engine = Some(read_engine(&engine)?);
@@ -175,7 +175,7 @@
         let document = RouteDocument::new(generation, routes, services, customers, limits);
         let mut changes = vec![FleetChange::Configured(Arc::new(document))];
         for version in &self.versions {
-            let version = FleetChange::VersionNamed(
+            let version = FleetChange::VersionAnnounced(
                 version.name.parse().ok()?,
                 WeightVersion(version.number),
             );
@@ -187,8 +187,8 @@
         for entry in &self.entries {
             changes.push(FleetChange::Peer(read_entry(entry)?));
         }
-        let (at, era) = (StoreRevision(self.at), StoreEra(self.era));
-        Some(FleetPage { changes, at, era, whole: true })
+        let (revision, era) = (StoreRevision(self.at), StoreEra(self.era));
+        Some(FleetUpdate { changes, revision, era, is_snapshot: true })
     }
 
     /// The bytes to be sent.
--- a/mustardrill_runtime/tests/fleet_digests.rs
+++ b/mustardrill_runtime/tests/fleet_digests.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use mustardrill_core::direct::{
-    CallerLimits, EngineProfile, FleetChange, FleetPage, ModelProfile, OriginProfile, PeerRecord,
+    CallerLimits, EngineProfile, FleetChange, FleetUpdate, ModelProfile, OriginProfile, PeerRecord,
     RouteDocument, ServedWeights, ServiceProfile, UpstreamRecord,
 };
 use mustardrill_runtime::fleet_digest::FleetDigest;
@@ -59,16 +59,21 @@
     };
     let changes = vec![
         FleetChange::Configured(document()),
-        FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(3)),
+        FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(3)),
         FleetChange::Upstream(upstream("i-1", "pool")),
         FleetChange::Upstream(upstream("i-desk", "desk")),
         FleetChange::Peer(entry.clone()),
     ];
-    let page = FleetPage { changes, at: StoreRevision(77), whole: true, ..FleetPage::default() };
+    let page = FleetUpdate {
+        changes,
+        revision: StoreRevision(77),
+        is_snapshot: true,
+        ..FleetUpdate::default()
+    };
     let bytes = FleetDigest::of(&page, &service).unwrap().to_bytes();
     let page = FleetDigest::read(&bytes).unwrap().into_page(&service).unwrap();
-    assert!(page.whole);
-    assert_eq!(page.at, StoreRevision(77));
+    assert!(page.is_snapshot);
+    assert_eq!(page.revision, StoreRevision(77));
     let [configured, named, listed, peer] = &page.changes[..] else { panic!("{page:?}") };
     let FleetChange::Configured(read) = configured else { panic!("{configured:?}") };
     assert_eq!(read.generation, Generation(9));
@@ -77,14 +82,14 @@
     assert_eq!(engine.models[0].load_time, Millis(300));
     let origin = read.origin().unwrap();
     assert_eq!((origin.connections, origin.link_mbps), (48, 4.38));
-    assert!(matches!(named, FleetChange::VersionNamed(_, WeightVersion(3))));
+    assert!(matches!(named, FleetChange::VersionAnnounced(_, WeightVersion(3))));
     assert!(matches!(listed, FleetChange::Upstream(record) if *record == upstream("i-1", "pool")));
     assert!(matches!(peer, FleetChange::Peer(record) if *record == entry));
 }
 
 #[test]
 fn an_entry_without_a_configuration_tells_nothing() {
-    let page = FleetPage::default();
+    let page = FleetUpdate::default();
     assert!(FleetDigest::of(&page, &"pool".parse().unwrap()).is_none());
     assert!(FleetDigest::read(b"\xff\xff\xff").is_none());
 }
--- a/mustardrill_runtime/tests/naming_rows.rs
+++ b/mustardrill_runtime/tests/naming_rows.rs
@@ -1,6 +1,6 @@
 //! What an entry that has just started tells of versions, as another entry takes it.
 
-use mustardrill_core::direct::{AnswerSpan, NamingTime, VersionTable};
+use mustardrill_core::direct::{AvailabilitySpan, NamingTime, VersionTable};
 use mustardrill_runtime::datagram::ContactRow;
 use mustardrill_types::{Generation, Millis, ModelName, Moment, WeightVersion};
 
@@ -17,7 +17,7 @@
     started.name(&model, version, NamingTime::after(Moment(0), Moment(100)));
     let told_at = Moment(2_000);
     let words = started.words(told_at - Millis(24_000));
-    let span = AnswerSpan { since: Moment(100), until: Moment(1_900) };
+    let span = AvailabilitySpan { since: Moment(100), until: Moment(1_900) };
     let row = ContactRow::new(told_at, span, Generation(1), back_at.0);
     for word in row.with_namings(told_at, words).namings(back_at + Millis(1)) {
         cut_off.refine(&word);
--- a/mustardrill_standins/src/experiment/fleet.rs
+++ b/mustardrill_standins/src/experiment/fleet.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use mustardrill_core::direct::{
-    CallerLimits, FleetChange, FleetPage, PeerRecord, RepeatRule, RouteDocument, RouteRule,
+    CallerLimits, FleetChange, FleetUpdate, PeerRecord, RepeatRule, RouteDocument, RouteRule,
     ServedWeights, ServiceProfile, UpstreamRecord,
 };
 use mustardrill_types::{
@@ -57,7 +57,7 @@
 }
 
 /// Everything that an entry reads at its start.
-pub(crate) fn first_page(pattern: &LoadPattern) -> FleetPage {
+pub(crate) fn first_page(pattern: &LoadPattern) -> FleetUpdate {
     let peers = (0..pattern.entries as usize).map(|place| {
         FleetChange::Peer(PeerRecord {
             id: entry_id(place),
@@ -70,7 +70,12 @@
         .map(|place| FleetChange::Upstream(engine_record(pattern, place, 1)));
     let document = FleetChange::Configured(Arc::new(document(pattern)));
     let changes = std::iter::once(document).chain(engines).chain(peers).collect();
-    FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() }
+    FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot: false,
+        ..FleetUpdate::default()
+    }
 }
 
 fn document(pattern: &LoadPattern) -> RouteDocument {
--- a/mustardrill_standins/src/experiment/play.rs
+++ b/mustardrill_standins/src/experiment/play.rs
@@ -5,7 +5,7 @@
 
 use mustardrill_core::direct::{
     AttemptOutcome, DirectEffect, DirectEvent, DirectReducer, DirectSettings, FleetChange,
-    FleetPage, LoadTeller, PeerLoad, RequestNumber, SendPlan,
+    FleetUpdate, LoadBroadcaster, PeerLoad, RequestNumber, SendPlan,
 };
 use mustardrill_core::quarantine::CrashWord;
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment, StoreRevision, WeightVersion};
@@ -70,7 +70,7 @@
 
 pub(super) struct EntryState {
     reducer: DirectReducer,
-    teller: LoadTeller,
+    teller: LoadBroadcaster,
 }
 
 pub(super) struct EngineState {
@@ -103,7 +103,7 @@
             let settings = DirectSettings { own: entry_id(place), ..settings.clone() };
             let mut reducer = DirectReducer::new(settings, seed.wrapping_add(place as u64));
             reducer.reduce(START, DirectEvent::Fleet(first_page(pattern), START));
-            EntryState { reducer, teller: LoadTeller::default() }
+            EntryState { reducer, teller: LoadBroadcaster::default() }
         };
         let engine = |_| EngineState {
             model: EngineModel::new(&pattern.profile, pattern.chunk),
@@ -303,8 +303,12 @@
         let now = self.moment();
         for entry in 0..self.entries.len() {
             let changes = vec![FleetChange::Upstream(record.clone())];
-            let page =
-                FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() };
+            let page = FleetUpdate {
+                changes,
+                revision: StoreRevision(1),
+                is_snapshot: false,
+                ..FleetUpdate::default()
+            };
             self.reduce(entry, DirectEvent::Fleet(page, now));
         }
     }
@@ -347,7 +351,7 @@
         let now = self.moment();
         let state = &mut self.entries[entry];
         let (outstanding, waiting) = (state.reducer.outstanding(), state.reducer.waiting());
-        let news = state.teller.next(now, outstanding, waiting);
+        let news = state.teller.next_update(now, outstanding, waiting);
         let words = state.reducer.crash_words(now);
         for other in (0..self.entries.len()).filter(|other| *other != entry) {
             if let Some(news) = news.clone().filter(|_| self.arrives()) {
