--- a/mustardrill_core/src/crash_board.rs
+++ b/mustardrill_core/src/crash_board.rs
@@ -1,67 +1,70 @@
-//! What entries and agents pass on of requests under which upstreams ended.
+//! Crash reports that entries and agents pass on in their heartbeats.
 //!
-//! Entries of the catalogue's own interface talk to agents alone. Each heartbeat carries what its
-//! sender has heard lately, so that a word reaches all entries over any agent that both talk to, and
-//! a lost heartbeat or an agent that starts again costs nothing but time.
+//! Entries that serve the catalogue's own interface talk to agents only. Each heartbeat carries
+//! what its sender has received recently, so a report reaches all entries through any agent that
+//! they have in common, and a lost heartbeat or a restarted agent costs nothing but time.
 
 use mustardrill_types::{FastMap, Millis, Moment, RequestDigest};
 
 use crate::quarantine::CrashWord;
 
-/// How long a word is passed on: a few heartbeats.
-const PASS_SPAN: Millis = Millis(3_000);
+/// How long a report is passed on: a few heartbeats.
+const RELAY_SPAN: Millis = Millis(3_000);
 
-/// Words that are kept at most; a crash makes as many as an upstream has requests.
-const WORDS_LIMIT: usize = 256;
+/// Maximum number of reports kept. One crash causes as many as the upstream had requests.
+const REPORTS_LIMIT: usize = 256;
 
-/// Quarantines that are passed on at most, those with the longest terms.
-const TERMS_LIMIT: usize = 256;
+/// Maximum number of quarantines passed on; those that end first are dropped.
+const QUARANTINES_LIMIT: usize = 256;
 
-/// Words as they were heard, and the quarantines that last.
+/// The recently received reports, and the quarantines in force.
 #[derive(Debug, Default)]
 pub struct CrashBoard {
-    words: Vec<(Moment, CrashWord)>,
-    terms: FastMap<RequestDigest, Moment>,
+    reports: Vec<(Moment, CrashWord)>,
+    quarantined_until: FastMap<RequestDigest, Moment>,
 }
 
 impl CrashBoard {
-    /// Takes a word.
-    pub fn hear(&mut self, now: Moment, word: CrashWord) {
-        self.words.retain(|(heard, _)| now.since(*heard) < PASS_SPAN);
-        self.terms.retain(|_, until| *until > now);
-        match &word {
-            CrashWord::Quarantined(digest, left) => return self.note_term(now, *digest, *left),
+    /// Records a report that was received at `now`.
+    pub fn hear(&mut self, now: Moment, report: CrashWord) {
+        self.reports.retain(|(received, _)| now.since(*received) < RELAY_SPAN);
+        self.quarantined_until.retain(|_, until| *until > now);
+        match &report {
+            CrashWord::Quarantined(digest, left) => {
+                return self.record_quarantine(now, *digest, *left);
+            }
             CrashWord::Sound(digest, _) => self.end_term(*digest),
             CrashWord::Crashed(_) => {}
         }
-        let is_known = self.words.iter().any(|(_, known)| known.is_same(&word));
-        if !is_known && self.words.len() < WORDS_LIMIT {
-            self.words.push((now, word));
+        let is_known = self.reports.iter().any(|(_, known)| known.is_same(&report));
+        if !is_known && self.reports.len() < REPORTS_LIMIT {
+            self.reports.push((now, report));
         }
     }
 
-    /// Passes a quarantine on no more.
+    /// Stops passing on a quarantine.
     pub fn end_term(&mut self, digest: RequestDigest) {
-        self.terms.remove(&digest);
+        self.quarantined_until.remove(&digest);
     }
 
-    /// What is passed on at `now`.
+    /// The reports to pass on at `now`.
     pub fn read(&self, now: Moment) -> Vec<CrashWord> {
-        let fresh = self.words.iter().filter(|(heard, _)| now.since(*heard) < PASS_SPAN);
-        let fresh = fresh.map(|(_, word)| word.clone());
-        let terms = self.terms.iter().filter(|(_, until)| **until > now);
-        let terms = terms.map(|(digest, until)| CrashWord::Quarantined(*digest, until.since(now)));
-        fresh.chain(terms).collect()
+        let fresh = self.reports.iter().filter(|(received, _)| now.since(*received) < RELAY_SPAN);
+        let fresh = fresh.map(|(_, report)| report.clone());
+        let quarantines = self.quarantined_until.iter().filter(|(_, until)| **until > now);
+        let quarantines =
+            quarantines.map(|(digest, until)| CrashWord::Quarantined(*digest, until.since(now)));
+        fresh.chain(quarantines).collect()
     }
 
-    fn note_term(&mut self, now: Moment, digest: RequestDigest, left: Millis) {
-        // A word that was on its way for longer tells a shorter term.
-        let until = self.terms.entry(digest).or_insert(now + left);
+    fn record_quarantine(&mut self, now: Moment, digest: RequestDigest, left: Millis) {
+        // A report that was under way for longer gives a quarantine that ends earlier.
+        let until = self.quarantined_until.entry(digest).or_insert(now + left);
         *until = (*until).max(now + left);
-        if self.terms.len() > TERMS_LIMIT {
-            let shortest = self.terms.iter().min_by_key(|(_, until)| **until);
+        if self.quarantined_until.len() > QUARANTINES_LIMIT {
+            let shortest = self.quarantined_until.iter().min_by_key(|(_, until)| **until);
             if let Some(shortest) = shortest.map(|(digest, _)| *digest) {
-                self.terms.remove(&shortest);
+                self.quarantined_until.remove(&shortest);
             }
         }
     }
--- a/mustardrill_core/src/direct/repeats/again.rs
+++ b/mustardrill_core/src/direct/repeats/again.rs
@@ -1,7 +1,7 @@
-//! What follows an attempt that has no whole answer: another one, or the end of the request.
+//! What follows an attempt without a complete answer: a retry, or the end of the request.
 //!
-//! Load pattern: upstreams crash, fail or turn requests away. What may have run is sent once more
-//! only where that is harmless, and all repeats together stay within the budget.
+//! Upstreams crash, fail or turn requests away. A request that may have run is retried only where
+//! that is harmless, and all retries together stay within the budget.
 
 use log::info;
 use mustardrill_types::{Millis, Moment, ResultCode};
@@ -10,8 +10,8 @@
 use crate::direct::reducer::DirectReducer;
 use crate::direct::waiting::line::{FULL_RETRY, NO_UPSTREAM_RETRY};
 
-/// Upstreams that can't be reached before a request is given up.
-const UNREACHED_LIMIT: usize = 4;
+/// Upstreams that could not be reached before a request is refused.
+const UNREACHABLE_UPSTREAMS_LIMIT: usize = 4;
 
 impl DirectReducer {
     pub(in crate::direct) fn go_on(
@@ -31,26 +31,27 @@
             }
             AttemptOutcome::Failed => {
                 state.may_have_run = true;
-                if state.is_repeatable() && self.may_repeat(now, number) {
+                if state.is_repeatable() && self.try_spend_retry(now, number) {
                     return self.again(now, number);
                 }
                 self.requests.remove(&number);
                 vec![DirectEffect::PassOn(number)]
             }
             AttemptOutcome::Full | AttemptOutcome::Misdirected => {
-                if self.may_repeat(now, number) {
+                if self.try_spend_retry(now, number) {
                     return self.again(now, number);
                 }
                 let retry_after = self.spread(FULL_RETRY);
                 self.refuse(now, number, ResultCode::Overloaded, retry_after)
             }
             AttemptOutcome::NotSent => {
-                if state.tried.len() < UNREACHED_LIMIT {
+                if state.tried.len() < UNREACHABLE_UPSTREAMS_LIMIT {
                     return self.again(now, number);
                 }
                 self.refuse(now, number, ResultCode::NoUpstream, NO_UPSTREAM_RETRY)
             }
-            // The engine drops it as its connection closes; it may have begun just before.
+            // The engine drops the request when its connection closes, but it may have started just
+            // before.
             AttemptOutcome::Withdrawn { sent: true } => {
                 state.may_have_run = true;
                 self.hold_suspect(now, number).unwrap_or_else(|| self.repeat_lost(now, number))
@@ -64,22 +65,22 @@
         }
     }
 
-    /// Sends a request whose last attempt was lost once more, or gives it up.
+    /// Retries a request whose last attempt was lost, or refuses it.
     pub(in crate::direct) fn repeat_lost(
         &mut self,
         now: Moment,
         number: RequestNumber,
     ) -> Vec<DirectEffect> {
         let Some(state) = self.requests.get(&number) else { return Vec::new() };
-        if state.is_repeatable() && self.may_repeat(now, number) {
+        if state.is_repeatable() && self.try_spend_retry(now, number) {
             return self.again(now, number);
         }
         self.refuse(now, number, ResultCode::Unknown, Millis(0))
     }
 
-    /// Whether the request may be sent once more: by its route's attempts, its deadline and the
-    /// budget of its service.
-    fn may_repeat(&mut self, now: Moment, number: RequestNumber) -> bool {
+    /// Whether the request may be retried, considering its route's limit of attempts, its deadline
+    /// and the retry budget of its service. Spends one retry from the budget if so.
+    fn try_spend_retry(&mut self, now: Moment, number: RequestNumber) -> bool {
         let Some(state) = self.requests.get(&number) else { return false };
         if state.reached >= state.attempts_limit || state.deadline <= now {
             return false;
@@ -101,7 +102,8 @@
     ) -> Vec<DirectEffect> {
         let Some(state) = self.requests.get_mut(&number) else { return Vec::new() };
         if !state.delivered {
-            // An answer's head binds nobody to its weights before the caller has any of it.
+            // An answer's head binds the request to that head's weights only once the caller has
+            // received some of the answer.
             state.pinned = None;
         }
         let Some(state) = self.requests.get(&number) else { return Vec::new() };
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Ends a request without a whole answer, at once.
+    /// Ends a request without a complete answer, at once.
     pub(in crate::direct) fn refuse(
         &mut self,
         now: Moment,
@@ -126,7 +128,7 @@
     ) -> Vec<DirectEffect> {
         let Some(state) = self.requests.remove(&number) else { return Vec::new() };
         self.release(&state);
-        // A later attempt's refusal says nothing of an earlier one that may have run.
+        // The refusal of a later attempt says nothing about an earlier one that may have run.
         let code = match code {
             _ if state.delivered => ResultCode::AnswerCut,
             code if state.may_have_run && code.is_not_run() => ResultCode::Unknown,
--- a/mustardrill_core/src/direct/repeats/crash_words.rs
+++ b/mustardrill_core/src/direct/repeats/crash_words.rs
@@ -1,8 +1,9 @@
-//! What entries tell each other of requests under which upstreams ended, and how often.
+//! Schedules the reports that entries broadcast about requests that were running when upstreams
+//! crashed.
 //!
-//! Load pattern: a link loses a part of what is sent, or an entry is cut off for a second. A word that
-//! is lost costs an engine, and each telling costs a datagram for each entry, so words are told a few
-//! times with growing pauses.
+//! A link may lose part of what is sent, or an entry may be cut off for a second. A lost report
+//! costs an engine, and each broadcast costs a datagram per entry, so each report is sent a few
+//! times with growing intervals.
 
 use std::collections::VecDeque;
 
@@ -10,57 +11,58 @@
 
 use crate::quarantine::CrashWord;
 
-/// When a word is told, counted from the event.
-const ROUNDS: [Millis; 5] = [Millis(0), Millis(60), Millis(250), Millis(1_000), Millis(3_000)];
+/// When a report is sent, counted from the event.
+const BROADCAST_DELAYS: [Millis; 5] =
+    [Millis(0), Millis(60), Millis(250), Millis(1_000), Millis(3_000)];
 
-/// Words that wait to be told again; what exceeds this was told least lately.
-const WORDS_LIMIT: usize = 1_024;
+/// Reports that wait to be sent again. Beyond this limit the one added first is dropped.
+const PENDING_REPORTS_LIMIT: usize = 1_024;
 
-/// Remembers what is yet to be told.
+/// The reports that still have to be broadcast.
 #[derive(Debug, Default)]
 pub(crate) struct CrashTeller {
-    pending: VecDeque<PendingWord>,
+    pending: VecDeque<PendingReport>,
 }
 
 #[derive(Debug)]
-struct PendingWord {
-    word: CrashWord,
+struct PendingReport {
+    report: CrashWord,
     since: Moment,
     round: usize,
 }
 
 impl CrashTeller {
-    /// Takes a word that is to be told from `now` on.
-    pub(crate) fn push(&mut self, now: Moment, word: CrashWord) {
-        if self.pending.len() >= WORDS_LIMIT {
+    /// Adds a report to be broadcast from `now` on.
+    pub(crate) fn push(&mut self, now: Moment, report: CrashWord) {
+        if self.pending.len() >= PENDING_REPORTS_LIMIT {
             self.pending.pop_front();
         }
-        self.pending.push_back(PendingWord { word, since: now, round: 0 });
+        self.pending.push_back(PendingReport { report, since: now, round: 0 });
     }
 
-    /// Tells a verdict no more that has been overturned.
-    pub(crate) fn withdraw_verdict(&mut self, digest: RequestDigest) {
+    /// Stops broadcasting a quarantine that has been lifted.
+    pub(crate) fn withdraw_quarantine(&mut self, digest: RequestDigest) {
         self.pending.retain(
-            |pending| !matches!(pending.word, CrashWord::Quarantined(told, _) if told == digest),
+            |pending| !matches!(pending.report, CrashWord::Quarantined(reported, _) if reported == digest),
         );
     }
 
-    /// Whether this entry tells of a crash under a request.
-    pub(crate) fn tells_crash_of(&self, digest: RequestDigest) -> bool {
-        let mut words = self.pending.iter().map(|pending| &pending.word);
-        words.any(|word| matches!(word, CrashWord::Crashed(run) if run.digest == digest))
+    /// Whether this entry is still broadcasting a crash that it observed under a request.
+    pub(crate) fn is_broadcasting_crash(&self, digest: RequestDigest) -> bool {
+        let mut reports = self.pending.iter().map(|pending| &pending.report);
+        reports.any(|report| matches!(report, CrashWord::Crashed(run) if run.digest == digest))
     }
 
-    /// The words that are to be told at `now`.
+    /// Takes the reports that are due at `now`.
     pub(crate) fn due(&mut self, now: Moment) -> Vec<CrashWord> {
         let mut due = Vec::new();
         for pending in &mut self.pending {
-            if pending.since + ROUNDS[pending.round] <= now {
+            if pending.since + BROADCAST_DELAYS[pending.round] <= now {
                 pending.round += 1;
-                due.push(pending.word.clone());
+                due.push(pending.report.clone());
             }
         }
-        self.pending.retain(|pending| pending.round < ROUNDS.len());
+        self.pending.retain(|pending| pending.round < BROADCAST_DELAYS.len());
         due
     }
 }
--- a/mustardrill_core/src/direct/repeats/mod.rs
+++ b/mustardrill_core/src/direct/repeats/mod.rs
@@ -1,4 +1,4 @@
-//! What may be sent once more, and what is not as upstreams end under it.
+//! Retries, and the quarantine of requests that crash upstreams.
 
 pub(in crate::direct) mod again;
 pub(in crate::direct) mod crash_words;
--- a/mustardrill_core/src/direct/repeats/suspicion.rs
+++ b/mustardrill_core/src/direct/repeats/suspicion.rs
@@ -1,4 +1,4 @@
-//! What an entry makes of requests under which upstreams end.
+//! How an entry handles requests that were running when upstreams crashed.
 
 use log::{info, warn};
 use mustardrill_types::{Millis, Moment, RequestDigest, ResultCode};
@@ -11,7 +11,8 @@
 use crate::rendezvous;
 
 impl DirectReducer {
-    /// Notes that an upstream ended while it had a request of this entry, and tells the others.
+    /// Records that an upstream crashed while it ran a request of this entry, and broadcasts that
+    /// to the peers.
     pub(in crate::direct) fn run_crashed(
         &mut self,
         now: Moment,
@@ -19,10 +20,12 @@
         upstream: &UpstreamStart,
     ) {
         let Some(state) = self.requests.get(&number) else { return };
-        // One that leaves ends as it said; what it had was too long for it.
+        // An upstream that is draining stops as announced; the request merely took too long for it.
+        // That is not a crash.
         let listed = self.upstreams.get(&upstream.id);
-        let is_awaited = listed.is_some_and(|it| it.start() == *upstream && !it.record.leaving);
-        if !is_awaited {
+        let is_unplanned =
+            listed.is_some_and(|listed| listed.start() == *upstream && !listed.record.leaving);
+        if !is_unplanned {
             return;
         }
         let run = CrashedRun {
@@ -33,17 +36,18 @@
             ended: now,
         };
         self.crash_words.push(now, CrashWord::Crashed(run.clone()));
-        self.suspect(now, run);
+        self.record_crashed_run(now, run);
     }
 
-    /// Notes that a request was answered whole: it is none that upstreams end under.
+    /// Records that a request was answered completely, which shows that it does not crash
+    /// upstreams.
     pub(in crate::direct) fn run_succeeded(
         &mut self,
         now: Moment,
         digest: RequestDigest,
     ) -> Option<DirectEffect> {
         let was_quarantined = self.quarantine.remaining(now, digest).is_some();
-        self.crash_words.withdraw_verdict(digest);
+        self.crash_words.withdraw_quarantine(digest);
         if self.quarantine.succeeded(now, digest, now) {
             info!("quarantine digest={digest} outcome=sound");
             self.crash_words.push(now, CrashWord::Sound(digest, now));
@@ -51,27 +55,27 @@
         was_quarantined.then_some(DirectEffect::EndQuarantine(digest))
     }
 
-    /// Whether this entry writes a quarantine to the store. All come to the verdict; two write it,
-    /// as one of them may be killed or cut off from the store.
-    fn keeps_record(&self, digest: RequestDigest) -> bool {
-        const KEEPERS: usize = 2;
+    /// Whether this entry writes the quarantine to the store. All entries reach the verdict; two
+    /// write it, since one of them may be killed or cut off from the store.
+    fn writes_quarantine(&self, digest: RequestDigest) -> bool {
+        const WRITERS: usize = 2;
         let others = self.peers().iter().map(|peer| &peer.id);
         let entries: Vec<_> = others.chain([&self.settings.own]).collect();
         let subject = digest.0.to_be_bytes();
         let ranked = rendezvous::ranked(&subject, &entries, |id| id.as_str());
-        ranked.into_iter().take(KEEPERS).any(|id| **id == self.settings.own)
+        ranked.into_iter().take(WRITERS).any(|id| **id == self.settings.own)
     }
 
-    /// Takes what another entry tells.
+    /// Handles a report from a peer entry.
     pub(in crate::direct) fn crash_heard(
         &mut self,
         now: Moment,
-        word: CrashWord,
+        report: CrashWord,
     ) -> Vec<DirectEffect> {
-        match word {
-            CrashWord::Crashed(run) => self.suspect(now, run),
+        match report {
+            CrashWord::Crashed(run) => self.record_crashed_run(now, run),
             CrashWord::Sound(digest, at) => {
-                self.crash_words.withdraw_verdict(digest);
+                self.crash_words.withdraw_quarantine(digest);
                 if self.quarantine.succeeded(now, digest, at) {
                     info!("quarantine digest={digest} outcome=sound source=entry");
                 }
@@ -79,14 +83,14 @@
             CrashWord::Quarantined(digest, left) => {
                 if self.quarantine.begin(now, digest, left) {
                     info!("quarantine digest={digest} outcome=begun source=entry");
-                    return self.quarantine_begun(now, digest, left);
+                    return self.apply_verdict(now, digest, left);
                 }
             }
         }
         Vec::new()
     }
 
-    /// Takes what the store keeps of another entry's verdict.
+    /// Applies another entry's verdict that was read from the store.
     pub(in crate::direct) fn quarantine_seen(
         &mut self,
         now: Moment,
@@ -96,41 +100,42 @@
             return Vec::new();
         }
         info!("quarantine digest={digest} outcome=begun source=store");
-        self.refuse_waiting(now, digest)
+        self.refuse_waiting_requests(now, digest)
     }
 
-    /// Writes to the store again what it may have forgotten.
+    /// Writes the active quarantines to the store again, since it may have lost them.
     pub(in crate::direct) fn keep_quarantines_again(&self, now: Moment) -> Vec<DirectEffect> {
         let active = self.quarantine.active(now).into_iter();
-        let kept = active.filter(|(digest, _)| self.keeps_record(*digest));
-        kept.map(|(digest, left)| DirectEffect::KeepQuarantine(digest, left)).collect()
+        let to_write = active.filter(|(digest, _)| self.writes_quarantine(*digest));
+        to_write.map(|(digest, left)| DirectEffect::KeepQuarantine(digest, left)).collect()
     }
 
-    fn quarantine_begun(
+    fn apply_verdict(
         &mut self,
         now: Moment,
         digest: RequestDigest,
         left: Millis,
     ) -> Vec<DirectEffect> {
-        let mut effects = self.refuse_waiting(now, digest);
-        if self.keeps_record(digest) {
+        let mut effects = self.refuse_waiting_requests(now, digest);
+        if self.writes_quarantine(digest) {
             effects.push(DirectEffect::KeepQuarantine(digest, left));
         }
         effects
     }
 
-    /// What is to be told to the other entries at `now`.
+    /// Takes the reports that are to be sent to the peer entries at `now`.
     pub fn crash_words(&mut self, now: Moment) -> Vec<CrashWord> {
         self.crash_words.due(now)
     }
 
-    fn suspect(&mut self, now: Moment, run: CrashedRun) {
+    fn record_crashed_run(&mut self, now: Moment, run: CrashedRun) {
         let start = UpstreamStart { id: run.upstream.clone(), start: run.start };
         self.upstreams.ended(&start, run.ended);
         self.quarantine.crashed(now, run);
     }
 
-    /// Decides on the suspects, where that is due, and goes on with what waited for it.
+    /// Decides on the suspects if that is due, and resumes the requests that waited for the
+    /// verdict.
     pub(in crate::direct) fn decide_suspects(&mut self, now: Moment) -> Vec<DirectEffect> {
         if self.quarantine.next_verdict().is_none_or(|due| due > now) {
             return Vec::new();
@@ -138,31 +143,32 @@
         let mut effects = Vec::new();
         for digest in self.quarantine.verdicts(now) {
             warn!("quarantine digest={digest} outcome=begun");
-            // Others may have heard less, or too late to tell which run came after which.
-            if self.crash_words.tells_crash_of(digest) {
-                let word = CrashWord::Quarantined(digest, QUARANTINE_SPAN);
-                self.crash_words.push(now, word);
+            // Peers may have received fewer reports, or received them too late to order the runs.
+            if self.crash_words.is_broadcasting_crash(digest) {
+                let report = CrashWord::Quarantined(digest, QUARANTINE_SPAN);
+                self.crash_words.push(now, report);
             }
-            effects.extend(self.quarantine_begun(now, digest, QUARANTINE_SPAN));
+            effects.extend(self.apply_verdict(now, digest, QUARANTINE_SPAN));
         }
         for number in std::mem::take(&mut self.undecided) {
-            effects.extend(self.resume(now, number));
+            effects.extend(self.resume_held(now, number));
         }
         effects
     }
 
-    /// Refuses the requests that wait to be run once more; those at upstreams may yet be answered,
-    /// and so prove that the request is sound.
-    fn refuse_waiting(&mut self, now: Moment, digest: RequestDigest) -> Vec<DirectEffect> {
-        let waits = |state: &RequestState| matches!(state.stage, RequestStage::Waiting(_));
-        let same = self.requests.values().filter(|it| it.digest == digest && waits(it));
-        let mut waiting: Vec<_> = same.map(|state| state.number).collect();
+    /// Refuses the requests that wait for another run. Those at upstreams may still be answered,
+    /// and so prove that the request is harmless.
+    fn refuse_waiting_requests(&mut self, now: Moment, digest: RequestDigest) -> Vec<DirectEffect> {
+        let is_waiting = |state: &RequestState| matches!(state.stage, RequestStage::Waiting(_));
+        let matching =
+            self.requests.values().filter(|state| state.digest == digest && is_waiting(state));
+        let mut waiting: Vec<_> = matching.map(|state| state.number).collect();
         waiting.sort_unstable();
         let refuse = |number| self.refuse_quarantined(now, number);
         waiting.into_iter().filter_map(refuse).flatten().collect()
     }
 
-    /// Refuses a request that is run no more; nothing where it may run.
+    /// Refuses a quarantined request; returns `None` if it may run.
     fn refuse_quarantined(
         &mut self,
         now: Moment,
@@ -173,8 +179,7 @@
         Some(self.refuse(now, number, ResultCode::Quarantined, retry_after))
     }
 
-    /// Keeps a request from being run: it is refused, or waits for the verdict on it. Nothing where
-    /// it may run.
+    /// Refuses a request, or holds it until the verdict on it. Returns `None` if it may run.
     pub(in crate::direct) fn hold_suspect(
         &mut self,
         now: Moment,
@@ -192,8 +197,8 @@
         Some(Vec::new())
     }
 
-    /// Goes on with a request that waited for the verdict on it.
-    fn resume(&mut self, now: Moment, number: RequestNumber) -> Vec<DirectEffect> {
+    /// Continues with a request that waited for the verdict on it.
+    fn resume_held(&mut self, now: Moment, number: RequestNumber) -> Vec<DirectEffect> {
         if let Some(held) = self.hold_suspect(now, number) {
             return held;
         }
--- a/mustardrill_core/src/direct/versions/mod.rs
+++ b/mustardrill_core/src/direct/versions/mod.rs
@@ -1,4 +1,5 @@
-//! Which versions of a model's weights were named, and what may still begin on replaced ones.
+//! Tracks which weight versions were announced for each model, and how long requests may still
+//! start on superseded ones.
 
 pub(in crate::direct) mod naming;
 pub(in crate::direct) mod replaced;
--- a/mustardrill_core/src/direct/versions/naming.rs
+++ b/mustardrill_core/src/direct/versions/naming.rs
@@ -1,8 +1,10 @@
-//! Since when a version counts that the store shows, and when the other entries are asked for that.
+//! Determines when a version that the store shows was announced, and when peer entries are asked
+//! for that.
 //!
-//! Load pattern: an entry is cut off from the store, or stands still, while a version is named. The
-//! platform counts the time of the older one from the naming, and anew only where the store itself was
-//! away. What the entry has seen tells neither; the others may know.
+//! An entry may be cut off from the store, or be suspended, while the operator announces a version.
+//! The platform counts the time allowed to the older version from the announcement, and restarts
+//! that count only where the store itself was unavailable. The entry's own observations cannot tell
+//! the two cases apart, but its peers may know.
 
 use log::info;
 use mustardrill_types::{Millis, ModelName, Moment, WeightVersion};
@@ -10,68 +12,69 @@
 use crate::direct::reducer::DirectReducer;
 use crate::direct::versions::table::{NamingTime, NamingWord};
 
-/// Where the store answered no entry for less than this, the platform may not have counted it as
-/// away: single calls fail also where neither the store nor a link is down.
-const SHORT_OUTAGE: Millis = Millis(4_000);
+/// If the store answered no entry for less than this, the platform may not have counted it as
+/// unavailable: single calls fail even when neither the store nor a link is down.
+const MIN_STORE_OUTAGE: Millis = Millis(4_000);
 
-/// How long the others are asked once an entry has learned of a version: one that they have not heard
-/// of at the first question they have a moment later.
-const ASK_SPAN: Millis = Millis(1_000);
+/// How long the peers are polled after an entry has learned of a version. A peer that does not know
+/// the version at the first request may learn of it shortly afterwards.
+const POLL_SPAN: Millis = Millis(1_000);
 
-/// How long they have to tell whether the store answered them, before versions count anew. They are
-/// asked again and again within it.
-const WORD_PATIENCE: Millis = Millis(200);
+/// How long the peers have to report whether the store answered them before the announcement times
+/// are settled. They are asked repeatedly within this time.
+const PEER_REPORT_TIMEOUT: Millis = Millis(200);
 
-/// The questions to the other entries about versions that were learned of lately.
+/// Polling of the peer entries about recently learned versions.
 #[derive(Debug, Default)]
 pub(crate) struct NamingInquiry {
-    asked_until: Moment,
-    /// While none of them has answered, they are asked until then.
+    poll_until: Moment,
+    /// As long as no peer has answered, polling continues until this time.
     unanswered_until: Moment,
-    /// When it is decided whether versions count anew.
+    /// When to decide whether the time allowed to superseded versions is counted from the store's
+    /// return.
     settle_at: Option<Moment>,
 }
 
 impl NamingInquiry {
-    /// Begins to ask for a version that was learned of at `now`. Its older one may be used for `bound`.
-    /// `is_exact` tells whether the store showed it at once.
-    fn begin(&mut self, now: Moment, bound: Millis, is_exact: bool) {
-        self.asked_until = now + ASK_SPAN;
+    /// Starts polling for a version that was learned of at `now`; the version it supersedes may be
+    /// used for `bound`. `is_exact` is whether the store reported the announcement as it was made.
+    fn start(&mut self, now: Moment, bound: Millis, is_observed: bool) {
+        self.poll_until = now + POLL_SPAN;
         self.unanswered_until = now + bound;
-        if !is_exact {
-            self.settle_at = Some(now + WORD_PATIENCE);
+        if !is_observed {
+            self.settle_at = Some(now + PEER_REPORT_TIMEOUT);
         }
     }
 
-    /// Notes that another entry has answered.
     pub(crate) fn answered(&mut self) {
         self.unanswered_until = Moment(0);
     }
 
-    /// Whether others' answers decide now which requests are sent.
+    /// Whether the peers' answers currently affect which requests are sent.
     pub(crate) fn is_urgent(&self) -> bool {
         self.settle_at.is_some()
     }
 
-    /// Whether the others are to be asked.
+    /// Whether the peers should be polled at `now`.
     pub(crate) fn is_open(&self, now: Moment) -> bool {
-        now < self.asked_until.max(self.unanswered_until)
+        now < self.poll_until.max(self.unanswered_until)
     }
 
-    /// When something is to be decided.
+    /// When [`DirectReducer::settle_announcements`] next has a decision to make.
     pub(crate) fn next_decision(&self) -> Option<Moment> {
         self.settle_at
     }
 
-    /// Whether it is to be decided now whether versions count anew, where there are `others` to ask.
-    fn take_due(&mut self, now: Moment, others: bool) -> bool {
+    /// Returns whether the announcement times are to be settled now. `others` is whether there are
+    /// peers to ask.
+    fn take_due_decision(&mut self, now: Moment, has_peers: bool) -> bool {
         let Some(settle_at) = self.settle_at else { return false };
-        if others && now < settle_at {
+        if has_peers && now < settle_at {
             return false;
         }
-        // Silence says nothing of whether the store answered the others.
-        if others && now < self.unanswered_until {
-            self.settle_at = Some(now + WORD_PATIENCE);
+        // Missing answers do not show whether the store answered the peers.
+        if has_peers && now < self.unanswered_until {
+            self.settle_at = Some(now + PEER_REPORT_TIMEOUT);
             return false;
         }
         self.settle_at = None;
@@ -80,11 +83,12 @@
 }
 
 impl DirectReducer {
-    /// What an answer to a call that was sent at `sent` tells of when a version was named that it
-    /// shows first.
+    /// Derives when a version was announced from the answer that shows it first, to a call sent at
+    /// `sent`.
     ///
-    /// A call that is answered sooner than the one before it was over may tell what happened in
-    /// the pause between them; one that has waited for longer was answered at the naming.
+    /// If the call took no longer than the pause since the previous one, the announcement may have
+    /// been made in that pause. A call that waited longer was answered when the announcement was
+    /// made.
     pub(in crate::direct) fn naming_time(
         &self,
         now: Moment,
@@ -101,7 +105,8 @@
         NamingTime::heard(earliest, now)
     }
 
-    /// Notes a version that the store shows, and asks the others since when it counts.
+    /// Records a version that the store shows, and starts polling the peers for its announcement
+    /// time.
     pub(in crate::direct) fn version_named(
         &mut self,
         now: Moment,
@@ -112,42 +117,43 @@
         if !self.versions.name(model, version, time) {
             return;
         }
-        let is_exact = time.heard.is_some();
+        let is_observed = time.heard.is_some();
         info!(
             "weights model={model} version={version} outcome=named since={} evidence={}",
             now.since(time.since()),
-            if is_exact { "heard" } else { "bounded" }
+            if is_observed { "heard" } else { "bounded" }
         );
-        self.inquiry.begin(now, self.settings.version_bound, is_exact);
-        self.review_attempts();
+        self.inquiry.start(now, self.settings.version_bound, is_observed);
+        self.refresh_attempt_limits();
     }
 
-    /// Takes over what another entry knows of when versions were named.
-    pub(in crate::direct) fn namings_heard(&mut self, now: Moment, words: &[NamingWord]) {
+    /// Merges what a peer entry knows about announcement times.
+    pub(in crate::direct) fn namings_heard(&mut self, now: Moment, reports: &[NamingWord]) {
         self.inquiry.answered();
-        for word in words {
-            if !self.versions.refine(word) {
+        for report in reports {
+            if !self.versions.refine(report) {
                 continue;
             }
-            let NamingWord { model, version, .. } = word;
+            let NamingWord { model, version, .. } = report;
             let since = self.versions.named_at(model, *version).unwrap_or(now);
             info!(
                 "weights model={model} version={version} outcome=named since={} source=entry",
                 now.since(since)
             );
         }
-        self.review_attempts();
+        self.refresh_attempt_limits();
     }
 
-    /// Decides whether versions that came with the first answer after a time without any count anew,
-    /// once the other entries had time to tell whether the store answered them meanwhile.
+    /// Decides whether versions that arrived with the first answer after a store outage count from
+    /// the store's return, once the peers had time to report whether the store answered them in the
+    /// meantime.
     pub(in crate::direct) fn settle_namings(&mut self, now: Moment) {
-        if !self.inquiry.take_due(now, !self.peers.is_empty()) {
+        if !self.inquiry.take_due_decision(now, !self.peers.is_empty()) {
             return;
         }
         if let Some(span) = self.contact.span() {
-            self.versions.count_from(span.since, SHORT_OUTAGE);
-            self.review_attempts();
+            self.versions.count_from(span.since, MIN_STORE_OUTAGE);
+            self.refresh_attempt_limits();
             info!("weights outcome=settled answering={}", now.since(span.since));
         }
     }
--- a/mustardrill_core/src/direct/versions/replaced.rs
+++ b/mustardrill_core/src/direct/versions/replaced.rs
@@ -1,9 +1,10 @@
-//! Attempts on weights that a newer version replaces: until when they may begin, and what becomes of
-//! those that have not begun by then.
+//! Attempts on superseded weights: until when they may start, and what happens to those that have
+//! not started by then.
 //!
-//! Load pattern: an engine turns slow, or admits more urgent requests first, while the time of its
-//! weights ends. The forecast at the sending bounds nothing, and an engine drops a request that has not
-//! begun when its connection closes. So it is taken back, and sent where newer weights are.
+//! An engine may slow down, or admit more urgent requests first, while the time allowed to its
+//! weights runs out. The forecast made when the request is sent guarantees nothing, but an engine
+//! drops a request that has not started when its connection closes. The entry therefore withdraws
+//! the request and sends it to an engine with newer weights.
 
 use std::collections::BTreeSet;
 
@@ -14,36 +15,38 @@
 use crate::direct::reducer::DirectReducer;
 use crate::direct::request::{RequestStage, RequestState};
 
-/// What is left of the bound on replaced weights when a request begins on them, or is taken back: for
-/// the way to the engine, and for the moment at which the newer version was named, which is known to
-/// within a call.
+/// Safety margin before the time limit of superseded weights at which a request must have started
+/// or is withdrawn. It covers the network path to the engine and the uncertainty of the
+/// announcement time, which is known to within one call to the store.
 pub(in crate::direct) const VERSION_RESERVE: Millis = Millis(250);
 
-/// An attempt on weights that a newer version replaces.
+/// An attempt on weights for which a newer version has been announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ReplacedAttempt {
     /// The version that the upstream was believed to hold.
     pub(crate) version: WeightVersion,
-    /// How long after its sending it was expected to begin.
+    /// Time from sending to the expected start of the answer.
     pub(crate) forecast: Millis,
-    /// From when on nothing may begin on that version.
+    /// From this moment nothing may start on `version`.
     pub(crate) replaced_at: Moment,
 }
 
-/// The attempts on replaced weights that have not begun, by when they are taken back.
+/// Attempts on superseded weights that have not started, ordered by the time at which they are
+/// withdrawn.
 #[derive(Debug, Default)]
 pub(crate) struct UnbegunAttempts {
     attempts: BTreeSet<(Moment, RequestNumber)>,
 }
 
 impl ReplacedAttempt {
-    /// The moment at which it is taken back unless it has begun.
+    /// When the attempt is withdrawn unless it has started.
     pub(crate) fn begin_by(&self) -> Moment {
         self.replaced_at - VERSION_RESERVE
     }
 
-    /// Notes that an answer has begun; says whether that was after the time of its weights.
-    fn note_begin(&self, now: Moment, state: &RequestState, upstream: &InstanceId) -> bool {
+    /// Logs that the answer has started; returns whether that was past the time limit of its
+    /// weights.
+    fn log_start(&self, now: Moment, state: &RequestState, upstream: &InstanceId) -> bool {
         let line = format!(
             "request={} instance={upstream} outcome=begun weights={} took={} forecast={}",
             state.attempt,
@@ -62,17 +65,16 @@
 }
 
 impl UnbegunAttempts {
-    /// Awaits the beginning of a request's attempt.
+    /// Tracks an attempt until it starts or is withdrawn.
     pub(crate) fn insert(&mut self, number: RequestNumber, attempt: &ReplacedAttempt) {
         self.attempts.insert((attempt.begin_by(), number));
     }
 
-    /// Awaits it no more.
     pub(crate) fn remove(&mut self, number: RequestNumber, attempt: &ReplacedAttempt) {
         self.attempts.remove(&(attempt.begin_by(), number));
     }
 
-    /// When the next one is taken back.
+    /// When the next attempt is to be withdrawn.
     pub(crate) fn next_overdue(&self) -> Option<Moment> {
         self.attempts.first().map(|(begin_by, _)| *begin_by)
     }
@@ -88,23 +90,24 @@
 }
 
 impl DirectReducer {
-    /// What an attempt on `version` is held to; nothing where no newer one is named.
+    /// Returns the time limit of an attempt on `version`, or `None` if no newer version has been
+    /// announced.
     pub(in crate::direct) fn replaced_attempt(
         &self,
         state: &RequestState,
         version: WeightVersion,
         forecast: Millis,
     ) -> Option<ReplacedAttempt> {
-        let named = self.versions.named_after(state.model.as_ref()?, version)?;
+        let announced_at = self.versions.named_after(state.model.as_ref()?, version)?;
         Some(ReplacedAttempt {
             version,
             forecast,
-            replaced_at: named + self.settings.version_bound,
+            replaced_at: announced_at + self.settings.version_bound,
         })
     }
 
-    /// The version on which a request begins at `upstream`, as far as is known; nothing where it is
-    /// for no model.
+    /// The version on which a request would start at `upstream`, as far as known. `None` if the
+    /// request is not for a model.
     pub(in crate::direct) fn weights_at(
         &self,
         state: &RequestState,
@@ -114,9 +117,9 @@
         self.upstreams.get(upstream)?.version_of(state.model.as_ref()?)
     }
 
-    /// What the attempt of a request under way is held to. An engine that is listed no more, or tells
-    /// of no weights, may still begin it on those that it had.
-    fn current_attempt(
+    /// Returns the time limit of a request's attempt that is under way. An engine that is no longer
+    /// listed, or that reports no weights, may still start it on the weights that it had.
+    fn current_superseded_attempt(
         &self,
         state: &RequestState,
         upstream: &InstanceId,
@@ -125,7 +128,7 @@
         self.replaced_attempt(state, version, state.forecast)
     }
 
-    /// Takes that the answer to a request has begun, on `version` where its upstream told that.
+    /// Records that the answer to a request has started, on `version` if its upstream reported one.
     pub(in crate::direct) fn attempt_begun(
         &mut self,
         now: Moment,
@@ -139,11 +142,10 @@
         let Some(state) = self.requests.get(&number) else { return };
         let Some(version) = state.weights.and(version).or(state.weights) else { return };
         if let Some(attempt) = self.replaced_attempt(state, version, state.forecast) {
-            self.begun_late += u64::from(attempt.note_begin(now, state, &upstream.id));
+            self.begun_late += u64::from(attempt.log_start(now, state, &upstream.id));
         }
     }
 
-    /// Awaits the beginning of a request's attempt no more.
     pub(in crate::direct) fn forget_unbegun(&mut self, number: RequestNumber) {
         let state = self.requests.get_mut(&number);
         if let Some(attempt) = state.and_then(|state| state.replaced.take()) {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Awaits the beginning of a request's attempt where that is held to a moment.
+    /// Starts tracking the attempt if it has a time limit; stops tracking any earlier one.
     pub(in crate::direct) fn await_begin(
         &mut self,
         number: RequestNumber,
@@ -165,26 +167,28 @@
         }
     }
 
-    /// Holds the attempts under way to what is known of versions now.
-    pub(in crate::direct) fn review_attempts(&mut self) {
-        let sent = self.requests.values().filter_map(|state| match &state.stage {
+    /// Recomputes the time limits of all attempts that have not started, after the known
+    /// announcements changed.
+    pub(in crate::direct) fn refresh_attempt_limits(&mut self) {
+        let sent_attempts = self.requests.values().filter_map(|state| match &state.stage {
             RequestStage::Sent(upstream) if !state.begun => {
-                Some((state.number, self.current_attempt(state, &upstream.id)))
+                Some((state.number, self.current_superseded_attempt(state, &upstream.id)))
             }
             _ => None,
         });
-        for (number, attempt) in sent.collect::<Vec<_>>() {
+        for (number, attempt) in sent_attempts.collect::<Vec<_>>() {
             self.await_begin(number, attempt);
         }
     }
 
-    /// Takes back the attempts that have not begun in time, unless their engine has newer weights now.
+    /// Withdraws the attempts that did not start in time, unless their engine now has newer
+    /// weights.
     pub(in crate::direct) fn withdraw_overdue(&mut self, now: Moment) -> Vec<DirectEffect> {
         let mut effects = Vec::new();
         while let Some(number) = self.unbegun.take_overdue(now) {
             let Some(state) = self.requests.get(&number) else { continue };
             let RequestStage::Sent(upstream) = &state.stage else { continue };
-            match self.current_attempt(state, &upstream.id) {
+            match self.current_superseded_attempt(state, &upstream.id) {
                 None => {}
                 Some(attempt) if attempt.begin_by() > now => {
                     self.await_begin(number, Some(attempt));
--- a/mustardrill_core/src/direct/versions/table.rs
+++ b/mustardrill_core/src/direct/versions/table.rs
@@ -1,178 +1,192 @@
-//! Which versions of a model's weights a request may still begin on.
+//! Which versions of a model's weights a request may still start on.
 //!
-//! Load pattern: versions are named while some entries are cut off from the store, or stand still. An
-//! entry that learns of a version late must not give the older one its whole time once more, so since
-//! when a version counts is put together from what all entries know of its naming.
+//! Versions may be announced while some entries are cut off from the store, or suspended. An entry
+//! that learns of a version late must not grant the older one its full time once more, so the
+//! announcement time is combined from what all entries know.
 
 use mustardrill_types::{FastMap, Millis, ModelName, Moment, WeightVersion};
 
-/// What is known of when a version was named.
+/// The bounds known for the time at which a version was announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NamingTime {
-    /// It was not named before.
+    /// The version was not announced before this.
     pub earliest: Moment,
-    /// Somebody knew of it then.
+    /// Some process knew of the version at this time.
     pub known: Moment,
-    /// When somebody heard of it whom the store seemed to tell at once.
+    /// When a process observed the announcement as it was made, to all appearances.
     pub heard: Option<Moment>,
 }
 
-/// What another entry knows of a version.
+/// What another entry knows of a version's announcement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NamingWord {
-    /// The model.
+    /// The model that the version belongs to.
     pub model: ModelName,
-    /// The version.
+    /// The announced version.
     pub version: WeightVersion,
-    /// When it was named, by what that entry knows itself.
+    /// The announcement time according to the reporting entry's own observations.
     pub time: NamingTime,
-    /// How much later than told it may have heard of it.
+    /// The most by which the observation may have been later than `time` says, given the message's
+    /// unknown delay.
     pub slack: Millis,
 }
 
-/// A version, and what is known of when it was named.
+/// A version and its announcement time.
 #[derive(Debug)]
-struct NamedVersion {
+struct AnnouncedVersion {
     version: WeightVersion,
-    /// By the store's answers to this process; nothing where only others told of it.
-    own: Option<NamingTime>,
-    /// By all that is known.
+    /// From the store's answers to this process; `None` if only other entries reported the version.
+    own_time: Option<NamingTime>,
+    /// From all sources.
     time: NamingTime,
 }
 
-/// The versions named, and what is known of when.
+/// The announced versions of each model, with their announcement times.
 #[derive(Debug, Default)]
 pub struct VersionTable {
     /// In ascending order of versions.
-    named: FastMap<ModelName, Vec<NamedVersion>>,
+    announced: FastMap<ModelName, Vec<AnnouncedVersion>>,
 }
 
 impl NamingTime {
-    /// A naming that the store tells at once at `now`, and that was not before `earliest`.
+    /// An announcement that the store reports at `now` as it is made, and that was not made before
+    /// `earliest`.
     pub fn heard(earliest: Moment, now: Moment) -> Self {
         Self { earliest, known: now, heard: Some(now) }
     }
 
-    /// A naming that is learned of at `now`, and that was not before `earliest`.
+    /// An announcement that is learned of at `now`, and that was made between `earliest` and then.
     pub fn after(earliest: Moment, now: Moment) -> Self {
         Self { earliest, known: now, heard: None }
     }
 
-    /// The moment from which the version counts.
+    /// The moment from which the version is taken to be announced: the observed time, else the
+    /// earliest possible one.
     pub fn since(&self) -> Moment {
-        self.exact().unwrap_or(self.earliest.min(self.known))
+        self.observed_time().unwrap_or(self.earliest.min(self.known))
     }
 
-    /// When it was named, where somebody was told at once. A process that stood still takes an old
-    /// answer for that, which another one disproves that knew of the version before.
-    fn exact(&self) -> Option<Moment> {
+    /// The observed announcement time. A process that was suspended takes an old answer for a
+    /// current one; a peer that knew of the version before then disproves the observation.
+    fn observed_time(&self) -> Option<Moment> {
         self.heard.filter(|heard| *heard <= self.known)
     }
 
-    /// Takes over what another process knows, whose word may be later by `slack`.
+    /// Merges the bounds of another process, whose observation may be later by up to `slack`.
     fn refine(&mut self, other: Self, slack: Millis) {
         self.known = self.known.min(other.known);
-        // One that stood still took an old answer of the store for a proof of that moment.
+        // A process that was suspended takes an old answer of the store for one of that moment, so
+        // a lower bound past the time at which the version was known is dropped.
         let bounds = [self.earliest, other.earliest].into_iter();
-        let sound = bounds.filter(|earliest| *earliest <= self.known).max();
-        self.earliest = sound.unwrap_or(self.known);
-        // Words of one naming differ by their ways; to take the earliest of all would add these up.
-        let is_same = |heard: &Moment| other.heard.is_none_or(|told| *heard <= told + slack);
-        self.heard = self.heard.filter(is_same).or(other.heard);
+        let consistent = bounds.filter(|earliest| *earliest <= self.known).max();
+        self.earliest = consistent.unwrap_or(self.known);
+        // Reports of one announcement differ by their network delay. Taking the earliest of them
+        // all would accumulate the delays.
+        let is_same_observation =
+            |heard: &Moment| other.heard.is_none_or(|reported| *heard <= reported + slack);
+        self.heard = self.heard.filter(is_same_observation).or(other.heard);
     }
 }
 
 impl VersionTable {
-    /// Notes a version that the store shows; says whether it is newer than all before.
+    /// Records a version that the store shows; returns whether it is newer than all known before.
     pub fn name(&mut self, model: &ModelName, version: WeightVersion, time: NamingTime) -> bool {
-        let known = self.named.entry(model.clone()).or_default();
-        if let Some(named) = known.iter_mut().find(|named| named.version == version)
-            && named.own.is_none()
+        let versions = self.announced.entry(model.clone()).or_default();
+        if let Some(announced) = versions.iter_mut().find(|announced| announced.version == version)
+            && announced.own_time.is_none()
         {
-            // Others told of it before.
-            named.own = Some(time);
-            named.time.refine(time, Millis(0));
+            // Peers reported it before this process saw it.
+            announced.own_time = Some(time);
+            announced.time.refine(time, Millis(0));
         }
-        if known.last().is_some_and(|newest| newest.version >= version) {
+        if versions.last().is_some_and(|newest| newest.version >= version) {
             return false;
         }
-        known.push(NamedVersion { version, own: Some(time), time });
+        versions.push(AnnouncedVersion { version, own_time: Some(time), time });
         true
     }
 
-    /// Takes over what another entry knows of a version; says whether that changed since when any
-    /// version counts.
-    pub fn refine(&mut self, word: &NamingWord) -> bool {
-        let known = self.named.entry(word.model.clone()).or_default();
-        let place = known.partition_point(|named| named.version < word.version);
-        match known.get_mut(place) {
-            Some(named) if named.version == word.version => {
-                let before = named.time.since();
-                named.time.refine(word.time, word.slack);
-                named.time.since() != before
+    /// Merges what another entry knows of a version; returns whether the announcement time of any
+    /// version changed.
+    pub fn refine(&mut self, report: &NamingWord) -> bool {
+        let versions = self.announced.entry(report.model.clone()).or_default();
+        let index = versions.partition_point(|announced| announced.version < report.version);
+        match versions.get_mut(index) {
+            Some(announced) if announced.version == report.version => {
+                let before = announced.time.since();
+                announced.time.refine(report.time, report.slack);
+                announced.time.since() != before
             }
             _ => {
-                let named = NamedVersion { version: word.version, own: None, time: word.time };
-                known.insert(place, named);
+                let announced =
+                    AnnouncedVersion { version: report.version, own_time: None, time: report.time };
+                versions.insert(index, announced);
                 true
             }
         }
     }
 
-    /// Counts anew what was learned of after the store had answered nobody for `least` or longer and
-    /// came back at `returned`: the platform does the same.
-    pub fn count_from(&mut self, returned: Moment, least: Millis) {
-        for NamedVersion { time, .. } in self.named.values_mut().flatten() {
-            let is_learned_since = time.exact().is_none() && time.known >= returned;
-            // What was there at this process's start may have been named any time before.
-            let is_start = time.earliest == Moment(0);
-            if is_learned_since && !is_start && returned.since(time.earliest) >= least {
+    /// Takes versions learned of since the store came back at `returned` as announced then, if the
+    /// store had answered nobody for `least` or longer: the platform counts in the same way.
+    pub fn count_from(&mut self, returned: Moment, min_outage: Millis) {
+        for AnnouncedVersion { time, .. } in self.announced.values_mut().flatten() {
+            let is_learned_after_return = time.observed_time().is_none() && time.known >= returned;
+            // Versions present when this process started may have been announced at any time
+            // before.
+            let is_from_process_start = time.earliest == Moment(0);
+            if is_learned_after_return
+                && !is_from_process_start
+                && returned.since(time.earliest) >= min_outage
+            {
                 time.earliest = returned;
             }
         }
     }
 
-    /// What other entries may need to know: the versions that count since `from` or later.
+    /// Reports for other entries: the versions announced at `from` or later, by this process's own
+    /// observations.
     pub fn words(&self, from: Moment) -> Vec<NamingWord> {
-        let all = self.named.iter().flat_map(|(model, known)| {
-            known.iter().filter_map(|named| {
-                let (version, time) = (named.version, named.own?);
+        let all = self.announced.iter().flat_map(|(model, versions)| {
+            versions.iter().filter_map(|announced| {
+                let (version, time) = (announced.version, announced.own_time?);
                 Some(NamingWord { model: model.clone(), version, time, slack: Millis(0) })
             })
         });
-        all.filter(|word| word.time.since() >= from).collect()
+        all.filter(|report| report.time.since() >= from).collect()
     }
 
-    /// The newest version named.
+    /// The newest version announced for a model.
     pub fn newest(&self, model: &ModelName) -> Option<WeightVersion> {
-        self.named.get(model)?.last().map(|newest| newest.version)
+        self.announced.get(model)?.last().map(|newest| newest.version)
     }
 
-    /// The newest version named of each model.
+    /// The newest announced version of each model.
     pub fn all_newest(&self) -> impl Iterator<Item = (ModelName, WeightVersion)> {
-        let newest = self.named.iter();
-        newest.filter_map(|(model, known)| Some((model.clone(), known.last()?.version)))
+        let newest = self.announced.iter();
+        newest.filter_map(|(model, versions)| Some((model.clone(), versions.last()?.version)))
     }
 
-    /// Since when the first version after `version` counts.
+    /// The announcement time of the version that supersedes `version`: the earliest among all newer
+    /// ones.
     pub fn named_after(&self, model: &ModelName, version: WeightVersion) -> Option<Moment> {
-        let known = self.named.get(model)?;
-        let later = known.iter().filter(|named| named.version > version);
-        later.map(|named| named.time.since()).min()
+        let versions = self.announced.get(model)?;
+        let newer = versions.iter().filter(|announced| announced.version > version);
+        newer.map(|announced| announced.time.since()).min()
     }
 
-    /// Since when a version counts.
+    /// The announcement time of a version, or `None` if it is not known.
     pub fn named_at(&self, model: &ModelName, version: WeightVersion) -> Option<Moment> {
-        let known = self.named.get(model)?;
-        let named = known.iter().find(|named| named.version == version);
-        named.map(|named| named.time.since())
+        let versions = self.announced.get(model)?;
+        let announced = versions.iter().find(|announced| announced.version == version);
+        announced.map(|announced| announced.time.since())
     }
 
-    /// The least version that a request may begin on at `begins`: every version named longer ago than
-    /// `bound` has replaced those before it.
+    /// The lowest version that a request may start on at `begins`: every version announced at least
+    /// `bound` earlier has superseded those before it.
     pub fn floor(&self, begins: Moment, model: &ModelName, bound: Millis) -> Option<WeightVersion> {
-        let known = self.named.get(model)?;
-        let due = known.iter().rev().find(|it| begins.since(it.time.since()) >= bound);
-        due.map(|named| named.version)
+        let versions = self.announced.get(model)?;
+        let superseding =
+            versions.iter().rev().find(|announced| begins.since(announced.time.since()) >= bound);
+        superseding.map(|announced| announced.version)
     }
 }
--- a/mustardrill_core/src/quarantine.rs
+++ b/mustardrill_core/src/quarantine.rs
@@ -1,111 +1,120 @@
-//! Which requests are run no more for a while, as upstreams end under them.
+//! Quarantine of requests that crash upstreams.
 //!
-//! Load pattern: a request ends each upstream that begins to run it, and comes again, from its
-//! caller and through every entry. Sent on each time it takes the whole service away, and with each
-//! upstream the other requests there. Entries therefore tell each other which requests an upstream
-//! had when it ended, and the one that was there each time is run no more.
+//! A request may crash each upstream that starts to run it, and arrive again from its caller and
+//! through every entry. If it were sent on each time, it would take down the whole service, and
+//! with each upstream the other requests there. Entries therefore report to each other which
+//! requests an upstream was running when it crashed, and the request that was present at each crash
+//! is not run for a while.
 //!
-//! Others were there too. One that was answered whole since is cleared. A crash is put down to
-//! those that were at most crashes, one after the other: many that run at once see many upstreams
-//! end when a machine hall loses power, while the cause ends the next upstream after the last.
+//! Other requests are present at crashes, too. One that has been answered completely since is
+//! cleared. A crash is attributed to the requests that were present at most crashes in sequence,
+//! each starting after the previous crash: many that run at the same time see many upstreams go
+//! down when a data hall loses power, whereas a culprit crashes one upstream after the other.
 
 use std::cmp::Reverse;
 
 use log::info;
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment, RequestDigest, StartStamp};
 
-/// Upstreams that ended under a request before it is held to be the cause.
-const LEAST_CRASHES: usize = 3;
+/// Crashes under a request before it is taken to be the cause.
+const MIN_CRASHES: usize = 3;
 
-/// How many of these must have begun after the one before had ended.
-const LEAST_IN_TURN: usize = 2;
+/// How many of these runs must have started after the previous one had crashed.
+const MIN_SEQUENTIAL_CRASHES: usize = 2;
 
-/// Crashes in turn after which a request is held to be a cause though another one was there each
-/// time: two that always run together can't be told apart, and the upstreams are worth more.
-const MOST_IN_TURN: usize = 5;
+/// Crashes in sequence after which a request is quarantined even though another one was present
+/// each time: two requests that always run together cannot be told apart, and the upstreams are
+/// worth more.
+const CONCLUSIVE_SEQUENTIAL_CRASHES: usize = 5;
 
-/// For how long a request is run no more. After that it is tried again, as the software or the
-/// weights may have been mended; the first upstream that ends under it ends the trial.
+/// How long a request is quarantined. After that it is tried again, as the software or the weights
+/// may have been fixed; the first crash under it then ends the trial.
 pub const QUARANTINE_SPAN: Millis = Millis(600_000);
 
-/// How long a crash is remembered against the requests that were there.
+/// How long a crash counts against the requests that were present.
 const SUSPICION_SPAN: Millis = Millis(600_000);
 
-/// Requests that are suspected at most; a crash adds those of one upstream, 20 or so.
+/// Maximum number of suspected requests. One crash adds those of one upstream, about 20.
 const SUSPECTS_LIMIT: usize = 1_024;
 
-/// Crashes that are remembered of one request.
-const RUNS_LIMIT: usize = 16;
+/// Crashes remembered per request.
+const RUNS_PER_SUSPECT_LIMIT: usize = 16;
 
-/// Requests in quarantine at most.
+/// Maximum number of quarantined requests.
 const QUARANTINE_LIMIT: usize = 4_096;
 
-/// A run of a request that ended with its upstream.
+/// A run of a request during which its upstream crashed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashedRun {
-    /// The request.
+    /// Identifies the request by its content.
     pub digest: RequestDigest,
-    /// The upstream.
+    /// The upstream that crashed.
     pub upstream: InstanceId,
-    /// Which start of it.
+    /// The incarnation of the upstream.
     pub start: StartStamp,
-    /// When the request was sent to it.
+    /// When the request was sent to the upstream.
     pub sent: Moment,
-    /// When it ended.
+    /// When the upstream crashed.
     pub ended: Moment,
 }
 
-/// What processes tell each other of requests under which upstreams ended.
+/// What processes report to each other about requests that were running when upstreams crashed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CrashWord {
-    /// An upstream ended while it had the request.
+    /// An upstream crashed while it ran the request.
     Crashed(CrashedRun),
-    /// The request was answered whole at that moment, so that no crash before is put down to it.
+    /// The request was answered completely at that moment, so no earlier crash counts against it.
     Sound(RequestDigest, Moment),
-    /// The request is run no more for so long.
+    /// The request is quarantined for the remaining time given.
     Quarantined(RequestDigest, Millis),
 }
 
-/// The requests under which upstreams ended, and those of them that are run no more.
+/// The requests that were running when upstreams crashed, and those of them that are quarantined.
 #[derive(Debug)]
 pub struct QuarantineTable {
-    /// How long a verdict waits for the words of other entries on the same crash: what they had
-    /// there may be the cause.
+    /// How long a verdict waits for the reports of other entries on the same crash: a request of
+    /// theirs may be the cause.
     settle: Millis,
     suspects: FastMap<RequestDigest, SuspectRecord>,
-    /// Until when requests are run no more; kept for as long again, for a trial that fails.
-    terms: FastMap<RequestDigest, Moment>,
+    /// When each quarantine ends. Kept for as long again afterwards, so that a crash during the
+    /// trial is recognised.
+    quarantined_until: FastMap<RequestDigest, Moment>,
     /// When the next verdicts are due.
-    due: Option<Moment>,
+    verdicts_due: Option<Moment>,
 }
 
-/// What is held against a request.
+/// The crashes recorded against a request.
 #[derive(Debug, Default)]
 struct SuspectRecord {
     runs: Vec<CrashedRun>,
-    /// When it was answered whole; crashes until then don't count.
-    cleared: Moment,
+    /// When the request was last answered completely; crashes up to then do not count.
+    cleared_at: Moment,
 }
 
-/// How much speaks against a request: its crashes in turn, and all of its crashes.
+/// The evidence against a request: its crashes in sequence, then all its crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct SuspicionWeight {
-    in_turn: usize,
+struct CrashEvidence {
+    sequential: usize,
     crashes: usize,
 }
 
 impl QuarantineTable {
-    /// An empty table, where words of other entries take up to `settle`.
+    /// Creates an empty table. Reports of other entries take up to `settle` to arrive.
     pub fn new(settle: Millis) -> Self {
-        Self { settle, suspects: FastMap::default(), terms: FastMap::default(), due: None }
+        Self {
+            settle,
+            suspects: FastMap::default(),
+            quarantined_until: FastMap::default(),
+            verdicts_due: None,
+        }
     }
 
-    /// Notes a run that ended with its upstream; says whether it was not known yet.
+    /// Records a run during which the upstream crashed; returns whether it was not known yet.
     pub fn crashed(&mut self, now: Moment, run: CrashedRun) -> bool {
-        if self.suspects.get(&run.digest).is_some_and(|known| known.knows(&run)) {
+        if self.suspects.get(&run.digest).is_some_and(|record| record.contains(&run)) {
             return false;
         }
-        self.forget(now);
+        self.drop_expired(now);
         info!(
             "quarantine digest={} instance={} ran={} outcome=suspected",
             run.digest,
@@ -114,135 +123,145 @@
         );
         let record = self.suspects.entry(run.digest).or_default();
         record.runs.push(run);
-        if record.runs.len() > RUNS_LIMIT {
+        if record.runs.len() > RUNS_PER_SUSPECT_LIMIT {
             record.runs.remove(0);
         }
-        self.due.get_or_insert(now + self.settle);
+        self.verdicts_due.get_or_insert(now + self.settle);
         true
     }
 
-    /// Notes that a request was answered whole at a moment; says whether anything was held against it.
+    /// Records that a request was answered completely at `at`; returns whether any crash or
+    /// quarantine counted against it until now.
     pub fn succeeded(&mut self, now: Moment, digest: RequestDigest, at: Moment) -> bool {
-        let was_quarantined = self.terms.remove(&digest).is_some();
+        let was_quarantined = self.quarantined_until.remove(&digest).is_some();
         let Some(record) = self.suspects.get_mut(&digest) else { return was_quarantined };
-        let before = record.counted().count();
-        record.cleared = record.cleared.max(at);
-        let was_suspected = record.counted().count() < before;
+        let before = record.runs_since_cleared().count();
+        record.cleared_at = record.cleared_at.max(at);
+        let was_suspected = record.runs_since_cleared().count() < before;
         if was_suspected {
-            // What ended beside it is now the others' alone.
-            self.due = Some(now);
+            // The crashes that it shared now count against the other requests alone.
+            self.verdicts_due = Some(now);
         }
         was_suspected || was_quarantined
     }
 
     /// When verdicts are due.
     pub fn next_verdict(&self) -> Option<Moment> {
-        self.due
+        self.verdicts_due
     }
 
-    /// Whether a request may be put in quarantine once all words on its last crash have come.
+    /// Whether a request may be quarantined once all reports on its last crash have arrived.
     pub fn is_open(&self, now: Moment, digest: RequestDigest) -> bool {
         let record = self.suspects.get(&digest);
-        record.is_some_and(|record| self.settles(record) > now && record.is_charged())
+        record.is_some_and(|record| self.settled_at(record) > now && record.is_suspicious())
     }
 
-    /// The requests whose quarantine begins now. Empty before the verdicts are due.
+    /// Decides on the suspects if that is due, and returns the requests whose quarantine starts
+    /// now.
     pub fn verdicts(&mut self, now: Moment) -> Vec<RequestDigest> {
-        if self.due.is_none_or(|due| due > now) {
+        if self.verdicts_due.is_none_or(|due| due > now) {
             return Vec::new();
         }
-        let settles = self.suspects.values().map(|record| self.settles(record));
-        self.due = settles.filter(|settles| *settles > now).min();
-        let settled = self.suspects.iter().filter(|(_, it)| self.settles(it) <= now);
-        let mut open: Vec<_> = settled.map(|(digest, _)| *digest).collect();
-        // The heaviest first: what they explain is not held against the others.
-        open.sort_by_cached_key(|digest| (Reverse(self.weight(*digest)), *digest));
-        let mut begun = Vec::new();
-        for digest in open {
+        let settle_times = self.suspects.values().map(|record| self.settled_at(record));
+        self.verdicts_due = settle_times.filter(|settled_at| *settled_at > now).min();
+        let settled = self.suspects.iter().filter(|(_, record)| self.settled_at(record) <= now);
+        let mut settled: Vec<_> = settled.map(|(digest, _)| *digest).collect();
+        // Those with the most evidence come first: crashes that they explain do not count against
+        // others.
+        settled.sort_by_cached_key(|digest| (Reverse(self.evidence(*digest)), *digest));
+        let mut quarantined = Vec::new();
+        for digest in settled {
             if self.is_cause(now, digest) && self.begin(now, digest, QUARANTINE_SPAN) {
-                begun.push(digest);
+                quarantined.push(digest);
             }
         }
-        begun
+        quarantined
     }
 
-    /// Begins a request's quarantine of `span`; says whether it was not in it.
+    /// Starts a quarantine of length `span`; returns whether the request was not quarantined
+    /// already.
     pub fn begin(&mut self, now: Moment, digest: RequestDigest, span: Millis) -> bool {
         if self.remaining(now, digest).is_some() {
             return false;
         }
-        if self.terms.len() >= QUARANTINE_LIMIT {
-            let soonest = self.terms.iter().min_by_key(|(_, until)| **until);
+        if self.quarantined_until.len() >= QUARANTINE_LIMIT {
+            let soonest = self.quarantined_until.iter().min_by_key(|(_, until)| **until);
             if let Some(soonest) = soonest.map(|(digest, _)| *digest) {
-                self.terms.remove(&soonest);
+                self.quarantined_until.remove(&soonest);
             }
         }
-        self.terms.insert(digest, now + span);
+        self.quarantined_until.insert(digest, now + span);
         true
     }
 
-    /// How long a request is yet to be run no more; nothing where it may run.
+    /// How much longer a request is quarantined, or `None` if it may run.
     pub fn remaining(&self, now: Moment, digest: RequestDigest) -> Option<Millis> {
-        let until = *self.terms.get(&digest)?;
+        let until = *self.quarantined_until.get(&digest)?;
         (until > now).then(|| until.since(now))
     }
 
-    /// How many requests are run no more.
+    /// The number of quarantined requests.
     pub fn quarantined(&self, now: Moment) -> usize {
-        self.terms.values().filter(|until| **until > now).count()
+        self.quarantined_until.values().filter(|until| **until > now).count()
     }
 
-    /// The requests that are run no more, and for how long.
+    /// The quarantined requests, with the remaining time of each.
     pub fn active(&self, now: Moment) -> Vec<(RequestDigest, Millis)> {
-        let active = self.terms.iter().filter(|(_, until)| **until > now);
+        let active = self.quarantined_until.iter().filter(|(_, until)| **until > now);
         active.map(|(digest, until)| (*digest, until.since(now))).collect()
     }
 
-    /// How many requests are suspected.
+    /// The number of suspected requests.
     pub fn suspects(&self) -> usize {
         self.suspects.len()
     }
 
     fn is_cause(&self, now: Moment, digest: RequestDigest) -> bool {
         let Some(record) = self.suspects.get(&digest) else { return false };
-        let on_trial = self.terms.get(&digest).filter(|until| **until <= now);
-        if on_trial.is_some_and(|until| record.counted().any(|run| run.ended > *until)) {
+        let trial_start = self.quarantined_until.get(&digest).filter(|until| **until <= now);
+        if trial_start
+            .is_some_and(|start| record.runs_since_cleared().any(|run| run.ended > *start))
+        {
             return true;
         }
-        if !record.is_charged() {
+        if !record.is_suspicious() {
             return false;
         }
-        let weight = record.weight();
-        let unexplained = record.counted().filter(|run| !self.is_explained(now, run, weight));
-        let left = SuspicionWeight::of(unexplained);
-        let is_alone = left.crashes >= LEAST_CRASHES && left.in_turn >= LEAST_IN_TURN;
-        is_alone || weight.in_turn >= MOST_IN_TURN
+        let evidence = record.evidence();
+        let unexplained =
+            record.runs_since_cleared().filter(|run| !self.is_explained(now, run, evidence));
+        let remaining = CrashEvidence::of(unexplained);
+        let is_sole_cause =
+            remaining.crashes >= MIN_CRASHES && remaining.sequential >= MIN_SEQUENTIAL_CRASHES;
+        is_sole_cause || evidence.sequential >= CONCLUSIVE_SEQUENTIAL_CRASHES
     }
 
-    /// Whether another request that was there is as likely the cause.
-    fn is_explained(&self, now: Moment, run: &CrashedRun, weight: SuspicionWeight) -> bool {
+    /// Whether another request that was present at the crash is at least as likely the cause.
+    fn is_explained(&self, now: Moment, run: &CrashedRun, evidence: CrashEvidence) -> bool {
         self.suspects.iter().any(|(digest, other)| {
-            let was_there = || other.counted().any(|it| it.is_same_end(run));
-            let is_heavier = || other.weight() >= weight || self.remaining(now, *digest).is_some();
-            *digest != run.digest && was_there() && is_heavier()
+            let was_present =
+                || other.runs_since_cleared().any(|other_run| other_run.is_same_crash(run));
+            let is_as_likely =
+                || other.evidence() >= evidence || self.remaining(now, *digest).is_some();
+            *digest != run.digest && was_present() && is_as_likely()
         })
     }
 
-    /// When all words on a suspect's last crash have come.
-    fn settles(&self, record: &SuspectRecord) -> Moment {
-        record.last() + self.settle
+    /// When all reports on a suspect's last crash have arrived.
+    fn settled_at(&self, record: &SuspectRecord) -> Moment {
+        record.last_crash() + self.settle
     }
 
-    fn weight(&self, digest: RequestDigest) -> Option<SuspicionWeight> {
-        self.suspects.get(&digest).map(SuspectRecord::weight)
+    fn evidence(&self, digest: RequestDigest) -> Option<CrashEvidence> {
+        self.suspects.get(&digest).map(SuspectRecord::evidence)
     }
 
-    /// Forgets what is long ago, and the oldest suspects where there are too many.
-    fn forget(&mut self, now: Moment) {
-        self.suspects.retain(|_, record| now.since(record.last()) < SUSPICION_SPAN);
-        self.terms.retain(|_, until| now.since(*until) < QUARANTINE_SPAN);
+    /// Drops expired records, and the oldest suspects where there are too many.
+    fn drop_expired(&mut self, now: Moment) {
+        self.suspects.retain(|_, record| now.since(record.last_crash()) < SUSPICION_SPAN);
+        self.quarantined_until.retain(|_, until| now.since(*until) < QUARANTINE_SPAN);
         while self.suspects.len() >= SUSPECTS_LIMIT {
-            let oldest = self.suspects.iter().min_by_key(|(_, record)| record.last());
+            let oldest = self.suspects.iter().min_by_key(|(_, record)| record.last_crash());
             let Some(oldest) = oldest.map(|(digest, _)| *digest) else { break };
             self.suspects.remove(&oldest);
         }
@@ -250,11 +269,12 @@
 }
 
 impl CrashWord {
-    /// Whether both tell the same, apart from their times, which differ a little on each way.
+    /// Whether both report the same event. Times are ignored, as they differ a little with the path
+    /// taken.
     pub fn is_same(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Crashed(one), Self::Crashed(other)) => {
-                one.digest == other.digest && one.is_same_end(other)
+                one.digest == other.digest && one.is_same_crash(other)
             }
             (Self::Sound(one, _), Self::Sound(other, _)) => one == other,
             (Self::Quarantined(one, _), Self::Quarantined(other, _)) => one == other,
@@ -264,49 +284,50 @@
 }
 
 impl SuspectRecord {
-    fn knows(&self, run: &CrashedRun) -> bool {
-        self.runs.iter().any(|known| known.is_same_end(run))
+    fn contains(&self, run: &CrashedRun) -> bool {
+        self.runs.iter().any(|known| known.is_same_crash(run))
     }
 
-    /// The crashes since it was answered whole.
-    fn counted(&self) -> impl Iterator<Item = &CrashedRun> {
-        self.runs.iter().filter(|run| run.ended > self.cleared)
+    /// The crashes since the request was last answered completely.
+    fn runs_since_cleared(&self) -> impl Iterator<Item = &CrashedRun> {
+        self.runs.iter().filter(|run| run.ended > self.cleared_at)
     }
 
-    fn weight(&self) -> SuspicionWeight {
-        SuspicionWeight::of(self.counted())
+    fn evidence(&self) -> CrashEvidence {
+        CrashEvidence::of(self.runs_since_cleared())
     }
 
-    /// Whether enough upstreams ended under it, whoever else was there.
-    fn is_charged(&self) -> bool {
-        let weight = self.weight();
-        weight.crashes >= LEAST_CRASHES && weight.in_turn >= LEAST_IN_TURN
+    /// Whether enough upstreams crashed under the request, whichever other requests were present.
+    fn is_suspicious(&self) -> bool {
+        let evidence = self.evidence();
+        evidence.crashes >= MIN_CRASHES && evidence.sequential >= MIN_SEQUENTIAL_CRASHES
     }
 
-    fn last(&self) -> Moment {
+    fn last_crash(&self) -> Moment {
         self.runs.iter().map(|run| run.ended).max().unwrap_or_default()
     }
 }
 
-impl SuspicionWeight {
+impl CrashEvidence {
     fn of<'a>(runs: impl Iterator<Item = &'a CrashedRun>) -> Self {
         let mut spans: Vec<_> = runs.map(|run| (run.ended, run.sent)).collect();
-        // Ended first, taken first: the most that don't overlap, in whatever order they were told.
+        // Greedy selection by end time yields the largest set of runs that do not overlap, whatever
+        // the order in which they were reported.
         spans.sort_unstable();
-        let (mut in_turn, mut free_from) = (0, Moment(0));
+        let (mut sequential, mut free_from) = (0, Moment(0));
         for (ended, sent) in &spans {
             if *sent >= free_from {
-                in_turn += 1;
+                sequential += 1;
                 free_from = *ended;
             }
         }
-        Self { in_turn, crashes: spans.len() }
+        Self { sequential, crashes: spans.len() }
     }
 }
 
 impl CrashedRun {
-    /// Whether both ended with the same start of the same upstream.
-    fn is_same_end(&self, other: &Self) -> bool {
+    /// Whether both runs ended with the same incarnation of the same upstream.
+    fn is_same_crash(&self, other: &Self) -> bool {
         self.upstream == other.upstream && self.start == other.start
     }
 }
--- a/mustardrill_core/tests/naming_doubts.rs
+++ b/mustardrill_core/tests/naming_doubts.rs
@@ -1,4 +1,5 @@
-//! What an entry knows of namings that it did not see itself, and of attempts whose engine it lost.
+//! Announcements that an entry did not observe itself, and attempts whose engine is no longer
+//! listed.
 
 use mustardrill_core::direct::{
     AnswerSpan, DirectEffect, DirectEvent, DirectReducer, FleetChange, FleetPage, NamingTime,
@@ -42,26 +43,26 @@
     })
 }
 
-fn named(version: u64) -> FleetChange {
+fn version_announced(version: u64) -> FleetChange {
     FleetChange::VersionNamed(model(), WeightVersion(version))
 }
 
-fn other() -> FleetChange {
+fn peer() -> FleetChange {
     FleetChange::Peer(common::peer(&"entry-2".parse().unwrap()))
 }
 
-fn word(version: u64, time: NamingTime) -> NamingWord {
+fn announcement_report(version: u64, time: NamingTime) -> NamingWord {
     NamingWord { model: model(), version: WeightVersion(version), time, slack: Millis(10) }
 }
 
 fn entry_at(now: Moment) -> DirectReducer {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
-    let changes = vec![configured(), engine(1), other()];
+    let changes = vec![configured(), engine(1), peer()];
     reducer.reduce(now, DirectEvent::Fleet(page(changes), now));
     reducer
 }
 
-fn send(reducer: &mut DirectReducer, number: u64, now: Moment) -> Option<Option<Moment>> {
+fn send_request(reducer: &mut DirectReducer, number: u64, now: Moment) -> Option<Option<Moment>> {
     let size = WorkSize { prompt: 300, answer: 120 };
     let request = common::direct_request(number, "/x", size, now);
     let effects = reducer.reduce(now, DirectEvent::Arrived(request));
@@ -71,15 +72,15 @@
     })
 }
 
-/// The store answers again and again until `until`.
-fn follow(reducer: &mut DirectReducer, until: Moment) {
+/// The store keeps answering until `until`.
+fn keep_store_answering(reducer: &mut DirectReducer, until: Moment) {
     for after in (0..until.since(START).0).step_by(1_000).chain([until.since(START).0]) {
         let now = START + Millis(after);
         reducer.reduce(now, DirectEvent::Fleet(page(Vec::new()), now));
     }
 }
 
-fn withdrawn(effects: &[DirectEffect]) -> bool {
+fn is_withdrawn(effects: &[DirectEffect]) -> bool {
     effects.contains(&DirectEffect::Withdraw(RequestNumber(1)))
 }
 
@@ -87,191 +88,236 @@
     common::direct_settings().version_bound
 }
 
-/// The entry's clock begins with its process, so its first moment is not long ago.
+/// The entry's clock starts with its process, so the first moment that it knows is recent.
 #[test]
-fn an_entry_that_has_just_started_gives_replaced_weights_their_whole_time_again() {
+fn a_just_started_entry_grants_superseded_weights_a_second_bound() {
     let started = Moment::FIRST + Millis(300);
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
-    let changes = vec![configured(), named(1), other(), engine(1), named(2)];
-    let whole = FleetPage { whole: true, ..page(changes) };
-    reducer.reduce(started, DirectEvent::Fleet(whole, Moment::FIRST + Millis(280)));
+    let changes = vec![configured(), version_announced(1), peer(), engine(1), version_announced(2)];
+    let snapshot = FleetPage { whole: true, ..page(changes) };
+    reducer.reduce(started, DirectEvent::Fleet(snapshot, Moment::FIRST + Millis(280)));
     assert_eq!(
-        send(&mut reducer, 1, Moment::FIRST + Millis(600)),
+        send_request(&mut reducer, 1, Moment::FIRST + Millis(600)),
         None,
-        "nobody told that it is new"
+        "no peer reported that the version is new"
     );
 }
 
-/// The same where another entry tells that it was named long before this process began.
+/// The same where a peer reports that the version was announced long before this process started.
 #[test]
-fn a_version_named_before_an_entry_started_counts_from_its_start() {
+fn a_version_announced_before_an_entry_started_counts_from_that_start() {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
-    let changes = vec![configured(), other(), engine(1), named(2)];
-    let whole = FleetPage { whole: true, ..page(changes) };
+    let changes = vec![configured(), peer(), engine(1), version_announced(2)];
+    let snapshot = FleetPage { whole: true, ..page(changes) };
     reducer.reduce(
         Moment::FIRST + Millis(300),
-        DirectEvent::Fleet(whole, Moment::FIRST + Millis(280)),
+        DirectEvent::Fleet(snapshot, Moment::FIRST + Millis(280)),
     );
-    // What `NamingRow::word` makes of an age of 6.5 s that is heard at 320 ms.
+    // What `NamingRow::word` makes of an age of 6.5 s that is received at 320 ms.
     let now = Moment::FIRST + Millis(320);
-    let age = |told: u64| now - Millis(10) - Millis(told);
-    let time =
-        NamingTime { earliest: age(6_600), known: now - Millis(6_500), heard: Some(age(6_500)) };
-    reducer.reduce(now, DirectEvent::NamingsHeard(vec![word(2, time)]));
+    let moment_of_age = |age: u64| now - Millis(10) - Millis(age);
+    let time = NamingTime {
+        earliest: moment_of_age(6_600),
+        known: now - Millis(6_500),
+        heard: Some(moment_of_age(6_500)),
+    };
+    reducer.reduce(now, DirectEvent::NamingsHeard(vec![announcement_report(2, time)]));
     let late = Moment::FIRST + Millis(1_320);
     reducer.reduce(late, DirectEvent::Fleet(page(Vec::new()), late));
-    assert_eq!(send(&mut reducer, 1, late), None, "it was named 7.5 s ago, of 7 s");
+    assert_eq!(
+        send_request(&mut reducer, 1, late),
+        None,
+        "announced 7.5 s ago, past the bound of 7 s"
+    );
 }
 
 #[test]
-fn an_entry_that_starts_late_gives_replaced_weights_their_whole_time_again() {
+fn an_entry_started_after_the_announcement_grants_superseded_weights_a_second_bound() {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
-    let changes = vec![configured(), other(), engine(1), named(2)];
-    let whole = FleetPage { whole: true, ..page(changes) };
-    reducer.reduce(START, DirectEvent::Fleet(whole, START));
-    assert_eq!(send(&mut reducer, 1, START + Millis(300)), None);
+    let changes = vec![configured(), peer(), engine(1), version_announced(2)];
+    let snapshot = FleetPage { whole: true, ..page(changes) };
+    reducer.reduce(START, DirectEvent::Fleet(snapshot, START));
+    assert_eq!(send_request(&mut reducer, 1, START + Millis(300)), None);
 }
 
-/// It leaves without a word and serves on; what waits inside it is still there.
+/// The engine's registration is gone without notice, but it goes on serving, and requests are still
+/// queued in it.
 #[test]
-fn a_request_stays_at_an_engine_whose_registration_ended() {
+fn a_request_is_left_in_an_engine_whose_registration_is_gone() {
     let mut reducer = entry_at(START);
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![named(2)]), START));
+    reducer.reduce(START, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
     let sent = START + Millis(bound().0 - 800);
-    follow(&mut reducer, sent);
-    let begin_by = send(&mut reducer, 1, sent).unwrap().expect("it is held to a moment");
+    keep_store_answering(&mut reducer, sent);
+    let begin_by =
+        send_request(&mut reducer, 1, sent).unwrap().expect("the attempt has a time limit");
     let gone = FleetChange::UpstreamGone("u1".parse().unwrap());
     let soon = begin_by - Millis(100);
     reducer.reduce(soon, DirectEvent::Fleet(page(vec![gone]), soon));
-    assert!(withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)), "it may begin any time");
+    assert!(
+        is_withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)),
+        "left in an engine where it may still start"
+    );
 }
 
-/// Its registration is written anew without a model, as while it loads.
+/// The engine registers again without a model, as it does while it loads.
 #[test]
-fn a_request_stays_at_an_engine_that_tells_of_no_weights() {
+fn a_request_is_left_in_an_engine_that_reports_no_weights() {
     let mut reducer = entry_at(START);
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![named(2)]), START));
+    reducer.reduce(START, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
     let sent = START + Millis(bound().0 - 800);
-    follow(&mut reducer, sent);
-    let begin_by = send(&mut reducer, 1, sent).unwrap().expect("it is held to a moment");
+    keep_store_answering(&mut reducer, sent);
+    let begin_by =
+        send_request(&mut reducer, 1, sent).unwrap().expect("the attempt has a time limit");
     let FleetChange::Upstream(mut record) = engine(1) else { unreachable!() };
     record.serving.clear();
     let soon = begin_by - Millis(100);
     let changes = vec![FleetChange::Upstream(record)];
     reducer.reduce(soon, DirectEvent::Fleet(page(changes), soon));
-    assert!(withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)), "it may begin any time");
+    assert!(
+        is_withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)),
+        "left in an engine where it may still start"
+    );
 }
 
-/// A short call after an answer that lay in the socket of a process that stood still.
+/// A suspended process first took an old answer from its socket and then made a short call.
 #[test]
-fn a_version_counts_later_than_somebody_knew_of_it() {
+fn a_version_counts_from_later_than_a_peer_knew_of_it() {
     let mut reducer = entry_at(START);
-    // Made at START, taken at 4,000.
-    let woken = START + Millis(4_000);
-    reducer.reduce(woken, DirectEvent::Fleet(page(Vec::new()), START));
-    let (asked, told) = (woken + Millis(20), woken + Millis(30));
-    reducer.reduce(told, DirectEvent::Fleet(page(vec![named(2)]), asked));
-    // Another entry found it in a short call, too: after 250, known at 310.
+    // The answer dates from START and is processed at 4,000 ms.
+    let resumed = START + Millis(4_000);
+    reducer.reduce(resumed, DirectEvent::Fleet(page(Vec::new()), START));
+    let (sent_at, answered_at) = (resumed + Millis(20), resumed + Millis(30));
+    reducer.reduce(answered_at, DirectEvent::Fleet(page(vec![version_announced(2)]), sent_at));
+    // A peer found the version in a short call, too: after 250 ms, known at 310 ms.
     let time = NamingTime::after(START + Millis(250), START + Millis(310));
-    reducer.reduce(told + Millis(20), DirectEvent::NamingsHeard(vec![word(2, time)]));
-    let over = START + Millis(310) + bound();
-    reducer.reduce(over, DirectEvent::Fleet(page(Vec::new()), over));
-    assert_eq!(send(&mut reducer, 1, over), None, "another knew of it a whole bound ago");
+    reducer.reduce(
+        answered_at + Millis(20),
+        DirectEvent::NamingsHeard(vec![announcement_report(2, time)]),
+    );
+    let bound_end = START + Millis(310) + bound();
+    reducer.reduce(bound_end, DirectEvent::Fleet(page(Vec::new()), bound_end));
+    assert_eq!(
+        send_request(&mut reducer, 1, bound_end),
+        None,
+        "a peer knew of the version a full bound ago"
+    );
 }
 
-/// The word of an entry that stood still reaches one that knows better.
+/// A report from an entry that was suspended reaches one that knows better.
 #[test]
-fn a_word_of_one_that_stood_still_makes_a_version_count_later() {
+fn a_report_of_a_suspended_entry_makes_a_version_count_from_later() {
     let mut table = VersionTable::default();
     let (known, version) = (START + Millis(310), WeightVersion(2));
     table.name(&model(), version, NamingTime::after(START + Millis(250), known));
     let late = NamingTime::after(START + Millis(4_000), START + Millis(4_030));
-    table.refine(&word(2, late));
+    table.refine(&announcement_report(2, late));
     let since = table.named_at(&model(), version).unwrap();
     assert!(since <= known, "{}", since.since(START));
 }
 
-/// Versions first, then the entries: all of them registered anew since.
+/// The versions come first and the peers last: all of them have registered again since.
 #[test]
-fn nobody_is_asked_where_all_is_read_anew_after_an_outage() {
+fn no_peer_is_polled_after_a_complete_reread_following_an_outage() {
     let mut reducer = entry_at(START);
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    let changes = vec![configured(), engine(1), named(2), other()];
-    let whole = FleetPage { whole: true, ..page(changes) };
-    reducer.reduce(back, DirectEvent::Fleet(whole, back));
+    let changes = vec![configured(), engine(1), version_announced(2), peer()];
+    let snapshot = FleetPage { whole: true, ..page(changes) };
+    reducer.reduce(back, DirectEvent::Fleet(snapshot, back));
     let span = AnswerSpan { since: Moment(0), until: back - Millis(10) };
     reducer.reduce(back + Millis(20), DirectEvent::ContactHeard(span));
-    let over = START + bound();
-    reducer.reduce(over, DirectEvent::Fleet(page(Vec::new()), over));
-    assert_eq!(send(&mut reducer, 1, over), None, "the store answered another all the while");
+    let bound_end = START + bound();
+    reducer.reduce(bound_end, DirectEvent::Fleet(page(Vec::new()), bound_end));
+    assert_eq!(
+        send_request(&mut reducer, 1, bound_end),
+        None,
+        "the store answered a peer all the time"
+    );
 }
 
-/// The others' words come after the patience: the first ones were lost, or their way is long.
+/// The peers' reports arrive after the timeout, as the first ones were lost or the network is slow.
 #[test]
-fn an_answer_after_the_patience_does_not_take_back_that_versions_count_anew() {
+fn a_peer_answer_after_the_timeout_does_not_undo_a_restarted_count() {
     let mut reducer = entry_at(START);
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::Fleet(page(vec![named(2)]), back));
+    reducer.reduce(back, DirectEvent::Fleet(page(vec![version_announced(2)]), back));
     reducer.reduce(back + Millis(200), DirectEvent::Woke);
     let span = AnswerSpan { since: Moment(0), until: back - Millis(10) };
     reducer.reduce(back + Millis(300), DirectEvent::ContactHeard(span));
-    // It knows it only as one of some seconds.
+    // The peer knows the announcement only to within some seconds.
     let time = NamingTime::after(START, START + Millis(2_000));
-    reducer.reduce(back + Millis(300), DirectEvent::NamingsHeard(vec![word(2, time)]));
-    let over = START + Millis(2_000) + bound();
-    reducer.reduce(over, DirectEvent::Fleet(page(Vec::new()), over));
-    assert_eq!(send(&mut reducer, 1, over), None, "another knew of it a whole bound ago");
+    reducer
+        .reduce(back + Millis(300), DirectEvent::NamingsHeard(vec![announcement_report(2, time)]));
+    let bound_end = START + Millis(2_000) + bound();
+    reducer.reduce(bound_end, DirectEvent::Fleet(page(Vec::new()), bound_end));
+    assert_eq!(
+        send_request(&mut reducer, 1, bound_end),
+        None,
+        "a peer knew of the version a full bound ago"
+    );
 }
 
-/// A version is first known from another entry; this one's own sighting is told to nobody.
+/// If the version is first known from a peer, this entry's own observation is reported to nobody.
 #[test]
-fn what_an_entry_saw_itself_is_not_told_where_another_told_it_before() {
+fn an_own_observation_is_not_reported_where_a_peer_reported_the_version_first() {
     let mut table = VersionTable::default();
     let time = NamingTime::heard(START, START + Millis(500));
-    table.refine(&word(2, time));
+    table.refine(&announcement_report(2, time));
     table.name(&model(), WeightVersion(2), NamingTime::heard(START, START + Millis(510)));
     assert_eq!(table.words(START).len(), 1);
 }
 
-/// Between two namings nothing is demanded of the engine, so only its answer tells what it ran.
+/// Between two announcements no version is demanded of the engine, so only its answer shows which
+/// one it ran.
 #[test]
 fn an_answer_on_other_weights_than_believed_is_not_counted_as_late() {
     let mut reducer = entry_at(START);
-    let changes = vec![FleetChange::UpstreamGone("u1".parse().unwrap()), engine(2), named(2)];
+    let changes =
+        vec![FleetChange::UpstreamGone("u1".parse().unwrap()), engine(2), version_announced(2)];
     reducer.reduce(START, DirectEvent::Fleet(page(changes), START));
     let third = START + Millis(bound().0 - 1_000);
-    follow(&mut reducer, third);
-    reducer.reduce(third, DirectEvent::Fleet(page(vec![named(3)]), third));
+    keep_store_answering(&mut reducer, third);
+    reducer.reduce(third, DirectEvent::Fleet(page(vec![version_announced(3)]), third));
     let now = START + bound() + Millis(500);
     reducer.reduce(now, DirectEvent::Fleet(page(Vec::new()), now));
-    assert!(send(&mut reducer, 1, now).is_some());
+    assert!(send_request(&mut reducer, 1, now).is_some());
     let version = Some(WeightVersion(1));
     reducer.reduce(now, DirectEvent::Answering(RequestNumber(1), None, version));
-    assert_eq!(reducer.status(now).begun_late, 1, "its time was over 500 ms before");
+    assert_eq!(
+        reducer.status(now).begun_late,
+        1,
+        "the time limit of the first version passed 500 ms before"
+    );
 }
 
-/// Its request is resent as if nothing were known of it, where one that was lost is held.
+/// A withdrawn request used to be sent again without consulting its quarantine, whereas a lost one
+/// is held.
 #[test]
-fn a_request_under_which_an_upstream_ended_is_sent_on_after_it_was_taken_back() {
+fn a_quarantined_request_is_sent_to_another_engine_after_its_withdrawal() {
     use mustardrill_core::direct::AttemptOutcome;
     use mustardrill_core::quarantine::CrashWord;
     use mustardrill_types::RequestDigest;
-    let sends = |outcome: AttemptOutcome| {
+    let is_sent_after = |outcome: AttemptOutcome| {
         let mut reducer = entry_at(START);
-        reducer.reduce(START, DirectEvent::Fleet(page(vec![named(2)]), START));
+        reducer.reduce(START, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
         let sent = START + Millis(bound().0 - 800);
-        follow(&mut reducer, sent);
-        let begin_by = send(&mut reducer, 1, sent).unwrap().unwrap();
+        keep_store_answering(&mut reducer, sent);
+        let begin_by = send_request(&mut reducer, 1, sent).unwrap().unwrap();
         reducer.reduce(begin_by, DirectEvent::Fleet(page(vec![engine(2)]), begin_by));
         let content = RequestDigest::of(&[b"/x"]).0.to_be_bytes();
         let digest = RequestDigest::of(&[b"drafts.example", b"", &content]);
-        let word = CrashWord::Quarantined(digest, Millis(10_000));
-        reducer.reduce(begin_by, DirectEvent::CrashHeard(word));
+        let report = CrashWord::Quarantined(digest, Millis(10_000));
+        reducer.reduce(begin_by, DirectEvent::CrashHeard(report));
         let effects = reducer.reduce(begin_by, DirectEvent::Ended(RequestNumber(1), outcome));
         effects.iter().any(|effect| matches!(effect, DirectEffect::Send(..)))
     };
-    assert!(!sends(AttemptOutcome::Lost { delivered: false, crashed: false }), "control");
-    assert!(!sends(AttemptOutcome::Withdrawn { sent: true }), "it ends the next engine, too");
+    assert!(
+        !is_sent_after(AttemptOutcome::Lost { delivered: false, crashed: false }),
+        "control: a lost attempt is held"
+    );
+    assert!(
+        !is_sent_after(AttemptOutcome::Withdrawn { sent: true }),
+        "the request crashes the next engine, too"
+    );
 }
--- a/mustardrill_core/tests/naming_silence.rs
+++ b/mustardrill_core/tests/naming_silence.rs
@@ -1,4 +1,4 @@
-//! What an entry makes of other entries that don't tell when versions were named.
+//! How an entry treats peers that do not report when versions were announced.
 
 use mustardrill_core::direct::{
     DirectEffect, DirectEvent, DirectReducer, FleetChange, FleetPage, RepeatRule, RouteDocument,
@@ -14,7 +14,7 @@
     FleetPage { changes, ..FleetPage::default() }
 }
 
-/// An entry before one engine with the first version, that knows of another entry.
+/// An entry with one peer, and one engine that holds the first version.
 fn entry() -> DirectReducer {
     let route = common::public_route("drafts", "/", "pool", RepeatRule::StreamResumable);
     let engine = Some(common::engine_profile());
@@ -40,7 +40,7 @@
     reducer
 }
 
-fn named() -> FleetChange {
+fn version_announced() -> FleetChange {
     FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2))
 }
 
@@ -52,38 +52,40 @@
     effects.iter().any(|effect| matches!(effect, DirectEffect::Send(..)))
 }
 
-/// The link of an entry that was cut off is narrow for another second, so that no answer comes at once.
-/// That says nothing of whether the store answered the others.
+/// The link of an entry that was cut off may stay congested for another second, so that no peer's
+/// answer arrives at once. That does not show whether the store answered the peers.
 #[test]
-fn the_silence_of_others_gives_replaced_weights_their_whole_time_again() {
+fn unanswered_polls_grant_superseded_weights_a_second_bound() {
     let mut reducer = entry();
     reducer.reduce(START + Millis(500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::Fleet(page(vec![named()]), back));
+    reducer.reduce(back, DirectEvent::Fleet(page(vec![version_announced()]), back));
     reducer.reduce(back + Millis(300), DirectEvent::Woke);
-    let over = START + common::direct_settings().version_bound;
-    reducer.reduce(over, DirectEvent::Fleet(page(Vec::new()), over));
-    assert!(!is_sent(&mut reducer, over));
+    let bound_end = START + common::direct_settings().version_bound;
+    reducer.reduce(bound_end, DirectEvent::Fleet(page(Vec::new()), bound_end));
+    assert!(!is_sent(&mut reducer, bound_end));
 }
 
 #[test]
-fn others_that_do_not_answer_an_entry_that_was_cut_off_are_asked_no_more() {
+fn silent_peers_are_no_longer_polled_by_an_entry_that_was_cut_off() {
     let mut reducer = entry();
     reducer.reduce(START + Millis(500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::Fleet(page(vec![named()]), back));
+    reducer.reduce(back, DirectEvent::Fleet(page(vec![version_announced()]), back));
     reducer.reduce(back + Millis(300), DirectEvent::Woke);
     assert!(reducer.doubts(back + Millis(500)).is_some());
-    assert!(reducer.doubts(back + Millis(1_500)).is_some(), "nobody has told yet");
+    assert!(reducer.doubts(back + Millis(1_500)).is_some(), "no peer has answered yet");
 }
 
-/// An entry that stood still at the naming takes an old word for a new one, until another tells.
+/// An entry that was suspended during the announcement takes an old answer for a current one until
+/// a peer reports.
 #[test]
-fn others_that_do_not_answer_an_entry_that_stood_still_are_asked_no_more() {
+fn silent_peers_are_no_longer_polled_by_an_entry_that_was_suspended() {
     let mut reducer = entry();
-    let woke = START + Millis(5_000);
-    // The store was asked before, and answered while the entry stood still.
-    reducer.reduce(woke, DirectEvent::Fleet(page(vec![named()]), START + Millis(10)));
-    assert!(reducer.doubts(woke + Millis(500)).is_some());
-    assert!(reducer.doubts(woke + Millis(1_500)).is_some(), "nobody has told yet");
+    let resumed = START + Millis(5_000);
+    // The call was sent before the entry was suspended, and answered while it was.
+    reducer
+        .reduce(resumed, DirectEvent::Fleet(page(vec![version_announced()]), START + Millis(10)));
+    assert!(reducer.doubts(resumed + Millis(500)).is_some());
+    assert!(reducer.doubts(resumed + Millis(1_500)).is_some(), "no peer has answered yet");
 }
--- a/mustardrill_core/tests/quarantine.rs
+++ b/mustardrill_core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are run no more, as upstreams end under them, and which are only there.
+//! Which requests are quarantined because upstreams crash under them, and which are merely present.
 
 use mustardrill_core::crash_board::CrashBoard;
 use mustardrill_core::direct::{
@@ -17,10 +17,10 @@
 
 const START: Moment = Moment(100_000);
 
-/// Longer than it takes until the words of all entries on one crash have come.
+/// Longer than it takes until the reports of all entries on one crash have arrived.
 const SETTLED: Millis = Millis(500);
 
-/// An entry with a plain service whose requests may be repeated.
+/// An entry with a plain service whose requests may be retried.
 fn entry(upstreams: u16) -> DirectReducer {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = common::desk_fleet(upstreams);
@@ -41,22 +41,28 @@
     reducer.reduce(now, DirectEvent::Arrived(request(number, path, now)))
 }
 
-fn end(reducer: &mut DirectReducer, now: Moment, number: u64, outcome: AttemptOutcome) {
+fn end_attempt(reducer: &mut DirectReducer, now: Moment, number: u64, outcome: AttemptOutcome) {
     reducer.reduce(now, DirectEvent::Ended(RequestNumber(number), outcome));
 }
 
-/// The digest of requests to a path, as an entry tells it when one's upstream ends.
+/// The digest of requests to a path, as an entry reports it when an upstream crashes under one.
 fn digest_of(path: &str) -> RequestDigest {
     let mut reducer = entry(2);
     arrive(&mut reducer, START, 1, path);
-    end(&mut reducer, START, 1, AttemptOutcome::Lost { delivered: false, crashed: true });
-    let mut words = reducer.crash_words(START);
-    let Some(CrashWord::Crashed(run)) = words.pop() else { panic!("the crash is told") };
+    end_attempt(&mut reducer, START, 1, AttemptOutcome::Lost { delivered: false, crashed: true });
+    let mut reports = reducer.crash_words(START);
+    let Some(CrashWord::Crashed(run)) = reports.pop() else { panic!("the crash is reported") };
     run.digest
 }
 
-/// Another entry tells that an upstream ended with a request.
-fn hear(reducer: &mut DirectReducer, now: Moment, path: &str, upstream: &str, sent: Moment) {
+/// A peer reports that an upstream crashed while it ran a request.
+fn report_crash(
+    reducer: &mut DirectReducer,
+    now: Moment,
+    path: &str,
+    upstream: &str,
+    sent: Moment,
+) {
     let run = CrashedRun {
         digest: digest_of(path),
         upstream: upstream.parse().unwrap(),
@@ -67,8 +73,8 @@
     reducer.reduce(now, DirectEvent::CrashHeard(CrashWord::Crashed(run)));
 }
 
-/// Whether a request that comes now is sent to an upstream, and not refused as one that ends them.
-fn is_run(reducer: &mut DirectReducer, now: Moment, number: u64, path: &str) -> bool {
+/// Whether a request that arrives now is sent to an upstream, and not refused as quarantined.
+fn is_sent_to_upstream(reducer: &mut DirectReducer, now: Moment, number: u64, path: &str) -> bool {
     reducer.reduce(now, DirectEvent::Woke);
     let effects = arrive(reducer, now, number, path);
     match &effects[..] {
@@ -82,70 +88,70 @@
     }
 }
 
-/// With each engine that a request ended there were others, and one of them was sent on to the same
-/// engine as that request, three times. It was as often there as the one that was the cause, and
-/// its callers were refused for ten minutes.
+/// Other requests ran on each engine that the culprit crashed, and one of them was retried on the
+/// same engine as the culprit three times. It was present as often, and its callers were refused
+/// for ten minutes.
 #[test]
-fn a_request_that_was_only_there_is_run_on() {
+fn a_request_that_was_only_present_still_runs() {
     let mut reducer = entry(8);
     let mut now = START;
     for upstream in ["v1", "v2", "v3"] {
         let sent = now;
         now = now + Millis(400);
-        hear(&mut reducer, now, "/only-there", upstream, sent);
-        hear(&mut reducer, now, "/cause", upstream, sent);
+        report_crash(&mut reducer, now, "/only-there", upstream, sent);
+        report_crash(&mut reducer, now, "/cause", upstream, sent);
     }
-    assert!(is_run(&mut reducer, now + SETTLED, 1, "/only-there"));
+    assert!(is_sent_to_upstream(&mut reducer, now + SETTLED, 1, "/only-there"));
     now = now + SETTLED + Millis(400);
-    hear(&mut reducer, now, "/cause", "v4", now - Millis(100));
-    assert!(!is_run(&mut reducer, now + SETTLED, 2, "/cause"));
-    assert!(is_run(&mut reducer, now + SETTLED, 3, "/only-there"));
+    report_crash(&mut reducer, now, "/cause", "v4", now - Millis(100));
+    assert!(!is_sent_to_upstream(&mut reducer, now + SETTLED, 2, "/cause"));
+    assert!(is_sent_to_upstream(&mut reducer, now + SETTLED, 3, "/only-there"));
 }
 
-/// Engines crashed for a reason of their own, half of them at once, while many callers asked the
-/// same of all of them. That request was at each engine that ended, and was taken for the cause.
+/// Engines crashed for a reason of their own, half of them at once, while many callers sent the
+/// same request to all of them. That request was present at each crash and was taken for the cause.
 #[test]
-fn identical_requests_at_engines_that_end_at_once_are_not_the_cause() {
+fn identical_requests_at_engines_that_crash_at_once_are_not_the_cause() {
     let mut reducer = entry(8);
     let ended = START + Millis(300);
     for upstream in ["v1", "v2", "v3", "v4", "v5", "v6"] {
-        hear(&mut reducer, ended, "/hot", upstream, START);
+        report_crash(&mut reducer, ended, "/hot", upstream, START);
     }
-    assert!(is_run(&mut reducer, ended + SETTLED, 1, "/hot"));
+    assert!(is_sent_to_upstream(&mut reducer, ended + SETTLED, 1, "/hot"));
 }
 
-/// A request was answered whole between two crashes, so that it ends nobody. Words on the crashes
-/// before came once more, as each is told several times, and counted anew.
+/// A request was answered completely between two crashes, so it does not cause them. Reports on the
+/// earlier crashes arrived again, as each is sent several times, and were counted once more.
 #[test]
-fn crashes_before_a_whole_answer_count_no_more() {
+fn crashes_before_a_complete_answer_no_longer_count() {
     let mut reducer = entry(8);
     let (first, second) = (START + Millis(400), START + Millis(800));
-    hear(&mut reducer, first, "/hot", "v1", START);
-    hear(&mut reducer, second, "/hot", "v2", first);
-    assert!(is_run(&mut reducer, second + Millis(10), 1, "/hot"));
-    end(&mut reducer, second + Millis(200), 1, AttemptOutcome::Whole);
-    let told_again = second + Millis(260);
-    hear(&mut reducer, told_again, "/hot", "v1", told_again - Millis(660));
-    hear(&mut reducer, told_again, "/hot", "v2", told_again - Millis(400));
+    report_crash(&mut reducer, first, "/hot", "v1", START);
+    report_crash(&mut reducer, second, "/hot", "v2", first);
+    assert!(is_sent_to_upstream(&mut reducer, second + Millis(10), 1, "/hot"));
+    end_attempt(&mut reducer, second + Millis(200), 1, AttemptOutcome::Whole);
+    let reported_again = second + Millis(260);
+    report_crash(&mut reducer, reported_again, "/hot", "v1", reported_again - Millis(660));
+    report_crash(&mut reducer, reported_again, "/hot", "v2", reported_again - Millis(400));
     let third = second + Millis(900);
-    hear(&mut reducer, third, "/hot", "v3", third - Millis(100));
-    assert!(is_run(&mut reducer, third + SETTLED, 2, "/hot"));
+    report_crash(&mut reducer, third, "/hot", "v3", third - Millis(100));
+    assert!(is_sent_to_upstream(&mut reducer, third + SETTLED, 2, "/hot"));
 }
 
-/// An engine had ended, and for a second it still counted as one that only turns connections away:
-/// other requests were sent to it, one after the other, until their attempts were spent.
+/// For a second, a crashed engine was still treated as one that merely refuses connections: other
+/// requests were sent to it, one after the other, until their attempts were spent.
 #[test]
-fn an_upstream_that_has_ended_is_left_alone_by_all_at_once() {
+fn a_crashed_upstream_is_avoided_by_all_at_once() {
     let mut reducer = entry(2);
     for number in 1..=2 {
-        assert!(is_run(&mut reducer, START, number, "/x"));
-        end(&mut reducer, START, number, AttemptOutcome::Whole);
+        assert!(is_sent_to_upstream(&mut reducer, START, number, "/x"));
+        end_attempt(&mut reducer, START, number, AttemptOutcome::Whole);
     }
-    let heard = START + Millis(10);
-    hear(&mut reducer, heard, "/cause", "desk-0", START);
+    let received_at = START + Millis(10);
+    report_crash(&mut reducer, received_at, "/cause", "desk-0", START);
     let mut chosen = FastSet::default();
     for number in 10..14 {
-        let effects = arrive(&mut reducer, heard, number, &format!("/{number}"));
+        let effects = arrive(&mut reducer, received_at, number, &format!("/{number}"));
         chosen.extend(effects.iter().filter_map(|effect| match effect {
             DirectEffect::Send(_, plan) => Some(plan.upstream.to_string()),
             _ => None,
@@ -154,10 +160,10 @@
     assert_eq!(chosen.into_iter().collect::<Vec<_>>(), ["desk-1"]);
 }
 
-/// Each entry counts what it has heard; one that has heard less went on sending what the others
-/// refused, and what waited there was sent once an engine had room.
+/// Each entry counts the reports that it received. One that received fewer kept sending what the
+/// others refused, and requests queued there were sent as soon as an engine had capacity.
 #[test]
-fn a_verdict_of_one_entry_is_taken_over_by_all() {
+fn a_verdict_of_one_entry_applies_at_all() {
     let mut reducer = entry(1);
     let limit = 1 + common::direct_settings().ahead + 4;
     let mut waiting = Vec::new();
@@ -168,9 +174,9 @@
         }
     }
     assert!(!waiting.is_empty());
-    let word = CrashWord::Quarantined(digest_of("/cause"), Millis(60_000));
-    let heard = START + Millis(10);
-    let effects = reducer.reduce(heard, DirectEvent::CrashHeard(word));
+    let report = CrashWord::Quarantined(digest_of("/cause"), Millis(60_000));
+    let received_at = START + Millis(10);
+    let effects = reducer.reduce(received_at, DirectEvent::CrashHeard(report));
     let refused: Vec<_> = effects
         .iter()
         .filter_map(|effect| match effect {
@@ -182,36 +188,36 @@
         .collect();
     assert_eq!(refused, waiting);
     assert!(effects.iter().any(|effect| matches!(effect, DirectEffect::KeepQuarantine(..))));
-    assert!(!is_run(&mut reducer, heard, 100, "/cause"));
+    assert!(!is_sent_to_upstream(&mut reducer, received_at, 100, "/cause"));
 }
 
-/// An entry came to a verdict, and heard of a whole answer before it had told the verdict for the
-/// last time: the request was put in quarantine anew at all entries.
+/// An entry reached a verdict, and learned of a complete answer before it had broadcast the verdict
+/// for the last time: all entries quarantined the request again.
 #[test]
-fn a_verdict_is_told_no_more_once_a_whole_answer_was_heard_of() {
+fn a_verdict_is_no_longer_broadcast_after_a_complete_answer() {
     let mut reducer = entry(8);
     let mut now = START;
     for number in 1..=3 {
         now = now + Millis(300);
-        assert!(is_run(&mut reducer, now, number, "/sound"));
+        assert!(is_sent_to_upstream(&mut reducer, now, number, "/sound"));
         now = now + Millis(100);
         let crashed = AttemptOutcome::Lost { delivered: false, crashed: true };
-        end(&mut reducer, now, number, crashed);
+        end_attempt(&mut reducer, now, number, crashed);
         reducer.reduce(now, DirectEvent::Gone(RequestNumber(number)));
     }
     now = now + SETTLED;
-    assert!(!is_run(&mut reducer, now, 10, "/sound"));
-    let is_verdict = |word: &CrashWord| matches!(word, CrashWord::Quarantined(..));
+    assert!(!is_sent_to_upstream(&mut reducer, now, 10, "/sound"));
+    let is_verdict = |report: &CrashWord| matches!(report, CrashWord::Quarantined(..));
     assert!(reducer.crash_words(now).iter().any(is_verdict));
     let sound = CrashWord::Sound(digest_of("/sound"), now);
     reducer.reduce(now + Millis(10), DirectEvent::CrashHeard(sound));
     let later = reducer.crash_words(now + Millis(5_000));
     assert!(!later.iter().any(is_verdict), "{later:?}");
-    assert!(is_run(&mut reducer, now + Millis(5_000), 11, "/sound"));
+    assert!(is_sent_to_upstream(&mut reducer, now + Millis(5_000), 11, "/sound"));
 }
 
-/// A crash told by another entry.
-fn crash(path: &str, upstream: usize, sent: u64, ended: u64) -> CrashedRun {
+/// A crash reported by another entry.
+fn crashed_run(path: &str, upstream: usize, sent: u64, ended: u64) -> CrashedRun {
     CrashedRun {
         digest: RequestDigest::of(&[path.as_bytes()]),
         upstream: format!("v{upstream}").parse().unwrap(),
@@ -222,14 +228,14 @@
 }
 
 #[test]
-fn two_that_are_always_there_together_are_both_run_no_more_in_the_end() {
+fn two_requests_always_present_together_are_quarantined_in_the_end() {
     let mut table = QuarantineTable::new(SETTLED);
     let mut begun = Vec::new();
     for turn in 0..5 {
         let (sent, ended) = (turn * 400, turn * 400 + 100);
         let now = START + Millis(ended);
-        table.crashed(now, crash("/one", turn as usize, sent, ended));
-        table.crashed(now, crash("/other", turn as usize, sent, ended));
+        table.crashed(now, crashed_run("/one", turn as usize, sent, ended));
+        table.crashed(now, crashed_run("/other", turn as usize, sent, ended));
         begun = table.verdicts(now + SETTLED);
         assert_eq!(begun.is_empty(), turn < 4, "turn {turn}");
     }
@@ -237,11 +243,14 @@
 }
 
 #[test]
-fn after_its_term_one_crash_ends_a_requests_trial() {
+fn after_a_quarantine_one_crash_ends_the_trial() {
     let mut table = QuarantineTable::new(SETTLED);
     for turn in 0..3 {
         let ended = turn * 400 + 100;
-        table.crashed(START + Millis(ended), crash("/cause", turn as usize, turn * 400, ended));
+        table.crashed(
+            START + Millis(ended),
+            crashed_run("/cause", turn as usize, turn * 400, ended),
+        );
     }
     let digest = RequestDigest::of(&[b"/cause"]);
     let begun = START + Millis(900) + SETTLED;
@@ -250,7 +259,7 @@
     let trial = begun + QUARANTINE_SPAN;
     assert_eq!(table.remaining(trial, digest), None);
     let sent = trial.since(START).0;
-    table.crashed(trial + Millis(100), crash("/cause", 7, sent, sent + 100));
+    table.crashed(trial + Millis(100), crashed_run("/cause", 7, sent, sent + 100));
     assert_eq!(table.verdicts(trial + Millis(100) + SETTLED), [digest]);
 }
 
@@ -264,39 +273,40 @@
     assert_eq!(table.remaining(START + Millis(10), digest), None);
 }
 
-/// Whoever sends ever new requests that end engines must not fill an entry's memory.
+/// A sender of ever new requests that crash engines must not exhaust an entry's memory.
 #[test]
-fn what_is_remembered_of_suspects_is_bounded() {
+fn the_number_of_remembered_suspects_is_bounded() {
     let mut table = QuarantineTable::new(SETTLED);
     for number in 0..20_000u64 {
-        let run = crash(&format!("/{number}"), number as usize, number, number + 1);
+        let run = crashed_run(&format!("/{number}"), number as usize, number, number + 1);
         table.crashed(START + Millis(number + 1), run);
     }
     assert!(table.suspects() <= 1_024, "{}", table.suspects());
 }
 
-/// An agent that started again has heard nothing; entries tell it anew with each heartbeat.
+/// A restarted agent has received nothing; entries send it their reports again with each heartbeat.
 #[test]
-fn an_agent_passes_words_on_for_some_heartbeats_and_quarantines_to_their_end() {
+fn an_agent_relays_reports_for_some_heartbeats_and_quarantines_until_they_end() {
     let mut board = CrashBoard::default();
-    let run = crash("/cause", 1, 0, 100);
-    let term = CrashWord::Quarantined(run.digest, Millis(60_000));
+    let run = crashed_run("/cause", 1, 0, 100);
+    let quarantine = CrashWord::Quarantined(run.digest, Millis(60_000));
     board.hear(START, CrashWord::Crashed(run.clone()));
     board.hear(START + Millis(500), CrashWord::Crashed(run.clone()));
-    board.hear(START, term);
+    board.hear(START, quarantine);
     assert_eq!(board.read(START + Millis(500)).len(), 2);
     let late = START + Millis(40_000);
     assert_eq!(board.read(late), [CrashWord::Quarantined(run.digest, Millis(20_000))]);
     board.hear(late, CrashWord::Sound(run.digest, late));
     assert_eq!(board.read(late), [CrashWord::Sound(run.digest, late)]);
     for number in 0..5_000 {
-        board.hear(late, CrashWord::Crashed(crash(&number.to_string(), number, 0, 1)));
+        board.hear(late, CrashWord::Crashed(crashed_run(&number.to_string(), number, 0, 1)));
     }
     assert!(board.read(late).len() <= 512);
 }
 
-/// Entries that tell each other, over links that lose half of what is sent.
-fn spread(entries: usize, seed: u64) -> usize {
+/// The number of crashes until `entries` that report to each other, over links that lose half of
+/// what is sent, quarantine the culprit.
+fn crashes_until_quarantine(entries: usize, seed: u64) -> usize {
     const ENGINES: u64 = 60;
     let mut random = StdRng::seed_from_u64(seed);
     let mut fleet: Vec<_> = (0..entries).map(|_| entry(ENGINES as u16)).collect();
@@ -304,22 +314,26 @@
     for step in 0..600u64 {
         let now = START + Millis(1_000 + step * 10);
         if step.is_multiple_of(10) {
-            // It comes again, by any entry, and ends the engine that gets it.
-            let place = random.random_range(0..entries);
+            // The culprit arrives again through any entry, and crashes the engine that receives it.
+            let entry_index = random.random_range(0..entries);
             let number = step + 1;
-            if is_run(&mut fleet[place], now, number, "/cause") {
+            if is_sent_to_upstream(&mut fleet[entry_index], now, number, "/cause") {
                 crashed += 1;
                 let lost = AttemptOutcome::Lost { delivered: false, crashed: true };
-                end(&mut fleet[place], now + Millis(5), number, lost);
-                fleet[place].reduce(now + Millis(5), DirectEvent::Gone(RequestNumber(number)));
+                end_attempt(&mut fleet[entry_index], now + Millis(5), number, lost);
+                fleet[entry_index]
+                    .reduce(now + Millis(5), DirectEvent::Gone(RequestNumber(number)));
             }
         }
-        let told: Vec<_> = fleet.iter_mut().map(|it| it.crash_words(now + Millis(6))).collect();
-        for (from, words) in told.into_iter().enumerate().filter(|(_, words)| !words.is_empty()) {
+        let due_reports: Vec<_> =
+            fleet.iter_mut().map(|it| it.crash_words(now + Millis(6))).collect();
+        for (from, reports) in
+            due_reports.into_iter().enumerate().filter(|(_, reports)| !reports.is_empty())
+        {
             for to in (0..entries).filter(|to| *to != from) {
                 if random.random() {
-                    for word in words.clone() {
-                        fleet[to].reduce(now + Millis(8), DirectEvent::CrashHeard(word));
+                    for report in reports.clone() {
+                        fleet[to].reduce(now + Millis(8), DirectEvent::CrashHeard(report));
                     }
                 }
             }
@@ -328,31 +342,32 @@
     crashed
 }
 
-/// Few entries soon send it three times each; of many each one may see it but once, and must learn
-/// of the others' crashes though half of the words on them are lost.
+/// A few entries soon send the culprit three times each. Of many entries, each may see it only once
+/// and has to learn of the others' crashes although half of the reports are lost.
 #[test]
-fn few_and_many_entries_learn_of_a_cause_though_words_are_lost() {
+fn few_and_many_entries_quarantine_a_culprit_although_reports_are_lost() {
     for entries in [1, 4, 36, 340] {
-        let crashed = spread(entries, entries as u64);
-        // Three teach it, and three more may reach engines.
-        assert!((3..=6).contains(&crashed), "{crashed} with {entries} entries");
+        let crashed = crashes_until_quarantine(entries, entries as u64);
+        // Three crashes reveal the culprit, and three more requests may reach engines in the
+        // meantime.
+        assert!((3..=6).contains(&crashed), "{crashed} crashes with {entries} entries");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(common::cases(64)))]
 
-    /// Entries hear of crashes in different orders, and must come to the same verdicts.
+    /// Entries receive crash reports in different orders and must reach the same verdicts.
     #[test]
-    fn the_order_of_words_does_not_matter(
+    fn the_order_of_reports_does_not_matter(
         runs in prop::collection::vec((0..4usize, 0..6usize, 0..2_000u64, 1..500u64), 1..20),
         seed in any::<u64>(),
     ) {
         let runs: Vec<_> = runs
             .iter()
-            .map(|(path, upstream, sent, took)| crash(&path.to_string(), *upstream, *sent, sent + took))
+            .map(|(path, upstream, sent, took)| crashed_run(&path.to_string(), *upstream, *sent, sent + took))
             .collect();
-        // One engine ends once, so that of a request at it one crash is known.
+        // An engine crashes once, so only one crash is known of each request on it.
         let mut known = FastMap::default();
         let runs: Vec<_> = runs
             .into_iter()
--- a/mustardrill_core/tests/versions.rs
+++ b/mustardrill_core/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Until when an entry begins requests on weights that were replaced.
+//! How long an entry starts requests on superseded weights.
 
 use mustardrill_core::direct::{
     AnswerSpan, AttemptOutcome, DirectEffect, DirectEvent, DirectReducer, DirectRequest,
@@ -18,8 +18,8 @@
     FleetPage { changes, ..FleetPage::default() }
 }
 
-/// An entry before one engine with the first version.
-fn entry_before_naming() -> DirectReducer {
+/// An entry with one engine that holds the first version.
+fn entry_before_announcement() -> DirectReducer {
     entry_with_route(RepeatRule::StreamResumable)
 }
 
@@ -51,16 +51,16 @@
     }
 }
 
-/// The same, a second version being named at `START`.
-fn entry() -> DirectReducer {
-    let mut reducer = entry_before_naming();
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![versions_named(2)]), START));
+/// The same entry after a second version was announced at `START`.
+fn entry_after_announcement() -> DirectReducer {
+    let mut reducer = entry_before_announcement();
+    reducer.reduce(START, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
     reducer
 }
 
-/// Whether the entry sends a request of `size` after `after` to an engine with `load`.
-fn begins(after: Millis, load: UpstreamLoad, size: WorkSize) -> bool {
-    let mut reducer = entry();
+/// Whether the entry sends a request of `size`, `after` the announcement, to an engine with `load`.
+fn is_sent_under_load(after: Millis, load: UpstreamLoad, size: WorkSize) -> bool {
+    let mut reducer = entry_after_announcement();
     let now = START + after;
     reducer.reduce(now, DirectEvent::Fleet(page(Vec::new()), now));
     let rows = vec![("u1".parse().unwrap(), load)];
@@ -77,9 +77,9 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: common::cases(256), rng_seed: RngSeed::Fixed(6), failure_persistence: None, ..ProptestConfig::default() })]
-    /// An engine that is as slow as twice its profile still begins it in time.
+    /// Even an engine that is twice as slow as its profile starts the request in time.
     #[test]
-    fn nothing_begins_on_replaced_weights_after_their_bound(
+    fn nothing_starts_on_superseded_weights_past_their_bound(
         after in 0u64..8_000,
         requests in 0u32..40,
         reading in 0u64..200,
@@ -87,28 +87,27 @@
     ) {
         let size = WorkSize { prompt, answer: 120 };
         let load = UpstreamLoad { requests, reading: Millis(reading) };
-        if begins(Millis(after), load, size) {
+        if is_sent_under_load(Millis(after), load, size) {
             let profile = common::engine_profile();
             let first = EngineForecast::new(&profile).first_token(requests, size);
-            let begun = after + 2 * (first.0 + reading);
-            prop_assert!(begun < common::direct_settings().version_bound.0, "{begun}");
+            let started = after + 2 * (first.0 + reading);
+            prop_assert!(started < common::direct_settings().version_bound.0, "{started}");
         }
     }
 
-    /// An idle engine is used until shortly before.
     #[test]
     fn an_idle_engine_is_used_until_shortly_before_the_bound(early in 700u64..7_000) {
         let after = Millis(common::direct_settings().version_bound.0 - early);
         let size = WorkSize { prompt: 300, answer: 120 };
-        prop_assert!(begins(after, UpstreamLoad::default(), size));
+        prop_assert!(is_sent_under_load(after, UpstreamLoad::default(), size));
     }
 }
 
-fn versions_named(version: u64) -> FleetChange {
+fn version_announced(version: u64) -> FleetChange {
     FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(version))
 }
 
-/// Whether a request that comes at `now` is sent to the engine with the first version.
+/// Whether a request that arrives at `now` is sent to the engine with the first version.
 fn is_sent(reducer: &mut DirectReducer, number: u64, now: Moment) -> bool {
     let size = WorkSize { prompt: 300, answer: 120 };
     let request = common::direct_request(number, "/x", size, now);
@@ -116,45 +115,54 @@
     effects.iter().any(|effect| matches!(effect, DirectEffect::Send(..)))
 }
 
-/// The store answered another entry all the while, so the newer versions were acknowledged then.
+/// The store answered another entry all the time, so the newer versions were announced then and not
+/// when this entry reconnected.
 #[test]
-fn an_entry_that_was_cut_off_gives_replaced_weights_their_whole_time_again() {
+fn an_entry_cut_off_from_the_store_grants_superseded_weights_a_second_bound() {
     let bound = common::direct_settings().version_bound;
-    let mut reducer = entry_before_naming();
+    let mut reducer = entry_before_announcement();
     let other = common::peer(&"entry-2".parse().unwrap());
     reducer.reduce(START, DirectEvent::Fleet(page(vec![FleetChange::Peer(other)]), START));
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    // Two versions were named meanwhile, of which the store shows the second.
-    reducer.reduce(back, DirectEvent::Fleet(page(vec![versions_named(3)]), back));
+    // Two versions were announced in the meantime; the store shows only the second of them.
+    reducer.reduce(back, DirectEvent::Fleet(page(vec![version_announced(3)]), back));
     let span = AnswerSpan { since: Moment(0), until: back - Millis(10) };
     reducer.reduce(back + Millis(20), DirectEvent::ContactHeard(span));
-    let over = START + bound;
-    for now in [over, over + Millis(1_000), back + bound - Millis(1_000)] {
+    let bound_end = START + bound;
+    for now in [bound_end, bound_end + Millis(1_000), back + bound - Millis(1_000)] {
         reducer.reduce(now, DirectEvent::Fleet(page(Vec::new()), now));
-        assert!(!is_sent(&mut reducer, now.0, now), "{} after the last proof", now.since(START));
+        assert!(
+            !is_sent(&mut reducer, now.0, now),
+            "{} after the last confirmation",
+            now.since(START)
+        );
     }
 }
 
-/// Others go first at the engine, or it turned slow: what the forecast said is over.
+/// The forecast no longer holds when other requests take precedence at the engine, or it slows
+/// down.
 #[test]
-fn a_request_that_waits_inside_an_engine_is_left_there_past_the_bound() {
+fn a_request_queued_in_an_engine_is_left_there_past_the_bound() {
     let bound = common::direct_settings().version_bound;
-    let mut reducer = entry();
+    let mut reducer = entry_after_announcement();
     let sent = START + Millis(bound.0 - 800);
     reducer.reduce(sent, DirectEvent::Fleet(page(Vec::new()), sent));
     assert!(is_sent(&mut reducer, 1, sent));
-    let over = START + bound;
-    let effects = reducer.reduce(over, DirectEvent::Woke);
-    let is_wish = |effect: &DirectEffect| matches!(effect, DirectEffect::Wake(_));
-    assert!(!effects.iter().all(is_wish), "it may begin any time: {effects:?}");
+    let bound_end = START + bound;
+    let effects = reducer.reduce(bound_end, DirectEvent::Woke);
+    let is_wake = |effect: &DirectEffect| matches!(effect, DirectEffect::Wake(_));
+    assert!(
+        !effects.iter().all(is_wake),
+        "left in an engine where it may still start: {effects:?}"
+    );
 }
 
-/// An entry that sent request 1 to the engine with the first version shortly before its bound, with
-/// the moment until which that is left there.
-fn sent_shortly_before(repeat: RepeatRule) -> (DirectReducer, Moment) {
+/// An entry that sent request 1 to the engine with the first version shortly before the bound, and
+/// the time by which the request must have started.
+fn entry_with_attempt_shortly_before_bound(repeat: RepeatRule) -> (DirectReducer, Moment) {
     let mut reducer = entry_with_route(repeat);
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![versions_named(2)]), START));
+    reducer.reduce(START, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
     let sent = START + Millis(common::direct_settings().version_bound.0 - 800);
     reducer.reduce(sent, DirectEvent::Fleet(page(Vec::new()), sent));
     let request = common::direct_request(1, "/x", WorkSize { prompt: 300, answer: 120 }, sent);
@@ -163,22 +171,23 @@
         DirectEffect::Send(_, plan) => plan.begin_by,
         _ => None,
     });
-    (reducer, begin_by.expect("it is sent, and held to a moment"))
+    (reducer, begin_by.expect("the request is sent with a time limit"))
 }
 
-fn withdrawn(effects: &[DirectEffect]) -> bool {
+fn is_withdrawn(effects: &[DirectEffect]) -> bool {
     effects.contains(&DirectEffect::Withdraw(RequestNumber(1)))
 }
 
 #[test]
-fn a_request_that_was_taken_back_finds_no_other_engine() {
-    let (mut reducer, begin_by) = sent_shortly_before(RepeatRule::StreamResumable);
+fn a_withdrawn_request_is_not_sent_to_another_engine() {
+    let (mut reducer, begin_by) =
+        entry_with_attempt_shortly_before_bound(RepeatRule::StreamResumable);
     let newer = FleetChange::Upstream(engine_with(2));
     let soon = begin_by - Millis(1);
     let effects = reducer.reduce(soon, DirectEvent::Fleet(page(vec![newer]), soon));
-    assert!(!withdrawn(&effects));
-    assert!(withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)));
-    assert!(!withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)), "it is told once");
+    assert!(!is_withdrawn(&effects));
+    assert!(is_withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)));
+    assert!(!is_withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)), "withdrawn only once");
     let ended = DirectEvent::Ended(RequestNumber(1), AttemptOutcome::Withdrawn { sent: true });
     let effects = reducer.reduce(begin_by, ended);
     let plan = effects.iter().find_map(|effect| match effect {
@@ -189,8 +198,8 @@
 }
 
 #[test]
-fn a_request_that_may_run_once_is_repeated_after_it_was_taken_back() {
-    let (mut reducer, begin_by) = sent_shortly_before(RepeatRule::StreamOnce);
+fn a_request_that_may_run_only_once_is_retried_after_its_withdrawal() {
+    let (mut reducer, begin_by) = entry_with_attempt_shortly_before_bound(RepeatRule::StreamOnce);
     let newer = FleetChange::Upstream(engine_with(2));
     reducer.reduce(begin_by, DirectEvent::Fleet(page(vec![newer]), begin_by));
     let ended = DirectEvent::Ended(RequestNumber(1), AttemptOutcome::Withdrawn { sent: true });
@@ -199,139 +208,145 @@
         DirectEffect::Refuse(_, plan) => Some(plan.code),
         _ => None,
     });
-    assert_eq!(code, Some(ResultCode::Unknown), "it may have begun just before");
+    assert_eq!(code, Some(ResultCode::Unknown), "the request may have started just before");
 }
 
 #[test]
-fn an_answer_that_has_begun_is_taken_back() {
-    let (mut reducer, begin_by) = sent_shortly_before(RepeatRule::StreamResumable);
+fn a_started_answer_is_withdrawn() {
+    let (mut reducer, begin_by) =
+        entry_with_attempt_shortly_before_bound(RepeatRule::StreamResumable);
     let version = Some(WeightVersion(1));
     reducer.reduce(begin_by, DirectEvent::Answering(RequestNumber(1), None, version));
-    assert!(!withdrawn(&reducer.reduce(begin_by + Millis(300), DirectEvent::Woke)));
+    assert!(!is_withdrawn(&reducer.reduce(begin_by + Millis(300), DirectEvent::Woke)));
 }
 
-/// What waits inside an engine that loads begins on the newer weights.
+/// A request queued in an engine that loads newer weights starts on those.
 #[test]
-fn a_request_is_taken_back_from_an_engine_that_has_loaded_newer_weights() {
-    let (mut reducer, begin_by) = sent_shortly_before(RepeatRule::StreamResumable);
+fn a_request_is_withdrawn_from_an_engine_that_loaded_newer_weights() {
+    let (mut reducer, begin_by) =
+        entry_with_attempt_shortly_before_bound(RepeatRule::StreamResumable);
     let (address, model) = (engine_with(1).address, "m".parse().unwrap());
     let word = EngineWord::Serving(WeightVersion(2));
     reducer.reduce(begin_by, DirectEvent::EngineHeard { address, model, word });
-    assert!(!withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)));
+    assert!(!is_withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)));
 }
 
-/// Sent when nothing newer was known, it is held to what others tell of versions afterwards.
+/// No newer version was known when the request was sent, but what peers report afterwards still
+/// applies to it.
 #[test]
-fn a_request_sent_before_its_entry_heard_of_the_version_is_left_past_the_bound() {
-    let mut reducer = entry_before_naming();
+fn a_request_sent_before_its_entry_learned_of_the_version_is_left_past_the_bound() {
+    let mut reducer = entry_before_announcement();
     let now = START + Millis(8_000);
     reducer.reduce(now, DirectEvent::Fleet(page(Vec::new()), now));
     assert!(is_sent(&mut reducer, 1, now));
-    let words = vec![naming_word(2, NamingTime::heard(START, START + Millis(500)))];
-    assert!(withdrawn(&reducer.reduce(now, DirectEvent::NamingsHeard(words))));
+    let reports = vec![announcement_report(2, NamingTime::heard(START, START + Millis(500)))];
+    assert!(is_withdrawn(&reducer.reduce(now, DirectEvent::NamingsHeard(reports))));
 }
 
-/// Hears of the third version after an absence in which a second one was named.
-fn back_from_absence() -> (DirectReducer, Moment) {
-    let mut reducer = entry_before_naming();
+/// An entry that learns of the third version after an outage during which a second one was
+/// announced.
+fn entry_back_from_outage() -> (DirectReducer, Moment) {
+    let mut reducer = entry_before_announcement();
     let other = common::peer(&"entry-2".parse().unwrap());
     reducer.reduce(START, DirectEvent::Fleet(page(vec![FleetChange::Peer(other)]), START));
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::Fleet(page(vec![versions_named(3)]), back));
+    reducer.reduce(back, DirectEvent::Fleet(page(vec![version_announced(3)]), back));
     (reducer, back)
 }
 
-fn naming_word(version: u64, time: NamingTime) -> NamingWord {
+fn announcement_report(version: u64, time: NamingTime) -> NamingWord {
     let (model, version) = ("m".parse().unwrap(), WeightVersion(version));
     NamingWord { model, version, time, slack: Millis(10) }
 }
 
 /// The first moment at which nothing is sent to the first version any more.
-fn replaced_from(mut reducer: DirectReducer) -> Moment {
+fn superseded_from(mut reducer: DirectReducer) -> Moment {
     let moments = (0..40_000).step_by(50).map(|after| START + Millis(after));
-    let over = moments.filter(|now| *now > START + Millis(6_100)).find(|now| {
+    let dropped_at = moments.filter(|now| *now > START + Millis(6_100)).find(|now| {
         reducer.reduce(*now, DirectEvent::Fleet(page(Vec::new()), *now));
         let sent = is_sent(&mut reducer, now.0, *now);
         reducer.reduce(*now, DirectEvent::Gone(RequestNumber(now.0)));
         !sent
     });
-    over.expect("the first version is replaced at last")
+    dropped_at.expect("the first version is superseded eventually")
 }
 
 #[test]
-fn a_version_named_in_an_absence_that_the_store_no_longer_shows_is_missed() {
-    let (mut reducer, back) = back_from_absence();
+fn a_version_announced_and_superseded_during_an_outage_is_missed() {
+    let (mut reducer, back) = entry_back_from_outage();
     let second = START + Millis(2_000);
     let time = NamingTime::heard(START + Millis(1_500), second);
     let third = NamingTime::heard(second, START + Millis(5_000));
-    let words = vec![naming_word(2, time), naming_word(3, third)];
-    reducer.reduce(back + Millis(20), DirectEvent::NamingsHeard(words));
-    let over = replaced_from(reducer);
+    let reports = vec![announcement_report(2, time), announcement_report(3, third)];
+    reducer.reduce(back + Millis(20), DirectEvent::NamingsHeard(reports));
+    let dropped_at = superseded_from(reducer);
     let bound = common::direct_settings().version_bound;
-    assert!(over <= second + bound, "{over}");
-    assert!(over + Millis(1_000) >= second + bound, "{over}");
+    assert!(dropped_at <= second + bound, "{dropped_at}");
+    assert!(dropped_at + Millis(1_000) >= second + bound, "{dropped_at}");
 }
 
-/// Where nobody had an answer the platform counts anew, and engines have nothing newer yet.
+/// If the store answered nobody, the platform restarts its count, and no engine has newer weights
+/// yet.
 #[test]
-fn replaced_weights_are_given_up_early_after_the_store_was_away_from_all() {
-    let (mut reducer, back) = back_from_absence();
+fn superseded_weights_are_dropped_early_after_a_store_outage_at_all_entries() {
+    let (mut reducer, back) = entry_back_from_outage();
     let span = AnswerSpan { since: back - Millis(200), until: back };
     reducer.reduce(back + Millis(20), DirectEvent::ContactHeard(span));
-    let over = replaced_from(reducer);
+    let dropped_at = superseded_from(reducer);
     let bound = common::direct_settings().version_bound;
-    assert!(over <= back + bound - Millis(200), "{over}");
-    assert!(over + Millis(1_000) >= back + bound, "{over}");
+    assert!(dropped_at <= back + bound - Millis(200), "{dropped_at}");
+    assert!(dropped_at + Millis(1_000) >= back + bound, "{dropped_at}");
 }
 
-/// It takes an answer that lay in its socket for one that was given just then.
+/// An entry that was suspended takes an answer that lay in its socket for a current one.
 #[test]
-fn an_entry_that_stood_still_at_a_naming_counts_from_its_waking() {
-    let mut reducer = entry_before_naming();
-    let woken = START + Millis(4_000);
-    reducer.reduce(woken, DirectEvent::Fleet(page(vec![versions_named(2)]), START));
-    let named = START + Millis(300);
-    let words = vec![naming_word(2, NamingTime::heard(START, named))];
-    reducer.reduce(woken + Millis(20), DirectEvent::NamingsHeard(words));
-    let over = replaced_from(reducer);
-    assert!(over <= named + common::direct_settings().version_bound, "{over}");
-    // The same from another that does not know it exactly.
-    let mut reducer = entry_before_naming();
-    reducer.reduce(woken, DirectEvent::Fleet(page(vec![versions_named(2)]), START));
-    let words = vec![naming_word(2, NamingTime::after(START, named))];
-    reducer.reduce(woken + Millis(20), DirectEvent::NamingsHeard(words));
-    assert!(replaced_from(reducer) <= named + common::direct_settings().version_bound);
+fn an_entry_suspended_during_an_announcement_counts_from_its_resumption() {
+    let mut reducer = entry_before_announcement();
+    let resumed = START + Millis(4_000);
+    reducer.reduce(resumed, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
+    let announced_at = START + Millis(300);
+    let reports = vec![announcement_report(2, NamingTime::heard(START, announced_at))];
+    reducer.reduce(resumed + Millis(20), DirectEvent::NamingsHeard(reports));
+    let dropped_at = superseded_from(reducer);
+    assert!(dropped_at <= announced_at + common::direct_settings().version_bound, "{dropped_at}");
+    // The same with a report from a peer that did not observe the announcement.
+    let mut reducer = entry_before_announcement();
+    reducer.reduce(resumed, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
+    let reports = vec![announcement_report(2, NamingTime::after(START, announced_at))];
+    reducer.reduce(resumed + Millis(20), DirectEvent::NamingsHeard(reports));
+    assert!(superseded_from(reducer) <= announced_at + common::direct_settings().version_bound);
 }
 
-/// Entries ask each other again and again; each word has a way of its own.
+/// Entries poll each other repeatedly, and each report has a network delay of its own.
 #[test]
-fn words_of_one_naming_add_their_ways_up() {
+fn repeated_reports_of_one_announcement_accumulate_their_delays() {
     let mut table = VersionTable::default();
     let model = "m".parse().unwrap();
     table.name(&model, WeightVersion(2), NamingTime::heard(START, START + Millis(500)));
     for _ in 0..100 {
-        let mut words = table.words(START);
-        for word in &mut words {
-            word.slack = Millis(10);
-            word.time.heard = word.time.heard.map(|heard| heard - word.slack);
+        let mut reports = table.words(START);
+        for report in &mut reports {
+            report.slack = Millis(10);
+            report.time.heard = report.time.heard.map(|heard| heard - report.slack);
         }
-        words.iter().for_each(|word| assert!(!table.refine(word)));
+        reports.iter().for_each(|report| assert!(!table.refine(report)));
     }
     assert_eq!(table.named_at(&model, WeightVersion(2)), Some(START + Millis(500)));
 }
 
-/// Its engine may have started again with the first version, and between two namings no floor says so.
+/// The engine may have restarted with the first version, and between two announcements no minimum
+/// version rules that out.
 #[test]
-fn an_engine_is_asked_for_no_version_while_a_newer_one_than_its_own_is_named() {
-    let mut reducer = entry();
-    let over = START + common::direct_settings().version_bound;
-    let changes = vec![versions_named(3), FleetChange::Upstream(engine_with(2))];
-    reducer.reduce(over, DirectEvent::Fleet(page(changes), over));
+fn an_engine_is_asked_for_no_version_while_one_newer_than_its_own_is_announced() {
+    let mut reducer = entry_after_announcement();
+    let bound_end = START + common::direct_settings().version_bound;
+    let changes = vec![version_announced(3), FleetChange::Upstream(engine_with(2))];
+    reducer.reduce(bound_end, DirectEvent::Fleet(page(changes), bound_end));
     let pinned = |reducer: &mut DirectReducer, number| {
         let request =
-            common::direct_request(number, "/x", WorkSize { prompt: 300, answer: 120 }, over);
-        let effects = reducer.reduce(over, DirectEvent::Arrived(request));
+            common::direct_request(number, "/x", WorkSize { prompt: 300, answer: 120 }, bound_end);
+        let effects = reducer.reduce(bound_end, DirectEvent::Arrived(request));
         effects.iter().find_map(|effect| match effect {
             DirectEffect::Send(_, plan) => Some((plan.upstream.as_str().to_owned(), plan.pinned)),
             _ => None,
@@ -340,6 +355,6 @@
     assert_eq!(pinned(&mut reducer, 1), Some(("u2".into(), Some(WeightVersion(2)))));
     let (address, model) = (engine_with(2).address, "m".parse().unwrap());
     let word = EngineWord::Serving(WeightVersion(3));
-    reducer.reduce(over, DirectEvent::EngineHeard { address, model, word });
+    reducer.reduce(bound_end, DirectEvent::EngineHeard { address, model, word });
     assert_eq!(pinned(&mut reducer, 2), Some(("u2".into(), Some(WeightVersion(3)))));
 }
