--- a/mustardrill_agent/src/actor.rs
+++ b/mustardrill_agent/src/actor.rs
@@ -13,7 +13,7 @@
 use mustardrill_core::document::{CatalogueDocument, RequestClass};
 use mustardrill_core::manifest::ChunkBitmap;
 use mustardrill_core::ownership::LeaseId;
-use mustardrill_core::quarantine::CrashWord;
+use mustardrill_core::quarantine::CrashReport;
 use mustardrill_core::refusal::AttemptRefusal;
 use mustardrill_runtime::agents::AgentPool;
 use mustardrill_runtime::clock::{ProcessClock, spawn_ticks};
@@ -113,7 +113,7 @@
     pub(crate) serving: Vec<ManifestDigest>,
     pub(crate) progress: Vec<WeightsProgress>,
     /// What entries told lately of requests under which upstreams ended.
-    pub(crate) crashes: Vec<CrashWord>,
+    pub(crate) crashes: Vec<CrashReport>,
     pub(crate) document: Arc<CatalogueDocument>,
     pub(crate) sent_bytes: u64,
 }
--- a/mustardrill_core/src/agent/event.rs
+++ b/mustardrill_core/src/agent/event.rs
@@ -14,7 +14,7 @@
 use crate::manifest::{ChunkBitmap, Manifest};
 use crate::membership::{InstanceRecord, MemberSettings};
 use crate::ownership::{OwnerAnswer, OwnerCall, OwnerSettings};
-use crate::quarantine::CrashWord;
+use crate::quarantine::CrashReport;
 use crate::refusal::AttemptRefusal;
 use crate::transfer::{ChunkDraw, ChunkSource, DrawOutcome, TransferPeer, TransferSettings};
 
@@ -79,7 +79,7 @@
     /// An entry told what customers asked of it lately.
     DemandSeen(InstanceId, Vec<DemandRow>),
     /// An entry told of requests under which upstreams ended.
-    CrashesHeard(Vec<CrashWord>),
+    CrashesHeard(Vec<CrashReport>),
     /// An entry asks for a claim. The wall clock, in seconds, is for its retention alone.
     ClaimAsked(RequestKey, AttemptId, u64),
     /// An entry takes a claim back, as the request was not run.
--- a/mustardrill_core/src/agent/reducer.rs
+++ b/mustardrill_core/src/agent/reducer.rs
@@ -14,14 +14,14 @@
 use crate::agent::event::{AgentEffect, AgentEvent, AgentSettings, WeightsProgress};
 use crate::agent::weights::WeightsTable;
 use crate::claim::{ClaimBatch, ClaimEffect};
-use crate::crash_board::CrashBoard;
+use crate::crash_report_relay::CrashReportRelay;
 use crate::demand::DemandBoard;
 use crate::document::{CatalogueDocument, RequestClass};
 use crate::edit::adopt;
 use crate::manifest::ChunkBitmap;
 use crate::membership::MemberTable;
 use crate::ownership::{OwnerAnswer, OwnerLease};
-use crate::quarantine::CrashWord;
+use crate::quarantine::CrashReport;
 use crate::refusal::AttemptRefusal;
 
 /// Everything that an agent knows; it holds no bytes of weights or requests.
@@ -34,7 +34,7 @@
     queue: AdmissionQueue,
     attempts: FastMap<AttemptId, AttemptState>,
     demand: DemandBoard,
-    crashes: CrashBoard,
+    crashes: CrashReportRelay,
     claims: ClaimBatch,
     /// The wall clock that came with the last claim.
     wall: Option<(Moment, u64)>,
@@ -69,7 +69,7 @@
             queue: AdmissionQueue::new(settings.admission.clone()),
             attempts: FastMap::default(),
             demand: DemandBoard::default(),
-            crashes: CrashBoard::default(),
+            crashes: CrashReportRelay::default(),
             claims: ClaimBatch::new(settings.claim.clone()),
             wall: None,
             leaving: false,
@@ -124,7 +124,7 @@
                 Vec::new()
             }
             AgentEvent::CrashesHeard(words) => {
-                words.into_iter().for_each(|word| self.crashes.hear(now, word));
+                words.into_iter().for_each(|word| self.crashes.record(now, word));
                 Vec::new()
             }
             AgentEvent::ClaimAsked(key, attempt, wall_s) => {
@@ -159,8 +159,8 @@
     }
 
     /// What entries told lately of requests under which upstreams ended.
-    pub fn crashes(&self, now: Moment) -> Vec<CrashWord> {
-        self.crashes.read(now)
+    pub fn crashes(&self, now: Moment) -> Vec<CrashReport> {
+        self.crashes.active_reports(now)
     }
 
     /// The generation in force here.
--- a/mustardrill_core/src/crash_board.rs
+++ b/mustardrill_core/src/crash_report_relay.rs
@@ -6,7 +6,7 @@
 
 use mustardrill_types::{FastMap, Millis, Moment, RequestDigest};
 
-use crate::quarantine::CrashWord;
+use crate::quarantine::CrashReport;
 
 /// How long a report is passed on: a few heartbeats.
 const RELAY_SPAN: Millis = Millis(3_000);
@@ -19,41 +19,41 @@
 
 /// The recently received reports, and the quarantines in force.
 #[derive(Debug, Default)]
-pub struct CrashBoard {
-    reports: Vec<(Moment, CrashWord)>,
+pub struct CrashReportRelay {
+    reports: Vec<(Moment, CrashReport)>,
     quarantined_until: FastMap<RequestDigest, Moment>,
 }
 
-impl CrashBoard {
+impl CrashReportRelay {
     /// Records a report that was received at `now`.
-    pub fn hear(&mut self, now: Moment, report: CrashWord) {
+    pub fn record(&mut self, now: Moment, report: CrashReport) {
         self.reports.retain(|(received, _)| now.since(*received) < RELAY_SPAN);
         self.quarantined_until.retain(|_, until| *until > now);
         match &report {
-            CrashWord::Quarantined(digest, left) => {
+            CrashReport::Quarantined(digest, left) => {
                 return self.record_quarantine(now, *digest, *left);
             }
-            CrashWord::Sound(digest, _) => self.end_term(*digest),
-            CrashWord::Crashed(_) => {}
+            CrashReport::Sound(digest, _) => self.remove_quarantine(*digest),
+            CrashReport::Crashed(_) => {}
         }
-        let is_known = self.reports.iter().any(|(_, known)| known.is_same(&report));
+        let is_known = self.reports.iter().any(|(_, known)| known.is_same_event(&report));
         if !is_known && self.reports.len() < REPORTS_LIMIT {
             self.reports.push((now, report));
         }
     }
 
     /// Stops passing on a quarantine.
-    pub fn end_term(&mut self, digest: RequestDigest) {
+    pub fn remove_quarantine(&mut self, digest: RequestDigest) {
         self.quarantined_until.remove(&digest);
     }
 
     /// The reports to pass on at `now`.
-    pub fn read(&self, now: Moment) -> Vec<CrashWord> {
+    pub fn active_reports(&self, now: Moment) -> Vec<CrashReport> {
         let fresh = self.reports.iter().filter(|(received, _)| now.since(*received) < RELAY_SPAN);
         let fresh = fresh.map(|(_, report)| report.clone());
         let quarantines = self.quarantined_until.iter().filter(|(_, until)| **until > now);
         let quarantines =
-            quarantines.map(|(digest, until)| CrashWord::Quarantined(*digest, until.since(now)));
+            quarantines.map(|(digest, until)| CrashReport::Quarantined(*digest, until.since(now)));
         fresh.chain(quarantines).collect()
     }
 
--- a/mustardrill_core/src/direct/admit.rs
+++ b/mustardrill_core/src/direct/admit.rs
@@ -67,7 +67,7 @@
         let number = request.number;
         let service = route.service_for(self.random.random()).clone();
         let window = self.windows.entry(service.clone()).or_default();
-        window.earn(now, &self.settings.retry);
+        window.record_request(now, &self.settings.retry);
         let customer = customer.map(|customer| (customer.name.clone(), customer.priority));
         let profile = self.profile(&service);
         let large = profile.is_some_and(|it| EngineForecast::new(it).is_large(request.size));
--- a/mustardrill_core/src/direct/dispatch.rs
+++ b/mustardrill_core/src/direct/dispatch.rs
@@ -49,11 +49,12 @@
             let believed = target.version_of(state.model.as_ref()?)?;
             (floor.0 > 1).then_some(believed)
         });
-        let weights = self.weights_at(state, &upstream);
+        let weights = self.believed_version(state, &upstream);
         // Where nothing replaces them there is nothing to be forecast.
         let newest = state.model.as_ref().and_then(|model| self.versions.newest(model));
         let forecast = if weights < newest { self.begin_time(state, target) } else { Millis(0) };
-        let replaced = weights.and_then(|version| self.replaced_attempt(state, version, forecast));
+        let replaced =
+            weights.and_then(|version| self.superseded_attempt(state, version, forecast));
         let plan = SendPlan {
             upstream: upstream.clone(),
             address,
@@ -83,7 +84,7 @@
                 state.attempt,
                 replaced.version,
                 replaced.forecast,
-                replaced.replaced_at.since(now),
+                replaced.usable_until.since(now),
             );
         }
         let reading = self.reading_time(state);
@@ -98,7 +99,7 @@
             state.tried.push(upstream);
             state.stage = RequestStage::Sent(start);
         }
-        self.await_begin(number, replaced);
+        self.track_attempt(number, replaced);
         vec![DirectEffect::Send(number, plan)]
     }
 
@@ -109,7 +110,7 @@
         load: Option<LoadReport>,
         version: Option<WeightVersion>,
     ) {
-        self.attempt_begun(now, number, version);
+        self.record_attempt_start(now, number, version);
         let Some(state) = self.requests.get_mut(&number) else { return };
         let RequestStage::Sent(upstream) = state.stage.clone() else { return };
         self.upstreams.read(&upstream, std::mem::take(&mut state.reading));
@@ -125,7 +126,7 @@
         number: RequestNumber,
         outcome: AttemptOutcome,
     ) -> Vec<DirectEffect> {
-        self.forget_unbegun(number);
+        self.untrack_attempt(number);
         let Some(state) = self.requests.get_mut(&number) else { return Vec::new() };
         let RequestStage::Sent(upstream) = state.stage.clone() else { return Vec::new() };
         state.stage = RequestStage::Between;
@@ -136,14 +137,16 @@
         self.upstreams.judge(now, &upstream, outcome, self.settings.ejection);
         let mut effects = Vec::new();
         match outcome {
-            AttemptOutcome::Whole => effects.extend(self.run_succeeded(now, digest)),
-            AttemptOutcome::Lost { crashed: true, .. } => self.run_crashed(now, number, &upstream),
+            AttemptOutcome::Whole => effects.extend(self.record_run_success(now, digest)),
+            AttemptOutcome::Lost { crashed: true, .. } => {
+                self.record_run_crash(now, number, &upstream)
+            }
             _ => {}
         }
         if outcome != AttemptOutcome::Whole {
             info!("request={attempt} instance={} outcome={outcome:?} digest={digest}", upstream.id);
         }
-        effects.extend(self.go_on(now, number, outcome));
+        effects.extend(self.continue_after_attempt(now, number, outcome));
         effects.extend(self.pump(now, &service));
         effects
     }
--- a/mustardrill_core/src/direct/event.rs
+++ b/mustardrill_core/src/direct/event.rs
@@ -10,11 +10,11 @@
 use crate::direct::fleet::page::FleetPage;
 use crate::direct::fleet::telling::LoadNews;
 use crate::direct::placing::forecast::WorkSize;
-use crate::direct::repeats::spending::RetryShare;
+use crate::direct::retries::retry_budget::RetryShare;
 use crate::direct::route::RepeatRule;
 use crate::direct::store::contact::AnswerSpan;
-use crate::direct::versions::table::NamingWord;
-use crate::quarantine::CrashWord;
+use crate::direct::versions::table::AnnouncementReport;
+use crate::quarantine::CrashReport;
 
 /// The number of a request within one entry.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -123,11 +123,11 @@
     /// Another entry told since when the store has answered somebody.
     ContactHeard(AnswerSpan),
     /// Another entry told when versions were named.
-    NamingsHeard(Vec<NamingWord>),
+    NamingsHeard(Vec<AnnouncementReport>),
     /// Another entry told which configuration it has in force.
     GenerationHeard(Generation),
     /// Another entry told of a request under which an upstream ended.
-    CrashHeard(CrashWord),
+    CrashHeard(CrashReport),
     /// An agent tells of its engine and a model.
     EngineHeard {
         /// Where the engine listens.
--- a/mustardrill_core/src/direct/mod.rs
+++ b/mustardrill_core/src/direct/mod.rs
@@ -10,8 +10,8 @@
 mod fleet;
 mod placing;
 mod reducer;
-mod repeats;
 mod request;
+mod retries;
 mod route;
 mod store;
 mod versions;
@@ -25,7 +25,7 @@
 pub use fleet::telling::{LoadNews, LoadRows, LoadTeller, WaitRows};
 pub use placing::forecast::{EngineForecast, WorkSize};
 pub use reducer::DirectReducer;
-pub use repeats::spending::{RetryShare, RetryWindow};
+pub use retries::retry_budget::{RetryShare, RetryWindow};
 pub use route::{
     CallerLimits, CustomerRecord, EngineProfile, ModelProfile, OriginProfile, RepeatRule,
     RouteDocument, RouteRule, ServiceProfile,
@@ -36,5 +36,5 @@
 pub use store::gathering::{GatherPause, NextReading};
 pub use store::reader::{ReadOutcome, StoreReader};
 pub use store::watch_pace::WatchSpan;
-pub use versions::table::{NamingTime, NamingWord, VersionTable};
+pub use versions::table::{AnnouncementReport, AnnouncementTime, VersionTable};
 pub use waiting::queue::{WaitQueue, WaitRank};
--- a/mustardrill_core/src/direct/placing/choice.rs
+++ b/mustardrill_core/src/direct/placing/choice.rs
@@ -10,7 +10,7 @@
 use crate::direct::reducer::DirectReducer;
 use crate::direct::request::RequestState;
 use crate::direct::route::EngineProfile;
-use crate::direct::versions::replaced::VERSION_RESERVE;
+use crate::direct::versions::superseded::SUPERSEDED_START_MARGIN;
 use crate::direct::waiting::queue::WaitQueue;
 use crate::rendezvous;
 
@@ -172,7 +172,7 @@
         upstream: &UpstreamState,
     ) -> Option<WeightVersion> {
         let model = state.model.as_ref()?;
-        let begins = now + VERSION_RESERVE + self.begin_time(state, upstream);
+        let begins = now + SUPERSEDED_START_MARGIN + self.begin_time(state, upstream);
         self.versions.floor(begins, model, self.settings.version_bound)
     }
 
--- a/mustardrill_core/src/direct/reducer.rs
+++ b/mustardrill_core/src/direct/reducer.rs
@@ -16,16 +16,16 @@
 use crate::direct::fleet::page::{FleetChange, FleetPage, PeerRecord};
 use crate::direct::fleet::telling::{LoadRows, WaitRows};
 use crate::direct::fleet::upstream_table::UpstreamTable;
-use crate::direct::repeats::crash_words::CrashTeller;
-use crate::direct::repeats::spending::RetryWindow;
 use crate::direct::request::{RequestStage, RequestState};
+use crate::direct::retries::crash_broadcast::CrashBroadcaster;
+use crate::direct::retries::retry_budget::RetryWindow;
 use crate::direct::route::RouteDocument;
 use crate::direct::store::contact::{AnswerSpan, StoreContact};
 use crate::direct::store::freshness::ProofClock;
 use crate::direct::store::generation_word::GenerationWord;
-use crate::direct::versions::naming::NamingInquiry;
-use crate::direct::versions::replaced::UnbegunAttempts;
-use crate::direct::versions::table::{NamingWord, VersionTable};
+use crate::direct::versions::announcements::AnnouncementInquiry;
+use crate::direct::versions::superseded::UnstartedAttempts;
+use crate::direct::versions::table::{AnnouncementReport, VersionTable};
 use crate::direct::waiting::holding::HeldRequests;
 use crate::direct::waiting::queue::WaitQueue;
 use crate::quarantine::QuarantineTable;
@@ -66,9 +66,9 @@
     pub(super) upstreams: UpstreamTable,
     pub(super) versions: VersionTable,
     /// Attempts that have not begun on weights that are being replaced.
-    pub(super) unbegun: UnbegunAttempts,
+    pub(super) unbegun: UnstartedAttempts,
     /// What the others are asked of versions.
-    pub(super) inquiry: NamingInquiry,
+    pub(super) inquiry: AnnouncementInquiry,
     /// Answers that began on replaced weights after their time.
     pub(super) begun_late: u64,
     pub(super) requests: FastMap<RequestNumber, RequestState>,
@@ -97,7 +97,7 @@
     /// Requests that wait for the verdict on them.
     pub(super) undecided: Vec<RequestNumber>,
     /// What the other entries are told of them.
-    pub(super) crash_words: CrashTeller,
+    pub(super) crash_words: CrashBroadcaster,
     /// When the next place opens that waiting requests may take.
     pub(super) place_at: Option<Moment>,
     /// The moment of the last wish to be woken that has not come yet.
@@ -115,8 +115,8 @@
             rewritten_at: Moment(0),
             upstreams: UpstreamTable::default(),
             versions: VersionTable::default(),
-            unbegun: UnbegunAttempts::default(),
-            inquiry: NamingInquiry::default(),
+            unbegun: UnstartedAttempts::default(),
+            inquiry: AnnouncementInquiry::default(),
             begun_late: 0,
             requests: FastMap::default(),
             queues: FastMap::default(),
@@ -134,7 +134,7 @@
             held: HeldRequests::default(),
             quarantine: QuarantineTable::new(SETTLE_SPAN),
             undecided: Vec::new(),
-            crash_words: CrashTeller::default(),
+            crash_words: CrashBroadcaster::default(),
             place_at: None,
             wake: None,
         }
@@ -159,21 +159,21 @@
                 self.pump_all(now)
             }
             DirectEvent::ContactHeard(span) => {
-                self.inquiry.answered();
+                self.inquiry.record_answer();
                 self.contact.heard(span, self.settings.forgetting);
                 self.settle_lapsed(now);
-                self.settle_namings(now);
+                self.settle_announcements(now);
                 Vec::new()
             }
             DirectEvent::NamingsHeard(words) => {
-                self.namings_heard(now, &words);
+                self.receive_announcement_reports(now, &words);
                 Vec::new()
             }
             DirectEvent::GenerationHeard(generation) => {
                 self.word.heard(now, generation);
                 self.release_all_held(now)
             }
-            DirectEvent::CrashHeard(word) => self.crash_heard(now, word),
+            DirectEvent::CrashHeard(word) => self.receive_crash_report(now, word),
             DirectEvent::EngineHeard { address, model, word } => {
                 let Some(state) = self.upstreams.by_address(address) else { return Vec::new() };
                 match word {
@@ -188,7 +188,7 @@
             DirectEvent::Woke => self.woke(now),
         };
         effects.extend(self.decide_suspects(now));
-        effects.extend(self.withdraw_overdue(now));
+        effects.extend(self.withdraw_overdue_attempts(now));
         effects.extend(self.next_wake());
         effects
     }
@@ -233,13 +233,13 @@
         {
             return Some(ASK_SOON);
         }
-        let may_miss_versions = self.store_away || self.inquiry.is_open(now);
+        let may_miss_versions = self.store_away || self.inquiry.is_polling(now);
         (may_miss_versions || self.word.is_asked(now)).then_some(ASK_AGAIN)
     }
 
     /// What this entry knows of when versions were named that may not have replaced all others yet.
-    pub fn namings(&self, now: Moment) -> Vec<NamingWord> {
-        self.versions.words(now - Millis(NAMING_BOUNDS * self.settings.version_bound.0))
+    pub fn namings(&self, now: Moment) -> Vec<AnnouncementReport> {
+        self.versions.reports(now - Millis(NAMING_BOUNDS * self.settings.version_bound.0))
     }
 
     /// What this entry knows of the fleet, for agents that start.
@@ -269,14 +269,14 @@
             lapsed: self.upstreams.lapsed(),
             requests: self.requests.len(),
             waiting: self.queues.values().map(WaitQueue::len).sum(),
-            quarantined: self.quarantine.quarantined(now),
+            quarantined: self.quarantine.quarantined_count(now),
             begun_late: self.begun_late,
         }
     }
 
     fn gone(&mut self, now: Moment, number: RequestNumber) -> Vec<DirectEffect> {
         self.held.forget(number);
-        self.forget_unbegun(number);
+        self.untrack_attempt(number);
         let Some(state) = self.requests.remove(&number) else { return Vec::new() };
         info!("request={} outcome=caller-gone stage={:?}", state.attempt, state.stage);
         self.release(&state);
@@ -301,7 +301,7 @@
 
     fn woke(&mut self, now: Moment) -> Vec<DirectEffect> {
         self.wake = None;
-        self.settle_namings(now);
+        self.settle_announcements(now);
         let mut effects = Vec::new();
         for service in self.queues.keys().cloned().collect::<Vec<_>>() {
             let Some(queue) = self.queues.get_mut(&service) else { continue };
--- a/mustardrill_core/src/direct/request.rs
+++ b/mustardrill_core/src/direct/request.rs
@@ -8,7 +8,7 @@
 use crate::direct::fleet::upstream::UpstreamStart;
 use crate::direct::placing::forecast::WorkSize;
 use crate::direct::route::{RepeatRule, RouteRule};
-use crate::direct::versions::replaced::ReplacedAttempt;
+use crate::direct::versions::superseded::SupersededAttempt;
 use crate::direct::waiting::queue::WaitRank;
 
 /// One request in progress.
@@ -56,7 +56,7 @@
     /// Whether the answer to the attempt under way has begun.
     pub(crate) begun: bool,
     /// What the attempt under way is held to, where its weights are being replaced.
-    pub(crate) replaced: Option<ReplacedAttempt>,
+    pub(crate) replaced: Option<SupersededAttempt>,
 }
 
 /// Where a request stands.
--- a/mustardrill_core/src/direct/repeats/crash_words.rs
+++ b/mustardrill_core/src/direct/retries/crash_broadcast.rs
@@ -9,7 +9,7 @@
 
 use mustardrill_types::{Millis, Moment, RequestDigest};
 
-use crate::quarantine::CrashWord;
+use crate::quarantine::CrashReport;
 
 /// When a report is sent, counted from the event.
 const BROADCAST_DELAYS: [Millis; 5] =
@@ -20,20 +20,20 @@
 
 /// The reports that still have to be broadcast.
 #[derive(Debug, Default)]
-pub(crate) struct CrashTeller {
+pub(crate) struct CrashBroadcaster {
     pending: VecDeque<PendingReport>,
 }
 
 #[derive(Debug)]
 struct PendingReport {
-    report: CrashWord,
+    report: CrashReport,
     since: Moment,
     round: usize,
 }
 
-impl CrashTeller {
+impl CrashBroadcaster {
     /// Adds a report to be broadcast from `now` on.
-    pub(crate) fn push(&mut self, now: Moment, report: CrashWord) {
+    pub(crate) fn push(&mut self, now: Moment, report: CrashReport) {
         if self.pending.len() >= PENDING_REPORTS_LIMIT {
             self.pending.pop_front();
         }
@@ -43,18 +43,18 @@
     /// Stops broadcasting a quarantine that has been lifted.
     pub(crate) fn withdraw_quarantine(&mut self, digest: RequestDigest) {
         self.pending.retain(
-            |pending| !matches!(pending.report, CrashWord::Quarantined(reported, _) if reported == digest),
+            |pending| !matches!(pending.report, CrashReport::Quarantined(reported, _) if reported == digest),
         );
     }
 
     /// Whether this entry is still broadcasting a crash that it observed under a request.
     pub(crate) fn is_broadcasting_crash(&self, digest: RequestDigest) -> bool {
         let mut reports = self.pending.iter().map(|pending| &pending.report);
-        reports.any(|report| matches!(report, CrashWord::Crashed(run) if run.digest == digest))
+        reports.any(|report| matches!(report, CrashReport::Crashed(run) if run.digest == digest))
     }
 
     /// Takes the reports that are due at `now`.
-    pub(crate) fn due(&mut self, now: Moment) -> Vec<CrashWord> {
+    pub(crate) fn due(&mut self, now: Moment) -> Vec<CrashReport> {
         let mut due = Vec::new();
         for pending in &mut self.pending {
             if pending.since + BROADCAST_DELAYS[pending.round] <= now {
--- a/mustardrill_core/src/direct/repeats/again.rs
+++ b/mustardrill_core/src/direct/retries/retry.rs
@@ -14,7 +14,7 @@
 const UNREACHABLE_UPSTREAMS_LIMIT: usize = 4;
 
 impl DirectReducer {
-    pub(in crate::direct) fn go_on(
+    pub(in crate::direct) fn continue_after_attempt(
         &mut self,
         now: Moment,
         number: RequestNumber,
@@ -32,21 +32,21 @@
             AttemptOutcome::Failed => {
                 state.may_have_run = true;
                 if state.is_repeatable() && self.try_spend_retry(now, number) {
-                    return self.again(now, number);
+                    return self.retry(now, number);
                 }
                 self.requests.remove(&number);
                 vec![DirectEffect::PassOn(number)]
             }
             AttemptOutcome::Full | AttemptOutcome::Misdirected => {
                 if self.try_spend_retry(now, number) {
-                    return self.again(now, number);
+                    return self.retry(now, number);
                 }
                 let retry_after = self.spread(FULL_RETRY);
                 self.refuse(now, number, ResultCode::Overloaded, retry_after)
             }
             AttemptOutcome::NotSent => {
                 if state.tried.len() < UNREACHABLE_UPSTREAMS_LIMIT {
-                    return self.again(now, number);
+                    return self.retry(now, number);
                 }
                 self.refuse(now, number, ResultCode::NoUpstream, NO_UPSTREAM_RETRY)
             }
@@ -54,26 +54,26 @@
             // before.
             AttemptOutcome::Withdrawn { sent: true } => {
                 state.may_have_run = true;
-                self.hold_suspect(now, number).unwrap_or_else(|| self.repeat_lost(now, number))
+                self.hold_suspect(now, number).unwrap_or_else(|| self.retry_lost(now, number))
             }
-            AttemptOutcome::Withdrawn { sent: false } => self.again(now, number),
+            AttemptOutcome::Withdrawn { sent: false } => self.retry(now, number),
             AttemptOutcome::Lost { delivered, .. } => {
                 state.may_have_run = true;
                 state.delivered |= delivered;
-                self.hold_suspect(now, number).unwrap_or_else(|| self.repeat_lost(now, number))
+                self.hold_suspect(now, number).unwrap_or_else(|| self.retry_lost(now, number))
             }
         }
     }
 
     /// Retries a request whose last attempt was lost, or refuses it.
-    pub(in crate::direct) fn repeat_lost(
+    pub(in crate::direct) fn retry_lost(
         &mut self,
         now: Moment,
         number: RequestNumber,
     ) -> Vec<DirectEffect> {
         let Some(state) = self.requests.get(&number) else { return Vec::new() };
         if state.is_repeatable() && self.try_spend_retry(now, number) {
-            return self.again(now, number);
+            return self.retry(now, number);
         }
         self.refuse(now, number, ResultCode::Unknown, Millis(0))
     }
@@ -88,14 +88,14 @@
         let share = &self.settings.retry;
         let entries = self.census.count(now, share.window, &self.peers);
         let window = self.windows.entry(state.service.clone()).or_default();
-        let granted = window.spend(now, share, entries);
+        let granted = window.try_spend(now, share, entries);
         if !granted {
             info!("request={} decision=no-repeat reason=budget entries={entries}", state.attempt);
         }
         granted
     }
 
-    pub(in crate::direct) fn again(
+    pub(in crate::direct) fn retry(
         &mut self,
         now: Moment,
         number: RequestNumber,
--- a/mustardrill_core/src/direct/repeats/spending.rs
+++ b/mustardrill_core/src/direct/retries/retry_budget.rs
@@ -29,14 +29,14 @@
 
 impl RetryWindow {
     /// Records a request, which earns a part of a retry.
-    pub fn earn(&mut self, now: Moment, share: &RetryShare) {
+    pub fn record_request(&mut self, now: Moment, share: &RetryShare) {
         self.drop_expired(now, share);
         self.requests.push_back(now);
     }
 
     /// Spends one retry if the budget permits; returns whether it did. The allowance is divided
     /// among `entries`.
-    pub fn spend(&mut self, now: Moment, share: &RetryShare, entries: usize) -> bool {
+    pub fn try_spend(&mut self, now: Moment, share: &RetryShare, entries: usize) -> bool {
         self.drop_expired(now, share);
         let allowance = share.allowance / entries.max(1) as f64;
         let earned = self.requests.len() as f64 * share.ratio + allowance;
--- a/mustardrill_core/src/direct/repeats/suspicion.rs
+++ b/mustardrill_core/src/direct/retries/suspicion.rs
@@ -7,13 +7,13 @@
 use crate::direct::fleet::upstream::UpstreamStart;
 use crate::direct::reducer::DirectReducer;
 use crate::direct::request::{RequestStage, RequestState};
-use crate::quarantine::{CrashWord, CrashedRun, QUARANTINE_SPAN};
+use crate::quarantine::{CrashReport, CrashedRun, QUARANTINE_SPAN};
 use crate::rendezvous;
 
 impl DirectReducer {
     /// Records that an upstream crashed while it ran a request of this entry, and broadcasts that
     /// to the peers.
-    pub(in crate::direct) fn run_crashed(
+    pub(in crate::direct) fn record_run_crash(
         &mut self,
         now: Moment,
         number: RequestNumber,
@@ -35,22 +35,22 @@
             sent: state.sent,
             ended: now,
         };
-        self.crash_words.push(now, CrashWord::Crashed(run.clone()));
+        self.crash_words.push(now, CrashReport::Crashed(run.clone()));
         self.record_crashed_run(now, run);
     }
 
     /// Records that a request was answered completely, which shows that it does not crash
     /// upstreams.
-    pub(in crate::direct) fn run_succeeded(
+    pub(in crate::direct) fn record_run_success(
         &mut self,
         now: Moment,
         digest: RequestDigest,
     ) -> Option<DirectEffect> {
         let was_quarantined = self.quarantine.remaining(now, digest).is_some();
         self.crash_words.withdraw_quarantine(digest);
-        if self.quarantine.succeeded(now, digest, now) {
+        if self.quarantine.record_success(now, digest, now) {
             info!("quarantine digest={digest} outcome=sound");
-            self.crash_words.push(now, CrashWord::Sound(digest, now));
+            self.crash_words.push(now, CrashReport::Sound(digest, now));
         }
         was_quarantined.then_some(DirectEffect::EndQuarantine(digest))
     }
@@ -67,21 +67,21 @@
     }
 
     /// Handles a report from a peer entry.
-    pub(in crate::direct) fn crash_heard(
+    pub(in crate::direct) fn receive_crash_report(
         &mut self,
         now: Moment,
-        report: CrashWord,
+        report: CrashReport,
     ) -> Vec<DirectEffect> {
         match report {
-            CrashWord::Crashed(run) => self.record_crashed_run(now, run),
-            CrashWord::Sound(digest, at) => {
+            CrashReport::Crashed(run) => self.record_crashed_run(now, run),
+            CrashReport::Sound(digest, at) => {
                 self.crash_words.withdraw_quarantine(digest);
-                if self.quarantine.succeeded(now, digest, at) {
+                if self.quarantine.record_success(now, digest, at) {
                     info!("quarantine digest={digest} outcome=sound source=entry");
                 }
             }
-            CrashWord::Quarantined(digest, left) => {
-                if self.quarantine.begin(now, digest, left) {
+            CrashReport::Quarantined(digest, left) => {
+                if self.quarantine.start(now, digest, left) {
                     info!("quarantine digest={digest} outcome=begun source=entry");
                     return self.apply_verdict(now, digest, left);
                 }
@@ -91,12 +91,12 @@
     }
 
     /// Applies another entry's verdict that was read from the store.
-    pub(in crate::direct) fn quarantine_seen(
+    pub(in crate::direct) fn apply_stored_quarantine(
         &mut self,
         now: Moment,
         digest: RequestDigest,
     ) -> Vec<DirectEffect> {
-        if !self.quarantine.begin(now, digest, QUARANTINE_SPAN) {
+        if !self.quarantine.start(now, digest, QUARANTINE_SPAN) {
             return Vec::new();
         }
         info!("quarantine digest={digest} outcome=begun source=store");
@@ -104,7 +104,7 @@
     }
 
     /// Writes the active quarantines to the store again, since it may have lost them.
-    pub(in crate::direct) fn keep_quarantines_again(&self, now: Moment) -> Vec<DirectEffect> {
+    pub(in crate::direct) fn rewrite_quarantines(&self, now: Moment) -> Vec<DirectEffect> {
         let active = self.quarantine.active(now).into_iter();
         let to_write = active.filter(|(digest, _)| self.writes_quarantine(*digest));
         to_write.map(|(digest, left)| DirectEffect::KeepQuarantine(digest, left)).collect()
@@ -124,14 +124,14 @@
     }
 
     /// Takes the reports that are to be sent to the peer entries at `now`.
-    pub fn crash_words(&mut self, now: Moment) -> Vec<CrashWord> {
+    pub fn due_crash_reports(&mut self, now: Moment) -> Vec<CrashReport> {
         self.crash_words.due(now)
     }
 
     fn record_crashed_run(&mut self, now: Moment, run: CrashedRun) {
         let start = UpstreamStart { id: run.upstream.clone(), start: run.start };
         self.upstreams.ended(&start, run.ended);
-        self.quarantine.crashed(now, run);
+        self.quarantine.record_crash(now, run);
     }
 
     /// Decides on the suspects if that is due, and resumes the requests that waited for the
@@ -141,11 +141,11 @@
             return Vec::new();
         }
         let mut effects = Vec::new();
-        for digest in self.quarantine.verdicts(now) {
+        for digest in self.quarantine.take_verdicts(now) {
             warn!("quarantine digest={digest} outcome=begun");
             // Peers may have received fewer reports, or received them too late to order the runs.
             if self.crash_words.is_broadcasting_crash(digest) {
-                let report = CrashWord::Quarantined(digest, QUARANTINE_SPAN);
+                let report = CrashReport::Quarantined(digest, QUARANTINE_SPAN);
                 self.crash_words.push(now, report);
             }
             effects.extend(self.apply_verdict(now, digest, QUARANTINE_SPAN));
@@ -189,7 +189,7 @@
             return Some(refusal);
         }
         let state = self.requests.get(&number)?;
-        if !self.quarantine.is_open(now, state.digest) {
+        if !self.quarantine.is_verdict_pending(now, state.digest) {
             return None;
         }
         info!("request={} decision=hold reason=verdict digest={}", state.attempt, state.digest);
@@ -203,7 +203,7 @@
             return held;
         }
         match self.requests.get(&number) {
-            Some(state) if state.may_have_run => self.repeat_lost(now, number),
+            Some(state) if state.may_have_run => self.retry_lost(now, number),
             Some(_) => self.start(now, number),
             None => Vec::new(),
         }
--- a/mustardrill_core/src/direct/store/view.rs
+++ b/mustardrill_core/src/direct/store/view.rs
@@ -10,7 +10,7 @@
 use crate::direct::fleet::upstream::LapseCause;
 use crate::direct::reducer::DirectReducer;
 use crate::direct::store::freshness::{ProofClock, returned_at};
-use crate::direct::versions::table::NamingTime;
+use crate::direct::versions::table::AnnouncementTime;
 
 impl DirectReducer {
     /// Takes what the store tells; the call was sent, or proves the configuration, at `sent`.
@@ -26,7 +26,7 @@
         let is_start = self.proof.last().is_none();
         self.revision = page.at;
         self.era = page.era;
-        let time = self.naming_time(now, sent, was_away);
+        let time = self.announcement_time(now, sent, was_away);
         self.read_at = now;
         if page.whole {
             self.forget_missing(now, &page, returned);
@@ -45,7 +45,7 @@
         self.proof.prove(sent);
         self.prove_config(sent);
         self.settle_lapsed(now);
-        self.settle_namings(now);
+        self.settle_announcements(now);
         effects.extend(self.pump_all(now));
         if !self.word.is_awaited(now) {
             effects.extend(self.release_all_held(now));
@@ -91,7 +91,7 @@
     fn take_changes(
         &mut self,
         now: Moment,
-        time: NamingTime,
+        time: AnnouncementTime,
         changes: Vec<FleetChange>,
         is_whole: bool,
     ) -> Vec<DirectEffect> {
@@ -102,7 +102,7 @@
                 effects.push(DirectEffect::TellAgents(model.clone(), *version, machines));
             }
             if let FleetChange::Quarantined(digest) = &change {
-                effects.extend(self.quarantine_seen(now, *digest));
+                effects.extend(self.apply_stored_quarantine(now, *digest));
             }
             self.apply(now, time, change);
         }
@@ -113,7 +113,7 @@
     fn take_older(
         &mut self,
         now: Moment,
-        time: NamingTime,
+        time: AnnouncementTime,
         changes: Vec<FleetChange>,
     ) -> Vec<DirectEffect> {
         for change in changes {
@@ -127,7 +127,7 @@
                 other => self.apply(now, time, other),
             }
         }
-        self.keep_quarantines_again(now)
+        self.rewrite_quarantines(now)
     }
 
     /// Whether the configuration names an upstream's service, as far as there is one.
@@ -203,7 +203,7 @@
         self.upstreams.heard.forget(id);
     }
 
-    fn apply(&mut self, now: Moment, time: NamingTime, change: FleetChange) {
+    fn apply(&mut self, now: Moment, time: AnnouncementTime, change: FleetChange) {
         match change {
             FleetChange::Configured(document) => {
                 let current = self.document.as_ref().map(|document| document.generation);
@@ -227,7 +227,7 @@
                 self.upstreams.lapse(now, &id, self.return_limit(), LapseCause::Outage);
             }
             FleetChange::VersionNamed(model, version) => {
-                self.version_named(now, &model, version, time);
+                self.record_announcement(now, &model, version, time);
             }
             // Its effects are those of the page.
             FleetChange::Quarantined(_) => {}
--- a/mustardrill_core/src/direct/versions/naming.rs
+++ b/mustardrill_core/src/direct/versions/announcements.rs
@@ -10,7 +10,7 @@
 use mustardrill_types::{Millis, ModelName, Moment, WeightVersion};
 
 use crate::direct::reducer::DirectReducer;
-use crate::direct::versions::table::{NamingTime, NamingWord};
+use crate::direct::versions::table::{AnnouncementReport, AnnouncementTime};
 
 /// If the store answered no entry for less than this, the platform may not have counted it as
 /// unavailable: single calls fail even when neither the store nor a link is down.
@@ -26,7 +26,7 @@
 
 /// Polling of the peer entries about recently learned versions.
 #[derive(Debug, Default)]
-pub(crate) struct NamingInquiry {
+pub(crate) struct AnnouncementInquiry {
     poll_until: Moment,
     /// As long as no peer has answered, polling continues until this time.
     unanswered_until: Moment,
@@ -35,7 +35,7 @@
     settle_at: Option<Moment>,
 }
 
-impl NamingInquiry {
+impl AnnouncementInquiry {
     /// Starts polling for a version that was learned of at `now`; the version it supersedes may be
     /// used for `bound`. `is_exact` is whether the store reported the announcement as it was made.
     fn start(&mut self, now: Moment, bound: Millis, is_observed: bool) {
@@ -46,7 +46,7 @@
         }
     }
 
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn record_answer(&mut self) {
         self.unanswered_until = Moment(0);
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Whether the peers should be polled at `now`.
-    pub(crate) fn is_open(&self, now: Moment) -> bool {
+    pub(crate) fn is_polling(&self, now: Moment) -> bool {
         now < self.poll_until.max(self.unanswered_until)
     }
 
@@ -89,38 +89,38 @@
     /// If the call took no longer than the pause since the previous one, the announcement may have
     /// been made in that pause. A call that waited longer was answered when the announcement was
     /// made.
-    pub(in crate::direct) fn naming_time(
+    pub(in crate::direct) fn announcement_time(
         &self,
         now: Moment,
         sent: Moment,
         was_away: bool,
-    ) -> NamingTime {
+    ) -> AnnouncementTime {
         let earliest = self.proof.last().unwrap_or_default();
         if was_away || self.proof.last().is_none() {
-            return NamingTime::after(earliest, now);
+            return AnnouncementTime::bounded(earliest, now);
         }
         if now.since(sent) <= sent.since(self.read_at) {
-            return NamingTime::after(self.read_at, now);
+            return AnnouncementTime::bounded(self.read_at, now);
         }
-        NamingTime::heard(earliest, now)
+        AnnouncementTime::observed(earliest, now)
     }
 
     /// Records a version that the store shows, and starts polling the peers for its announcement
     /// time.
-    pub(in crate::direct) fn version_named(
+    pub(in crate::direct) fn record_announcement(
         &mut self,
         now: Moment,
         model: &ModelName,
         version: WeightVersion,
-        time: NamingTime,
+        time: AnnouncementTime,
     ) {
-        if !self.versions.name(model, version, time) {
+        if !self.versions.announce(model, version, time) {
             return;
         }
-        let is_observed = time.heard.is_some();
+        let is_observed = time.observed.is_some();
         info!(
             "weights model={model} version={version} outcome=named since={} evidence={}",
-            now.since(time.since()),
+            now.since(time.effective_at()),
             if is_observed { "heard" } else { "bounded" }
         );
         self.inquiry.start(now, self.settings.version_bound, is_observed);
@@ -128,14 +128,18 @@
     }
 
     /// Merges what a peer entry knows about announcement times.
-    pub(in crate::direct) fn namings_heard(&mut self, now: Moment, reports: &[NamingWord]) {
-        self.inquiry.answered();
+    pub(in crate::direct) fn receive_announcement_reports(
+        &mut self,
+        now: Moment,
+        reports: &[AnnouncementReport],
+    ) {
+        self.inquiry.record_answer();
         for report in reports {
             if !self.versions.refine(report) {
                 continue;
             }
-            let NamingWord { model, version, .. } = report;
-            let since = self.versions.named_at(model, *version).unwrap_or(now);
+            let AnnouncementReport { model, version, .. } = report;
+            let since = self.versions.announced_at(model, *version).unwrap_or(now);
             info!(
                 "weights model={model} version={version} outcome=named since={} source=entry",
                 now.since(since)
@@ -147,12 +151,12 @@
     /// Decides whether versions that arrived with the first answer after a store outage count from
     /// the store's return, once the peers had time to report whether the store answered them in the
     /// meantime.
-    pub(in crate::direct) fn settle_namings(&mut self, now: Moment) {
+    pub(in crate::direct) fn settle_announcements(&mut self, now: Moment) {
         if !self.inquiry.take_due_decision(now, !self.peers.is_empty()) {
             return;
         }
         if let Some(span) = self.contact.span() {
-            self.versions.count_from(span.since, MIN_STORE_OUTAGE);
+            self.versions.count_from_return(span.since, MIN_STORE_OUTAGE);
             self.refresh_attempt_limits();
             info!("weights outcome=settled answering={}", now.since(span.since));
         }
--- a/mustardrill_core/src/direct/versions/replaced.rs
+++ b/mustardrill_core/src/direct/versions/superseded.rs
@@ -18,30 +18,30 @@
 /// Safety margin before the time limit of superseded weights at which a request must have started
 /// or is withdrawn. It covers the network path to the engine and the uncertainty of the
 /// announcement time, which is known to within one call to the store.
-pub(in crate::direct) const VERSION_RESERVE: Millis = Millis(250);
+pub(in crate::direct) const SUPERSEDED_START_MARGIN: Millis = Millis(250);
 
 /// An attempt on weights for which a newer version has been announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct ReplacedAttempt {
+pub(crate) struct SupersededAttempt {
     /// The version that the upstream was believed to hold.
     pub(crate) version: WeightVersion,
     /// Time from sending to the expected start of the answer.
     pub(crate) forecast: Millis,
     /// From this moment nothing may start on `version`.
-    pub(crate) replaced_at: Moment,
+    pub(crate) usable_until: Moment,
 }
 
 /// Attempts on superseded weights that have not started, ordered by the time at which they are
 /// withdrawn.
 #[derive(Debug, Default)]
-pub(crate) struct UnbegunAttempts {
+pub(crate) struct UnstartedAttempts {
     attempts: BTreeSet<(Moment, RequestNumber)>,
 }
 
-impl ReplacedAttempt {
+impl SupersededAttempt {
     /// When the attempt is withdrawn unless it has started.
     pub(crate) fn begin_by(&self) -> Moment {
-        self.replaced_at - VERSION_RESERVE
+        self.usable_until - SUPERSEDED_START_MARGIN
     }
 
     /// Logs that the answer has started; returns whether that was past the time limit of its
@@ -54,23 +54,23 @@
             now.since(state.sent),
             self.forecast,
         );
-        let is_late = now >= self.replaced_at;
+        let is_late = now >= self.usable_until;
         if is_late {
-            warn!("{line} replaced_for={}", now.since(self.replaced_at));
+            warn!("{line} replaced_for={}", now.since(self.usable_until));
         } else {
-            info!("{line} replaced_in={}", self.replaced_at.since(now));
+            info!("{line} replaced_in={}", self.usable_until.since(now));
         }
         is_late
     }
 }
 
-impl UnbegunAttempts {
+impl UnstartedAttempts {
     /// Tracks an attempt until it starts or is withdrawn.
-    pub(crate) fn insert(&mut self, number: RequestNumber, attempt: &ReplacedAttempt) {
+    pub(crate) fn insert(&mut self, number: RequestNumber, attempt: &SupersededAttempt) {
         self.attempts.insert((attempt.begin_by(), number));
     }
 
-    pub(crate) fn remove(&mut self, number: RequestNumber, attempt: &ReplacedAttempt) {
+    pub(crate) fn remove(&mut self, number: RequestNumber, attempt: &SupersededAttempt) {
         self.attempts.remove(&(attempt.begin_by(), number));
     }
 
@@ -92,23 +92,23 @@
 impl DirectReducer {
     /// Returns the time limit of an attempt on `version`, or `None` if no newer version has been
     /// announced.
-    pub(in crate::direct) fn replaced_attempt(
+    pub(in crate::direct) fn superseded_attempt(
         &self,
         state: &RequestState,
         version: WeightVersion,
         forecast: Millis,
-    ) -> Option<ReplacedAttempt> {
-        let announced_at = self.versions.named_after(state.model.as_ref()?, version)?;
-        Some(ReplacedAttempt {
+    ) -> Option<SupersededAttempt> {
+        let announced_at = self.versions.superseded_at(state.model.as_ref()?, version)?;
+        Some(SupersededAttempt {
             version,
             forecast,
-            replaced_at: announced_at + self.settings.version_bound,
+            usable_until: announced_at + self.settings.version_bound,
         })
     }
 
     /// The version on which a request would start at `upstream`, as far as known. `None` if the
     /// request is not for a model.
-    pub(in crate::direct) fn weights_at(
+    pub(in crate::direct) fn believed_version(
         &self,
         state: &RequestState,
         upstream: &InstanceId,
@@ -123,30 +123,30 @@
         &self,
         state: &RequestState,
         upstream: &InstanceId,
-    ) -> Option<ReplacedAttempt> {
-        let version = self.weights_at(state, upstream).or(state.weights)?;
-        self.replaced_attempt(state, version, state.forecast)
+    ) -> Option<SupersededAttempt> {
+        let version = self.believed_version(state, upstream).or(state.weights)?;
+        self.superseded_attempt(state, version, state.forecast)
     }
 
     /// Records that the answer to a request has started, on `version` if its upstream reported one.
-    pub(in crate::direct) fn attempt_begun(
+    pub(in crate::direct) fn record_attempt_start(
         &mut self,
         now: Moment,
         number: RequestNumber,
         version: Option<WeightVersion>,
     ) {
-        self.forget_unbegun(number);
+        self.untrack_attempt(number);
         let Some(state) = self.requests.get_mut(&number) else { return };
         state.begun = true;
         let RequestStage::Sent(upstream) = state.stage.clone() else { return };
         let Some(state) = self.requests.get(&number) else { return };
         let Some(version) = state.weights.and(version).or(state.weights) else { return };
-        if let Some(attempt) = self.replaced_attempt(state, version, state.forecast) {
+        if let Some(attempt) = self.superseded_attempt(state, version, state.forecast) {
             self.begun_late += u64::from(attempt.log_start(now, state, &upstream.id));
         }
     }
 
-    pub(in crate::direct) fn forget_unbegun(&mut self, number: RequestNumber) {
+    pub(in crate::direct) fn untrack_attempt(&mut self, number: RequestNumber) {
         let state = self.requests.get_mut(&number);
         if let Some(attempt) = state.and_then(|state| state.replaced.take()) {
             self.unbegun.remove(number, &attempt);
@@ -154,12 +154,12 @@
     }
 
     /// Starts tracking the attempt if it has a time limit; stops tracking any earlier one.
-    pub(in crate::direct) fn await_begin(
+    pub(in crate::direct) fn track_attempt(
         &mut self,
         number: RequestNumber,
-        attempt: Option<ReplacedAttempt>,
+        attempt: Option<SupersededAttempt>,
     ) {
-        self.forget_unbegun(number);
+        self.untrack_attempt(number);
         let Some(state) = self.requests.get_mut(&number) else { return };
         state.replaced = attempt;
         if let Some(attempt) = &attempt {
@@ -177,13 +177,16 @@
             _ => None,
         });
         for (number, attempt) in sent_attempts.collect::<Vec<_>>() {
-            self.await_begin(number, attempt);
+            self.track_attempt(number, attempt);
         }
     }
 
     /// Withdraws the attempts that did not start in time, unless their engine now has newer
     /// weights.
-    pub(in crate::direct) fn withdraw_overdue(&mut self, now: Moment) -> Vec<DirectEffect> {
+    pub(in crate::direct) fn withdraw_overdue_attempts(
+        &mut self,
+        now: Moment,
+    ) -> Vec<DirectEffect> {
         let mut effects = Vec::new();
         while let Some(number) = self.unbegun.take_overdue(now) {
             let Some(state) = self.requests.get(&number) else { continue };
@@ -191,7 +194,7 @@
             match self.current_superseded_attempt(state, &upstream.id) {
                 None => {}
                 Some(attempt) if attempt.begin_by() > now => {
-                    self.await_begin(number, Some(attempt));
+                    self.track_attempt(number, Some(attempt));
                 }
                 Some(attempt) => {
                     info!(
--- a/mustardrill_core/src/direct/versions/table.rs
+++ b/mustardrill_core/src/direct/versions/table.rs
@@ -8,24 +8,24 @@
 
 /// The bounds known for the time at which a version was announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NamingTime {
+pub struct AnnouncementTime {
     /// The version was not announced before this.
     pub earliest: Moment,
     /// Some process knew of the version at this time.
-    pub known: Moment,
+    pub known_at: Moment,
     /// When a process observed the announcement as it was made, to all appearances.
-    pub heard: Option<Moment>,
+    pub observed: Option<Moment>,
 }
 
 /// What another entry knows of a version's announcement.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NamingWord {
+pub struct AnnouncementReport {
     /// The model that the version belongs to.
     pub model: ModelName,
     /// The announced version.
     pub version: WeightVersion,
     /// The announcement time according to the reporting entry's own observations.
-    pub time: NamingTime,
+    pub time: AnnouncementTime,
     /// The most by which the observation may have been later than `time` says, given the message's
     /// unknown delay.
     pub slack: Millis,
@@ -36,9 +36,9 @@
 struct AnnouncedVersion {
     version: WeightVersion,
     /// From the store's answers to this process; `None` if only other entries reported the version.
-    own_time: Option<NamingTime>,
+    own_time: Option<AnnouncementTime>,
     /// From all sources.
-    time: NamingTime,
+    time: AnnouncementTime,
 }
 
 /// The announced versions of each model, with their announcement times.
@@ -48,49 +48,54 @@
     announced: FastMap<ModelName, Vec<AnnouncedVersion>>,
 }
 
-impl NamingTime {
+impl AnnouncementTime {
     /// An announcement that the store reports at `now` as it is made, and that was not made before
     /// `earliest`.
-    pub fn heard(earliest: Moment, now: Moment) -> Self {
-        Self { earliest, known: now, heard: Some(now) }
+    pub fn observed(earliest: Moment, now: Moment) -> Self {
+        Self { earliest, known_at: now, observed: Some(now) }
     }
 
     /// An announcement that is learned of at `now`, and that was made between `earliest` and then.
-    pub fn after(earliest: Moment, now: Moment) -> Self {
-        Self { earliest, known: now, heard: None }
+    pub fn bounded(earliest: Moment, now: Moment) -> Self {
+        Self { earliest, known_at: now, observed: None }
     }
 
     /// The moment from which the version is taken to be announced: the observed time, else the
     /// earliest possible one.
-    pub fn since(&self) -> Moment {
-        self.observed_time().unwrap_or(self.earliest.min(self.known))
+    pub fn effective_at(&self) -> Moment {
+        self.observed_time().unwrap_or(self.earliest.min(self.known_at))
     }
 
     /// The observed announcement time. A process that was suspended takes an old answer for a
     /// current one; a peer that knew of the version before then disproves the observation.
     fn observed_time(&self) -> Option<Moment> {
-        self.heard.filter(|heard| *heard <= self.known)
+        self.observed.filter(|observed| *observed <= self.known_at)
     }
 
     /// Merges the bounds of another process, whose observation may be later by up to `slack`.
     fn refine(&mut self, other: Self, slack: Millis) {
-        self.known = self.known.min(other.known);
+        self.known_at = self.known_at.min(other.known_at);
         // A process that was suspended takes an old answer of the store for one of that moment, so
         // a lower bound past the time at which the version was known is dropped.
         let bounds = [self.earliest, other.earliest].into_iter();
-        let consistent = bounds.filter(|earliest| *earliest <= self.known).max();
-        self.earliest = consistent.unwrap_or(self.known);
+        let consistent = bounds.filter(|earliest| *earliest <= self.known_at).max();
+        self.earliest = consistent.unwrap_or(self.known_at);
         // Reports of one announcement differ by their network delay. Taking the earliest of them
         // all would accumulate the delays.
         let is_same_observation =
-            |heard: &Moment| other.heard.is_none_or(|reported| *heard <= reported + slack);
-        self.heard = self.heard.filter(is_same_observation).or(other.heard);
+            |observed: &Moment| other.observed.is_none_or(|reported| *observed <= reported + slack);
+        self.observed = self.observed.filter(is_same_observation).or(other.observed);
     }
 }
 
 impl VersionTable {
     /// Records a version that the store shows; returns whether it is newer than all known before.
-    pub fn name(&mut self, model: &ModelName, version: WeightVersion, time: NamingTime) -> bool {
+    pub fn announce(
+        &mut self,
+        model: &ModelName,
+        version: WeightVersion,
+        time: AnnouncementTime,
+    ) -> bool {
         let versions = self.announced.entry(model.clone()).or_default();
         if let Some(announced) = versions.iter_mut().find(|announced| announced.version == version)
             && announced.own_time.is_none()
@@ -108,14 +113,14 @@
 
     /// Merges what another entry knows of a version; returns whether the announcement time of any
     /// version changed.
-    pub fn refine(&mut self, report: &NamingWord) -> bool {
+    pub fn refine(&mut self, report: &AnnouncementReport) -> bool {
         let versions = self.announced.entry(report.model.clone()).or_default();
         let index = versions.partition_point(|announced| announced.version < report.version);
         match versions.get_mut(index) {
             Some(announced) if announced.version == report.version => {
-                let before = announced.time.since();
+                let before = announced.time.effective_at();
                 announced.time.refine(report.time, report.slack);
-                announced.time.since() != before
+                announced.time.effective_at() != before
             }
             _ => {
                 let announced =
@@ -128,9 +133,10 @@
 
     /// Takes versions learned of since the store came back at `returned` as announced then, if the
     /// store had answered nobody for `least` or longer: the platform counts in the same way.
-    pub fn count_from(&mut self, returned: Moment, min_outage: Millis) {
+    pub fn count_from_return(&mut self, returned: Moment, min_outage: Millis) {
         for AnnouncedVersion { time, .. } in self.announced.values_mut().flatten() {
-            let is_learned_after_return = time.observed_time().is_none() && time.known >= returned;
+            let is_learned_after_return =
+                time.observed_time().is_none() && time.known_at >= returned;
             // Versions present when this process started may have been announced at any time
             // before.
             let is_from_process_start = time.earliest == Moment(0);
@@ -145,14 +151,14 @@
 
     /// Reports for other entries: the versions announced at `from` or later, by this process's own
     /// observations.
-    pub fn words(&self, from: Moment) -> Vec<NamingWord> {
+    pub fn reports(&self, from: Moment) -> Vec<AnnouncementReport> {
         let all = self.announced.iter().flat_map(|(model, versions)| {
             versions.iter().filter_map(|announced| {
                 let (version, time) = (announced.version, announced.own_time?);
-                Some(NamingWord { model: model.clone(), version, time, slack: Millis(0) })
+                Some(AnnouncementReport { model: model.clone(), version, time, slack: Millis(0) })
             })
         });
-        all.filter(|report| report.time.since() >= from).collect()
+        all.filter(|report| report.time.effective_at() >= from).collect()
     }
 
     /// The newest version announced for a model.
@@ -168,25 +174,27 @@
 
     /// The announcement time of the version that supersedes `version`: the earliest among all newer
     /// ones.
-    pub fn named_after(&self, model: &ModelName, version: WeightVersion) -> Option<Moment> {
+    pub fn superseded_at(&self, model: &ModelName, version: WeightVersion) -> Option<Moment> {
         let versions = self.announced.get(model)?;
         let newer = versions.iter().filter(|announced| announced.version > version);
-        newer.map(|announced| announced.time.since()).min()
+        newer.map(|announced| announced.time.effective_at()).min()
     }
 
     /// The announcement time of a version, or `None` if it is not known.
-    pub fn named_at(&self, model: &ModelName, version: WeightVersion) -> Option<Moment> {
+    pub fn announced_at(&self, model: &ModelName, version: WeightVersion) -> Option<Moment> {
         let versions = self.announced.get(model)?;
         let announced = versions.iter().find(|announced| announced.version == version);
-        announced.map(|announced| announced.time.since())
+        announced.map(|announced| announced.time.effective_at())
     }
 
     /// The lowest version that a request may start on at `begins`: every version announced at least
     /// `bound` earlier has superseded those before it.
     pub fn floor(&self, begins: Moment, model: &ModelName, bound: Millis) -> Option<WeightVersion> {
         let versions = self.announced.get(model)?;
-        let superseding =
-            versions.iter().rev().find(|announced| begins.since(announced.time.since()) >= bound);
+        let superseding = versions
+            .iter()
+            .rev()
+            .find(|announced| begins.since(announced.time.effective_at()) >= bound);
         superseding.map(|announced| announced.version)
     }
 }
--- a/mustardrill_core/src/entry/event.rs
+++ b/mustardrill_core/src/entry/event.rs
@@ -14,7 +14,7 @@
 use crate::document::{CatalogueDocument, RequestClass};
 use crate::keeper::ClaimKeeper;
 use crate::membership::{InstanceRecord, MemberSettings};
-use crate::quarantine::CrashWord;
+use crate::quarantine::CrashReport;
 use crate::refusal::AttemptRefusal;
 use crate::routing::{RoutingSettings, UpstreamReport};
 
@@ -103,7 +103,7 @@
     /// How many entries these are.
     pub entries: u32,
     /// What the agent heard of requests under which upstreams ended.
-    pub crashes: Vec<CrashWord>,
+    pub crashes: Vec<CrashReport>,
 }
 
 /// Something that an entry does.
@@ -139,7 +139,7 @@
         /// Whether to tell what customers ask for, and to ask for the sum.
         with_demand: bool,
         /// What to tell of requests under which upstreams ended.
-        crashes: Vec<CrashWord>,
+        crashes: Vec<CrashReport>,
     },
 }
 
--- a/mustardrill_core/src/entry/reducer.rs
+++ b/mustardrill_core/src/entry/reducer.rs
@@ -13,7 +13,7 @@
 use crate::agent::WeightsProgress;
 use crate::budget::RetryBudget;
 use crate::claim::ClaimOutcome;
-use crate::crash_board::CrashBoard;
+use crate::crash_report_relay::CrashReportRelay;
 use crate::demand::DemandRow;
 use crate::document::{CatalogueDocument, CatalogueEntry};
 use crate::edit::adopt;
@@ -55,7 +55,7 @@
     round: u64,
     /// Requests under which upstreams ended, and what is passed on of them.
     pub(super) quarantine: QuarantineTable,
-    pub(super) crashes: CrashBoard,
+    pub(super) crashes: CrashReportRelay,
     /// Requests that wait for the verdict on them.
     pub(super) undecided: Vec<RequestId>,
     pub(super) leaving: bool,
@@ -91,7 +91,7 @@
             round: 1,
             // A word goes to an agent with one heartbeat, and on with the next of each entry.
             quarantine: QuarantineTable::new(Millis(settings.sync_every.0 * 5 / 2)),
-            crashes: CrashBoard::default(),
+            crashes: CrashReportRelay::default(),
             undecided: Vec::new(),
             leaving: false,
             random: SmallRng::seed_from_u64(seed),
@@ -404,7 +404,7 @@
             let with_catalogue = view.generation < self.document.generation;
             // More often than once a round there is nothing new to tell.
             let with_demand = std::mem::replace(&mut view.told_round, self.round) != self.round;
-            let crashes = self.crashes.read(now);
+            let crashes = self.crashes.active_reports(now);
             effects.push(EntryEffect::Sync { id, address, with_catalogue, with_demand, crashes });
         }
         effects
--- a/mustardrill_core/src/entry/suspicion.rs
+++ b/mustardrill_core/src/entry/suspicion.rs
@@ -6,7 +6,7 @@
 use crate::entry::event::{EntryEffect, RequestId};
 use crate::entry::reducer::EntryReducer;
 use crate::entry::request::RequestStage;
-use crate::quarantine::{CrashWord, CrashedRun, QUARANTINE_SPAN};
+use crate::quarantine::{CrashReport, CrashedRun, QUARANTINE_SPAN};
 
 impl EntryReducer {
     /// Goes on after an attempt whose upstream ended.
@@ -26,36 +26,36 @@
             sent: state.sent,
             ended: now,
         };
-        self.crashes.hear(now, CrashWord::Crashed(run.clone()));
-        self.quarantine.crashed(now, run);
+        self.crashes.record(now, CrashReport::Crashed(run.clone()));
+        self.quarantine.record_crash(now, run);
         self.hold_suspect(now, id).unwrap_or_else(|| self.lost(now, id, ResultCode::Unknown))
     }
 
     /// Notes that a request was answered whole: it is none that upstreams end under.
     pub(super) fn run_succeeded(&mut self, now: Moment, digest: RequestDigest) {
-        if self.quarantine.succeeded(now, digest, now) {
+        if self.quarantine.record_success(now, digest, now) {
             info!("quarantine digest={digest} outcome=sound");
-            self.crashes.hear(now, CrashWord::Sound(digest, now));
+            self.crashes.record(now, CrashReport::Sound(digest, now));
         }
     }
 
     /// Takes what an agent passes on.
-    pub(super) fn crashes_heard(&mut self, now: Moment, words: Vec<CrashWord>) {
+    pub(super) fn crashes_heard(&mut self, now: Moment, words: Vec<CrashReport>) {
         for word in words {
             match word {
-                CrashWord::Crashed(run) => {
-                    self.quarantine.crashed(now, run);
+                CrashReport::Crashed(run) => {
+                    self.quarantine.record_crash(now, run);
                 }
-                CrashWord::Sound(digest, at) => {
-                    self.crashes.end_term(digest);
-                    if self.quarantine.succeeded(now, digest, at) {
+                CrashReport::Sound(digest, at) => {
+                    self.crashes.remove_quarantine(digest);
+                    if self.quarantine.record_success(now, digest, at) {
                         info!("quarantine digest={digest} outcome=sound source=agent");
                     }
                 }
-                CrashWord::Quarantined(digest, left) => {
-                    if self.quarantine.begin(now, digest, left) {
+                CrashReport::Quarantined(digest, left) => {
+                    if self.quarantine.start(now, digest, left) {
                         info!("quarantine digest={digest} outcome=begun source=agent");
-                        self.crashes.hear(now, CrashWord::Quarantined(digest, left));
+                        self.crashes.record(now, CrashReport::Quarantined(digest, left));
                     }
                 }
             }
@@ -84,7 +84,7 @@
             return Some(refusal);
         }
         let state = self.requests.get_mut(id)?;
-        if !self.quarantine.is_open(now, state.digest) {
+        if !self.quarantine.is_verdict_pending(now, state.digest) {
             return None;
         }
         info!("request={id} decision=hold reason=verdict digest={}", state.digest);
@@ -98,9 +98,9 @@
         if self.quarantine.next_verdict().is_none_or(|due| due > now) {
             return Vec::new();
         }
-        for digest in self.quarantine.verdicts(now) {
+        for digest in self.quarantine.take_verdicts(now) {
             warn!("quarantine digest={digest} outcome=begun");
-            self.crashes.hear(now, CrashWord::Quarantined(digest, QUARANTINE_SPAN));
+            self.crashes.record(now, CrashReport::Quarantined(digest, QUARANTINE_SPAN));
         }
         let undecided = std::mem::take(&mut self.undecided);
         undecided.into_iter().flat_map(|id| self.resume(now, id)).collect()
--- a/mustardrill_core/src/lib.rs
+++ b/mustardrill_core/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod catalogue;
 mod check;
 pub mod claim;
-pub mod crash_board;
+pub mod crash_report_relay;
 pub mod demand;
 pub mod direct;
 pub mod document;
--- a/mustardrill_core/src/quarantine.rs
+++ b/mustardrill_core/src/quarantine.rs
@@ -60,7 +60,7 @@
 
 /// What processes report to each other about requests that were running when upstreams crashed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CrashWord {
+pub enum CrashReport {
     /// An upstream crashed while it ran the request.
     Crashed(CrashedRun),
     /// The request was answered completely at that moment, so no earlier crash counts against it.
@@ -110,7 +110,7 @@
     }
 
     /// Records a run during which the upstream crashed; returns whether it was not known yet.
-    pub fn crashed(&mut self, now: Moment, run: CrashedRun) -> bool {
+    pub fn record_crash(&mut self, now: Moment, run: CrashedRun) -> bool {
         if self.suspects.get(&run.digest).is_some_and(|record| record.contains(&run)) {
             return false;
         }
@@ -132,7 +132,7 @@
 
     /// Records that a request was answered completely at `at`; returns whether any crash or
     /// quarantine counted against it until now.
-    pub fn succeeded(&mut self, now: Moment, digest: RequestDigest, at: Moment) -> bool {
+    pub fn record_success(&mut self, now: Moment, digest: RequestDigest, at: Moment) -> bool {
         let was_quarantined = self.quarantined_until.remove(&digest).is_some();
         let Some(record) = self.suspects.get_mut(&digest) else { return was_quarantined };
         let before = record.runs_since_cleared().count();
@@ -151,14 +151,14 @@
     }
 
     /// Whether a request may be quarantined once all reports on its last crash have arrived.
-    pub fn is_open(&self, now: Moment, digest: RequestDigest) -> bool {
+    pub fn is_verdict_pending(&self, now: Moment, digest: RequestDigest) -> bool {
         let record = self.suspects.get(&digest);
         record.is_some_and(|record| self.settled_at(record) > now && record.is_suspicious())
     }
 
     /// Decides on the suspects if that is due, and returns the requests whose quarantine starts
     /// now.
-    pub fn verdicts(&mut self, now: Moment) -> Vec<RequestDigest> {
+    pub fn take_verdicts(&mut self, now: Moment) -> Vec<RequestDigest> {
         if self.verdicts_due.is_none_or(|due| due > now) {
             return Vec::new();
         }
@@ -171,7 +171,7 @@
         settled.sort_by_cached_key(|digest| (Reverse(self.evidence(*digest)), *digest));
         let mut quarantined = Vec::new();
         for digest in settled {
-            if self.is_cause(now, digest) && self.begin(now, digest, QUARANTINE_SPAN) {
+            if self.is_cause(now, digest) && self.start(now, digest, QUARANTINE_SPAN) {
                 quarantined.push(digest);
             }
         }
@@ -180,7 +180,7 @@
 
     /// Starts a quarantine of length `span`; returns whether the request was not quarantined
     /// already.
-    pub fn begin(&mut self, now: Moment, digest: RequestDigest, span: Millis) -> bool {
+    pub fn start(&mut self, now: Moment, digest: RequestDigest, span: Millis) -> bool {
         if self.remaining(now, digest).is_some() {
             return false;
         }
@@ -201,7 +201,7 @@
     }
 
     /// The number of quarantined requests.
-    pub fn quarantined(&self, now: Moment) -> usize {
+    pub fn quarantined_count(&self, now: Moment) -> usize {
         self.quarantined_until.values().filter(|until| **until > now).count()
     }
 
@@ -212,7 +212,7 @@
     }
 
     /// The number of suspected requests.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
@@ -268,10 +268,10 @@
     }
 }
 
-impl CrashWord {
+impl CrashReport {
     /// Whether both report the same event. Times are ignored, as they differ a little with the path
     /// taken.
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn is_same_event(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Crashed(one), Self::Crashed(other)) => {
                 one.digest == other.digest && one.is_same_crash(other)
--- a/mustardrill_core/src/stock/engine.rs
+++ b/mustardrill_core/src/stock/engine.rs
@@ -3,7 +3,7 @@
 use log::info;
 use mustardrill_types::Moment;
 
-use crate::direct::{EngineWord, NamingTime};
+use crate::direct::{AnnouncementTime, EngineWord};
 use crate::stock::event::{EngineView, StockEffect};
 use crate::stock::reducer::{StockReducer, StockStage, version_of};
 
@@ -53,8 +53,8 @@
         for served in &view.serving {
             let newest = self.versions.newest(&served.model);
             if newest.is_none_or(|newest| newest < served.version) {
-                let time = NamingTime::heard(Moment(0), Moment(0));
-                self.versions.name(&served.model, served.version, time);
+                let time = AnnouncementTime::observed(Moment(0), Moment(0));
+                self.versions.announce(&served.model, served.version, time);
             }
         }
     }
--- a/mustardrill_core/src/stock/order.rs
+++ b/mustardrill_core/src/stock/order.rs
@@ -61,11 +61,11 @@
     /// The turns of engines that serve what this one does.
     fn turn_span(&self, wanted: &VersionId) -> Option<TurnSpan> {
         let served = self.engine.as_ref()?.serving.first()?;
-        let replaced = self.versions.named_after(&wanted.model, served.version);
-        let replaced = replaced.or(self.versions.named_at(&wanted.model, wanted.version))?;
+        let replaced = self.versions.superseded_at(&wanted.model, served.version);
+        let replaced = replaced.or(self.versions.announced_at(&wanted.model, wanted.version))?;
         let span = self.settings.turns.span(replaced);
         // Engines that did not load the version served here have less time left: they go first.
-        let before = self.versions.named_at(&wanted.model, served.version);
+        let before = self.versions.announced_at(&wanted.model, served.version);
         let others_done = before.map(|named| self.settings.turns.done(named));
         Some(others_done.map_or(span, |done| span.from(done.min(span.last))))
     }
--- a/mustardrill_core/src/stock/reducer.rs
+++ b/mustardrill_core/src/stock/reducer.rs
@@ -11,7 +11,8 @@
 use rand::{Rng, SeedableRng};
 
 use crate::direct::{
-    EngineWord, FleetChange, FleetPage, NamingTime, RouteDocument, UpstreamRecord, VersionTable,
+    AnnouncementTime, EngineWord, FleetChange, FleetPage, RouteDocument, UpstreamRecord,
+    VersionTable,
 };
 use crate::manifest::Manifest;
 use crate::relays::RelayTable;
@@ -236,7 +237,7 @@
         model: &ModelName,
         version: WeightVersion,
     ) -> Vec<StockEffect> {
-        if !self.versions.name(model, version, NamingTime::heard(since, since)) {
+        if !self.versions.announce(model, version, AnnouncementTime::observed(since, since)) {
             return Vec::new();
         }
         info!("weights model={model} version={version} outcome=named");
@@ -412,7 +413,7 @@
         let mut transfer = self.settings.transfer.clone();
         transfer.origin_pace = self.origin_pace();
         transfer.drawers = self.origin_drawers();
-        let named = self.versions.named_at(&version.model, version.version);
+        let named = self.versions.announced_at(&version.model, version.version);
         transfer.relays_first = named.is_some_and(|named| named > Moment(0));
         let mut plan = TransferPlan::new(now, own, list, transfer, self.random.random());
         plan.set_peers(&peers);
--- a/mustardrill_core/tests/limits.rs
+++ b/mustardrill_core/tests/limits.rs
@@ -11,7 +11,7 @@
     AgentSync, EntryEffect, EntryEvent, EntryReducer, EntrySettings, IncomingRequest, RequestId,
 };
 use mustardrill_core::membership::{InstanceRecord, MemberSettings};
-use mustardrill_core::quarantine::CrashWord;
+use mustardrill_core::quarantine::CrashReport;
 use mustardrill_core::routing::{RoutingSettings, UpstreamReport};
 use mustardrill_types::{Generation, Millis, Moment, RequestDigest, ResultCode};
 
@@ -64,7 +64,7 @@
     }
 
     /// An agent also passes on what it heard of crashes.
-    fn hear_all(&mut self, asked: u32, heard: u32, crashes: Vec<CrashWord>) {
+    fn hear_all(&mut self, asked: u32, heard: u32, crashes: Vec<CrashReport>) {
         let key = ("comedor".parse().unwrap(), "desk".parse().unwrap());
         let report =
             UpstreamReport { outstanding: 0, capacity: 1_000, serving: vec![], leaving: false };
@@ -165,8 +165,8 @@
         side.hear(0, 0);
         sync.expect("a heartbeat is due")
     };
-    side.hear_all(0, 0, vec![CrashWord::Quarantined(digest, Millis(60_000))]);
-    assert!(matches!(told(&mut side)[..], [CrashWord::Quarantined(..)]));
-    side.hear_all(0, 0, vec![CrashWord::Sound(digest, Moment(side.now))]);
+    side.hear_all(0, 0, vec![CrashReport::Quarantined(digest, Millis(60_000))]);
+    assert!(matches!(told(&mut side)[..], [CrashReport::Quarantined(..)]));
+    side.hear_all(0, 0, vec![CrashReport::Sound(digest, Moment(side.now))]);
     assert_eq!(told(&mut side), []);
 }
--- a/mustardrill_core/tests/naming_doubts.rs
+++ b/mustardrill_core/tests/naming_doubts.rs
@@ -2,9 +2,9 @@
 //! listed.
 
 use mustardrill_core::direct::{
-    AnswerSpan, DirectEffect, DirectEvent, DirectReducer, FleetChange, FleetPage, NamingTime,
-    NamingWord, RepeatRule, RequestNumber, RouteDocument, ServedWeights, ServiceProfile,
-    UpstreamRecord, VersionTable, WorkSize,
+    AnnouncementReport, AnnouncementTime, AnswerSpan, DirectEffect, DirectEvent, DirectReducer,
+    FleetChange, FleetPage, RepeatRule, RequestNumber, RouteDocument, ServedWeights,
+    ServiceProfile, UpstreamRecord, VersionTable, WorkSize,
 };
 use mustardrill_types::{FastMap, Generation, Millis, ModelName, Moment, WeightVersion};
 
@@ -51,8 +51,8 @@
     FleetChange::Peer(common::peer(&"entry-2".parse().unwrap()))
 }
 
-fn announcement_report(version: u64, time: NamingTime) -> NamingWord {
-    NamingWord { model: model(), version: WeightVersion(version), time, slack: Millis(10) }
+fn announcement_report(version: u64, time: AnnouncementTime) -> AnnouncementReport {
+    AnnouncementReport { model: model(), version: WeightVersion(version), time, slack: Millis(10) }
 }
 
 fn entry_at(now: Moment) -> DirectReducer {
@@ -116,10 +116,10 @@
     // What `NamingRow::word` makes of an age of 6.5 s that is received at 320 ms.
     let now = Moment::FIRST + Millis(320);
     let moment_of_age = |age: u64| now - Millis(10) - Millis(age);
-    let time = NamingTime {
+    let time = AnnouncementTime {
         earliest: moment_of_age(6_600),
-        known: now - Millis(6_500),
-        heard: Some(moment_of_age(6_500)),
+        known_at: now - Millis(6_500),
+        observed: Some(moment_of_age(6_500)),
     };
     reducer.reduce(now, DirectEvent::NamingsHeard(vec![announcement_report(2, time)]));
     let late = Moment::FIRST + Millis(1_320);
@@ -189,7 +189,7 @@
     let (sent_at, answered_at) = (resumed + Millis(20), resumed + Millis(30));
     reducer.reduce(answered_at, DirectEvent::Fleet(page(vec![version_announced(2)]), sent_at));
     // A peer found the version in a short call, too: after 250 ms, known at 310 ms.
-    let time = NamingTime::after(START + Millis(250), START + Millis(310));
+    let time = AnnouncementTime::bounded(START + Millis(250), START + Millis(310));
     reducer.reduce(
         answered_at + Millis(20),
         DirectEvent::NamingsHeard(vec![announcement_report(2, time)]),
@@ -208,10 +208,10 @@
 fn a_report_of_a_suspended_entry_makes_a_version_count_from_later() {
     let mut table = VersionTable::default();
     let (known, version) = (START + Millis(310), WeightVersion(2));
-    table.name(&model(), version, NamingTime::after(START + Millis(250), known));
-    let late = NamingTime::after(START + Millis(4_000), START + Millis(4_030));
+    table.announce(&model(), version, AnnouncementTime::bounded(START + Millis(250), known));
+    let late = AnnouncementTime::bounded(START + Millis(4_000), START + Millis(4_030));
     table.refine(&announcement_report(2, late));
-    let since = table.named_at(&model(), version).unwrap();
+    let since = table.announced_at(&model(), version).unwrap();
     assert!(since <= known, "{}", since.since(START));
 }
 
@@ -246,7 +246,7 @@
     let span = AnswerSpan { since: Moment(0), until: back - Millis(10) };
     reducer.reduce(back + Millis(300), DirectEvent::ContactHeard(span));
     // The peer knows the announcement only to within some seconds.
-    let time = NamingTime::after(START, START + Millis(2_000));
+    let time = AnnouncementTime::bounded(START, START + Millis(2_000));
     reducer
         .reduce(back + Millis(300), DirectEvent::NamingsHeard(vec![announcement_report(2, time)]));
     let bound_end = START + Millis(2_000) + bound();
@@ -262,10 +262,14 @@
 #[test]
 fn an_own_observation_is_not_reported_where_a_peer_reported_the_version_first() {
     let mut table = VersionTable::default();
-    let time = NamingTime::heard(START, START + Millis(500));
+    let time = AnnouncementTime::observed(START, START + Millis(500));
     table.refine(&announcement_report(2, time));
-    table.name(&model(), WeightVersion(2), NamingTime::heard(START, START + Millis(510)));
-    assert_eq!(table.words(START).len(), 1);
+    table.announce(
+        &model(),
+        WeightVersion(2),
+        AnnouncementTime::observed(START, START + Millis(510)),
+    );
+    assert_eq!(table.reports(START).len(), 1);
 }
 
 /// Between two announcements no version is demanded of the engine, so only its answer shows which
@@ -296,7 +300,7 @@
 #[test]
 fn a_quarantined_request_is_sent_to_another_engine_after_its_withdrawal() {
     use mustardrill_core::direct::AttemptOutcome;
-    use mustardrill_core::quarantine::CrashWord;
+    use mustardrill_core::quarantine::CrashReport;
     use mustardrill_types::RequestDigest;
     let is_sent_after = |outcome: AttemptOutcome| {
         let mut reducer = entry_at(START);
@@ -307,7 +311,7 @@
         reducer.reduce(begin_by, DirectEvent::Fleet(page(vec![engine(2)]), begin_by));
         let content = RequestDigest::of(&[b"/x"]).0.to_be_bytes();
         let digest = RequestDigest::of(&[b"drafts.example", b"", &content]);
-        let report = CrashWord::Quarantined(digest, Millis(10_000));
+        let report = CrashReport::Quarantined(digest, Millis(10_000));
         reducer.reduce(begin_by, DirectEvent::CrashHeard(report));
         let effects = reducer.reduce(begin_by, DirectEvent::Ended(RequestNumber(1), outcome));
         effects.iter().any(|effect| matches!(effect, DirectEffect::Send(..)))
--- a/mustardrill_core/tests/quarantine.rs
+++ b/mustardrill_core/tests/quarantine.rs
@@ -1,11 +1,11 @@
 //! Which requests are quarantined because upstreams crash under them, and which are merely present.
 
-use mustardrill_core::crash_board::CrashBoard;
+use mustardrill_core::crash_report_relay::CrashReportRelay;
 use mustardrill_core::direct::{
     AttemptOutcome, DirectEffect, DirectEvent, DirectReducer, DirectRequest, FleetPage,
     RequestNumber,
 };
-use mustardrill_core::quarantine::{CrashWord, CrashedRun, QUARANTINE_SPAN, QuarantineTable};
+use mustardrill_core::quarantine::{CrashReport, CrashedRun, QUARANTINE_SPAN, QuarantineTable};
 use mustardrill_types::{
     FastMap, FastSet, Millis, Moment, RequestDigest, ResultCode, StartStamp, StoreRevision,
 };
@@ -50,8 +50,8 @@
     let mut reducer = entry(2);
     arrive(&mut reducer, START, 1, path);
     end_attempt(&mut reducer, START, 1, AttemptOutcome::Lost { delivered: false, crashed: true });
-    let mut reports = reducer.crash_words(START);
-    let Some(CrashWord::Crashed(run)) = reports.pop() else { panic!("the crash is reported") };
+    let mut reports = reducer.due_crash_reports(START);
+    let Some(CrashReport::Crashed(run)) = reports.pop() else { panic!("the crash is reported") };
     run.digest
 }
 
@@ -70,7 +70,7 @@
         sent,
         ended: now,
     };
-    reducer.reduce(now, DirectEvent::CrashHeard(CrashWord::Crashed(run)));
+    reducer.reduce(now, DirectEvent::CrashHeard(CrashReport::Crashed(run)));
 }
 
 /// Whether a request that arrives now is sent to an upstream, and not refused as quarantined.
@@ -174,7 +174,7 @@
         }
     }
     assert!(!waiting.is_empty());
-    let report = CrashWord::Quarantined(digest_of("/cause"), Millis(60_000));
+    let report = CrashReport::Quarantined(digest_of("/cause"), Millis(60_000));
     let received_at = START + Millis(10);
     let effects = reducer.reduce(received_at, DirectEvent::CrashHeard(report));
     let refused: Vec<_> = effects
@@ -207,11 +207,11 @@
     }
     now = now + SETTLED;
     assert!(!is_sent_to_upstream(&mut reducer, now, 10, "/sound"));
-    let is_verdict = |report: &CrashWord| matches!(report, CrashWord::Quarantined(..));
-    assert!(reducer.crash_words(now).iter().any(is_verdict));
-    let sound = CrashWord::Sound(digest_of("/sound"), now);
+    let is_verdict = |report: &CrashReport| matches!(report, CrashReport::Quarantined(..));
+    assert!(reducer.due_crash_reports(now).iter().any(is_verdict));
+    let sound = CrashReport::Sound(digest_of("/sound"), now);
     reducer.reduce(now + Millis(10), DirectEvent::CrashHeard(sound));
-    let later = reducer.crash_words(now + Millis(5_000));
+    let later = reducer.due_crash_reports(now + Millis(5_000));
     assert!(!later.iter().any(is_verdict), "{later:?}");
     assert!(is_sent_to_upstream(&mut reducer, now + Millis(5_000), 11, "/sound"));
 }
@@ -234,9 +234,9 @@
     for turn in 0..5 {
         let (sent, ended) = (turn * 400, turn * 400 + 100);
         let now = START + Millis(ended);
-        table.crashed(now, crashed_run("/one", turn as usize, sent, ended));
-        table.crashed(now, crashed_run("/other", turn as usize, sent, ended));
-        begun = table.verdicts(now + SETTLED);
+        table.record_crash(now, crashed_run("/one", turn as usize, sent, ended));
+        table.record_crash(now, crashed_run("/other", turn as usize, sent, ended));
+        begun = table.take_verdicts(now + SETTLED);
         assert_eq!(begun.is_empty(), turn < 4, "turn {turn}");
     }
     assert!(!begun.is_empty());
@@ -247,29 +247,29 @@
     let mut table = QuarantineTable::new(SETTLED);
     for turn in 0..3 {
         let ended = turn * 400 + 100;
-        table.crashed(
+        table.record_crash(
             START + Millis(ended),
             crashed_run("/cause", turn as usize, turn * 400, ended),
         );
     }
     let digest = RequestDigest::of(&[b"/cause"]);
     let begun = START + Millis(900) + SETTLED;
-    assert_eq!(table.verdicts(begun), [digest]);
+    assert_eq!(table.take_verdicts(begun), [digest]);
     assert_eq!(table.remaining(begun, digest), Some(QUARANTINE_SPAN));
     let trial = begun + QUARANTINE_SPAN;
     assert_eq!(table.remaining(trial, digest), None);
     let sent = trial.since(START).0;
-    table.crashed(trial + Millis(100), crashed_run("/cause", 7, sent, sent + 100));
-    assert_eq!(table.verdicts(trial + Millis(100) + SETTLED), [digest]);
+    table.record_crash(trial + Millis(100), crashed_run("/cause", 7, sent, sent + 100));
+    assert_eq!(table.take_verdicts(trial + Millis(100) + SETTLED), [digest]);
 }
 
 #[test]
 fn an_answer_ends_a_quarantine() {
     let mut table = QuarantineTable::new(SETTLED);
     let digest = RequestDigest::of(&[b"/sound"]);
-    assert!(table.begin(START, digest, QUARANTINE_SPAN));
+    assert!(table.start(START, digest, QUARANTINE_SPAN));
     let answered = START + Millis(10);
-    assert!(table.succeeded(answered, digest, answered));
+    assert!(table.record_success(answered, digest, answered));
     assert_eq!(table.remaining(START + Millis(10), digest), None);
 }
 
@@ -279,29 +279,29 @@
     let mut table = QuarantineTable::new(SETTLED);
     for number in 0..20_000u64 {
         let run = crashed_run(&format!("/{number}"), number as usize, number, number + 1);
-        table.crashed(START + Millis(number + 1), run);
+        table.record_crash(START + Millis(number + 1), run);
     }
-    assert!(table.suspects() <= 1_024, "{}", table.suspects());
+    assert!(table.suspect_count() <= 1_024, "{}", table.suspect_count());
 }
 
 /// A restarted agent has received nothing; entries send it their reports again with each heartbeat.
 #[test]
 fn an_agent_relays_reports_for_some_heartbeats_and_quarantines_until_they_end() {
-    let mut board = CrashBoard::default();
+    let mut relay = CrashReportRelay::default();
     let run = crashed_run("/cause", 1, 0, 100);
-    let quarantine = CrashWord::Quarantined(run.digest, Millis(60_000));
-    board.hear(START, CrashWord::Crashed(run.clone()));
-    board.hear(START + Millis(500), CrashWord::Crashed(run.clone()));
-    board.hear(START, quarantine);
-    assert_eq!(board.read(START + Millis(500)).len(), 2);
+    let quarantine = CrashReport::Quarantined(run.digest, Millis(60_000));
+    relay.record(START, CrashReport::Crashed(run.clone()));
+    relay.record(START + Millis(500), CrashReport::Crashed(run.clone()));
+    relay.record(START, quarantine);
+    assert_eq!(relay.active_reports(START + Millis(500)).len(), 2);
     let late = START + Millis(40_000);
-    assert_eq!(board.read(late), [CrashWord::Quarantined(run.digest, Millis(20_000))]);
-    board.hear(late, CrashWord::Sound(run.digest, late));
-    assert_eq!(board.read(late), [CrashWord::Sound(run.digest, late)]);
+    assert_eq!(relay.active_reports(late), [CrashReport::Quarantined(run.digest, Millis(20_000))]);
+    relay.record(late, CrashReport::Sound(run.digest, late));
+    assert_eq!(relay.active_reports(late), [CrashReport::Sound(run.digest, late)]);
     for number in 0..5_000 {
-        board.hear(late, CrashWord::Crashed(crashed_run(&number.to_string(), number, 0, 1)));
+        relay.record(late, CrashReport::Crashed(crashed_run(&number.to_string(), number, 0, 1)));
     }
-    assert!(board.read(late).len() <= 512);
+    assert!(relay.active_reports(late).len() <= 512);
 }
 
 /// The number of crashes until `entries` that report to each other, over links that lose half of
@@ -326,7 +326,7 @@
             }
         }
         let due_reports: Vec<_> =
-            fleet.iter_mut().map(|it| it.crash_words(now + Millis(6))).collect();
+            fleet.iter_mut().map(|it| it.due_crash_reports(now + Millis(6))).collect();
         for (from, reports) in
             due_reports.into_iter().enumerate().filter(|(_, reports)| !reports.is_empty())
         {
@@ -380,9 +380,9 @@
         let verdicts = |runs: Vec<CrashedRun>| {
             let mut table = QuarantineTable::new(SETTLED);
             runs.into_iter().for_each(|run| {
-                table.crashed(now, run);
+                table.record_crash(now, run);
             });
-            let mut begun = table.verdicts(now + SETTLED);
+            let mut begun = table.take_verdicts(now + SETTLED);
             begun.sort_unstable();
             begun
         };
--- a/mustardrill_core/tests/versions.rs
+++ b/mustardrill_core/tests/versions.rs
@@ -1,10 +1,10 @@
 //! How long an entry starts requests on superseded weights.
 
 use mustardrill_core::direct::{
-    AnswerSpan, AttemptOutcome, DirectEffect, DirectEvent, DirectReducer, DirectRequest,
-    EngineForecast, EngineWord, FleetChange, FleetPage, LoadNews, NamingTime, NamingWord, PeerLoad,
-    RepeatRule, RequestNumber, RouteDocument, ServedWeights, ServiceProfile, UpstreamLoad,
-    UpstreamRecord, VersionTable, WorkSize,
+    AnnouncementReport, AnnouncementTime, AnswerSpan, AttemptOutcome, DirectEffect, DirectEvent,
+    DirectReducer, DirectRequest, EngineForecast, EngineWord, FleetChange, FleetPage, LoadNews,
+    PeerLoad, RepeatRule, RequestNumber, RouteDocument, ServedWeights, ServiceProfile,
+    UpstreamLoad, UpstreamRecord, VersionTable, WorkSize,
 };
 use mustardrill_types::{FastMap, Generation, Millis, Moment, ResultCode, WeightVersion};
 use proptest::prelude::*;
@@ -239,7 +239,8 @@
     let now = START + Millis(8_000);
     reducer.reduce(now, DirectEvent::Fleet(page(Vec::new()), now));
     assert!(is_sent(&mut reducer, 1, now));
-    let reports = vec![announcement_report(2, NamingTime::heard(START, START + Millis(500)))];
+    let reports =
+        vec![announcement_report(2, AnnouncementTime::observed(START, START + Millis(500)))];
     assert!(is_withdrawn(&reducer.reduce(now, DirectEvent::NamingsHeard(reports))));
 }
 
@@ -255,9 +256,9 @@
     (reducer, back)
 }
 
-fn announcement_report(version: u64, time: NamingTime) -> NamingWord {
+fn announcement_report(version: u64, time: AnnouncementTime) -> AnnouncementReport {
     let (model, version) = ("m".parse().unwrap(), WeightVersion(version));
-    NamingWord { model, version, time, slack: Millis(10) }
+    AnnouncementReport { model, version, time, slack: Millis(10) }
 }
 
 /// The first moment at which nothing is sent to the first version any more.
@@ -276,8 +277,8 @@
 fn a_version_announced_and_superseded_during_an_outage_is_missed() {
     let (mut reducer, back) = entry_back_from_outage();
     let second = START + Millis(2_000);
-    let time = NamingTime::heard(START + Millis(1_500), second);
-    let third = NamingTime::heard(second, START + Millis(5_000));
+    let time = AnnouncementTime::observed(START + Millis(1_500), second);
+    let third = AnnouncementTime::observed(second, START + Millis(5_000));
     let reports = vec![announcement_report(2, time), announcement_report(3, third)];
     reducer.reduce(back + Millis(20), DirectEvent::NamingsHeard(reports));
     let dropped_at = superseded_from(reducer);
@@ -306,14 +307,14 @@
     let resumed = START + Millis(4_000);
     reducer.reduce(resumed, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
     let announced_at = START + Millis(300);
-    let reports = vec![announcement_report(2, NamingTime::heard(START, announced_at))];
+    let reports = vec![announcement_report(2, AnnouncementTime::observed(START, announced_at))];
     reducer.reduce(resumed + Millis(20), DirectEvent::NamingsHeard(reports));
     let dropped_at = superseded_from(reducer);
     assert!(dropped_at <= announced_at + common::direct_settings().version_bound, "{dropped_at}");
     // The same with a report from a peer that did not observe the announcement.
     let mut reducer = entry_before_announcement();
     reducer.reduce(resumed, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
-    let reports = vec![announcement_report(2, NamingTime::after(START, announced_at))];
+    let reports = vec![announcement_report(2, AnnouncementTime::bounded(START, announced_at))];
     reducer.reduce(resumed + Millis(20), DirectEvent::NamingsHeard(reports));
     assert!(superseded_from(reducer) <= announced_at + common::direct_settings().version_bound);
 }
@@ -323,16 +324,20 @@
 fn repeated_reports_of_one_announcement_accumulate_their_delays() {
     let mut table = VersionTable::default();
     let model = "m".parse().unwrap();
-    table.name(&model, WeightVersion(2), NamingTime::heard(START, START + Millis(500)));
+    table.announce(
+        &model,
+        WeightVersion(2),
+        AnnouncementTime::observed(START, START + Millis(500)),
+    );
     for _ in 0..100 {
-        let mut reports = table.words(START);
+        let mut reports = table.reports(START);
         for report in &mut reports {
             report.slack = Millis(10);
-            report.time.heard = report.time.heard.map(|heard| heard - report.slack);
+            report.time.observed = report.time.observed.map(|observed| observed - report.slack);
         }
         reports.iter().for_each(|report| assert!(!table.refine(report)));
     }
-    assert_eq!(table.named_at(&model, WeightVersion(2)), Some(START + Millis(500)));
+    assert_eq!(table.announced_at(&model, WeightVersion(2)), Some(START + Millis(500)));
 }
 
 /// The engine may have restarted with the first version, and between two announcements no minimum
--- a/mustardrill_entry/src/direct/actor.rs
+++ b/mustardrill_entry/src/direct/actor.rs
@@ -7,11 +7,11 @@
 use cadence::{Gauged, StatsdClient};
 use kameo::prelude::*;
 use mustardrill_core::direct::{
-    AnswerSpan, CallerLimits, DirectEffect, DirectEvent, DirectReducer, DirectRequest, FleetChange,
-    FleetPage, LoadRows, NamingWord, OriginProfile, PeerRecord, RefusalPlan, RequestNumber,
-    SendPlan, StatusRow, WaitRows,
+    AnnouncementReport, AnswerSpan, CallerLimits, DirectEffect, DirectEvent, DirectReducer,
+    DirectRequest, FleetChange, FleetPage, LoadRows, OriginProfile, PeerRecord, RefusalPlan,
+    RequestNumber, SendPlan, StatusRow, WaitRows,
 };
-use mustardrill_core::quarantine::CrashWord;
+use mustardrill_core::quarantine::CrashReport;
 use mustardrill_runtime::border::{CallDialect, ChunkOrigin, FleetSource};
 use mustardrill_runtime::clock::ProcessClock;
 use mustardrill_runtime::exposition::{MetricHandler, MetricPage};
@@ -111,7 +111,7 @@
     pub(crate) peers: Vec<PeerRecord>,
     pub(crate) outstanding: LoadRows,
     pub(crate) waiting: WaitRows,
-    pub(crate) crash_words: Vec<CrashWord>,
+    pub(crate) crash_words: Vec<CrashReport>,
     pub(crate) doubts: Option<Millis>,
 }
 
@@ -123,7 +123,7 @@
 pub(crate) struct ContactReply {
     pub(crate) answer_span: Option<AnswerSpan>,
     pub(crate) generation: Generation,
-    pub(crate) namings: Vec<NamingWord>,
+    pub(crate) namings: Vec<AnnouncementReport>,
 }
 
 /// Asks for what is needed to hand weights on.
@@ -232,7 +232,7 @@
             peers: self.reducer.peers().to_vec(),
             outstanding: self.reducer.outstanding(),
             waiting: self.reducer.waiting(),
-            crash_words: self.reducer.crash_words(self.context.clock.now()),
+            crash_words: self.reducer.due_crash_reports(self.context.clock.now()),
             doubts: self.reducer.doubts(self.context.clock.now()),
         }
     }
--- a/mustardrill_entry/src/effects.rs
+++ b/mustardrill_entry/src/effects.rs
@@ -10,7 +10,7 @@
 use mustardrill_core::document::CatalogueDocument;
 use mustardrill_core::entry::{AgentSync, AttemptEnd, ClaimOrder, EntryEvent, SendOrder};
 use mustardrill_core::keeper::ClaimKeeper;
-use mustardrill_core::quarantine::CrashWord;
+use mustardrill_core::quarantine::CrashReport;
 use mustardrill_core::routing::UpstreamReport;
 use mustardrill_proto as proto;
 use mustardrill_runtime::wire::{
@@ -117,7 +117,7 @@
     /// What customers asked for, where it is to be told.
     pub(crate) demand: Option<Vec<DemandRow>>,
     /// What to tell of requests under which upstreams ended.
-    pub(crate) crashes: Vec<CrashWord>,
+    pub(crate) crashes: Vec<CrashReport>,
 }
 
 /// Sends a heartbeat.
--- a/mustardrill_runtime/src/datagram.rs
+++ b/mustardrill_runtime/src/datagram.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use mustardrill_core::direct::{AnswerSpan, EngineWord, NamingTime, NamingWord};
+use mustardrill_core::direct::{AnnouncementReport, AnnouncementTime, AnswerSpan, EngineWord};
 use mustardrill_proto::CrashRow;
 use mustardrill_types::{Generation, InstanceId, Millis, ModelName, Moment, WeightVersion};
 use prost::Message;
@@ -198,15 +198,15 @@
     }
 
     /// The same with what is told at `now` of versions.
-    pub fn with_namings(self, now: Moment, mut words: Vec<NamingWord>) -> Self {
-        words.sort_by_key(|word| std::cmp::Reverse(word.time.since()));
+    pub fn with_namings(self, now: Moment, mut words: Vec<AnnouncementReport>) -> Self {
+        words.sort_by_key(|word| std::cmp::Reverse(word.time.effective_at()));
         let rows = words.iter().take(NAMINGS_LIMIT).map(|word| NamingRow::new(now, word));
         Self { namings: rows.collect(), ..self }
     }
 
     /// The namings on the clock of the process that asked and hears them at `now`; nothing where the
     /// answer took too long.
-    pub fn namings(&self, now: Moment) -> Vec<NamingWord> {
+    pub fn namings(&self, now: Moment) -> Vec<AnnouncementReport> {
         let took = now.since(Moment(self.asked));
         if took > ANSWER_LIMIT {
             return Vec::new();
@@ -229,7 +229,7 @@
 
 impl NamingRow {
     /// What is told of a version at `now`.
-    fn new(now: Moment, word: &NamingWord) -> Self {
+    fn new(now: Moment, word: &AnnouncementReport) -> Self {
         Self {
             model: word.model.to_string(),
             version: word.version.0,
@@ -238,21 +238,21 @@
                 Moment(0) => u64::MAX,
                 earliest => now.since(earliest).0,
             },
-            known_ms: now.since(word.time.known).0,
-            heard_ms: word.time.heard.map(|heard| now.since(heard).0),
+            known_ms: now.since(word.time.known_at).0,
+            heard_ms: word.time.observed.map(|heard| now.since(heard).0),
         }
     }
 
     /// The word as it is heard at `now`, `took` after it was asked for.
-    fn word(&self, now: Moment, took: Millis) -> Option<NamingWord> {
+    fn word(&self, now: Moment, took: Millis) -> Option<AnnouncementReport> {
         // It was sent some time since the asking: what is told may be older by that.
         let age = |told: u64| now - took - Millis(told);
-        let time = NamingTime {
+        let time = AnnouncementTime {
             earliest: age(self.earliest_ms),
-            known: now - Millis(self.known_ms),
-            heard: self.heard_ms.map(age),
+            known_at: now - Millis(self.known_ms),
+            observed: self.heard_ms.map(age),
         };
-        Some(NamingWord {
+        Some(AnnouncementReport {
             model: self.model.parse().ok()?,
             version: WeightVersion(self.version),
             time,
--- a/mustardrill_runtime/src/wire.rs
+++ b/mustardrill_runtime/src/wire.rs
@@ -4,7 +4,7 @@
 use mustardrill_core::claim::ClaimOutcome;
 use mustardrill_core::demand::DemandRow;
 use mustardrill_core::document::CatalogueDocument;
-use mustardrill_core::quarantine::{CrashWord, CrashedRun, QUARANTINE_SPAN};
+use mustardrill_core::quarantine::{CrashReport, CrashedRun, QUARANTINE_SPAN};
 use mustardrill_proto as proto;
 use mustardrill_types::{
     AttemptId, ManifestDigest, Millis, Moment, RequestDigest, RequestKey, StartStamp,
@@ -44,40 +44,40 @@
 }
 
 /// A word on a crash as a message, told at `now`.
-pub fn crash_message(now: Moment, word: &CrashWord) -> proto::CrashRow {
+pub fn crash_message(now: Moment, word: &CrashReport) -> proto::CrashRow {
     let row = |kind: proto::CrashKind, digest: RequestDigest| proto::CrashRow {
         kind: kind as i32,
         digest: Bytes::copy_from_slice(&digest.0.to_be_bytes()),
         ..proto::CrashRow::default()
     };
     match word {
-        CrashWord::Crashed(run) => proto::CrashRow {
+        CrashReport::Crashed(run) => proto::CrashRow {
             upstream: run.upstream.to_string(),
             start: run.start.0,
             sent_ago_ms: now.since(run.sent).0,
             ended_ago_ms: now.since(run.ended).0,
             ..row(proto::CrashKind::Crashed, run.digest)
         },
-        CrashWord::Sound(digest, at) => proto::CrashRow {
+        CrashReport::Sound(digest, at) => proto::CrashRow {
             ended_ago_ms: now.since(*at).0,
             ..row(proto::CrashKind::Sound, *digest)
         },
-        CrashWord::Quarantined(digest, left) => {
+        CrashReport::Quarantined(digest, left) => {
             proto::CrashRow { left_ms: left.0, ..row(proto::CrashKind::Quarantined, *digest) }
         }
     }
 }
 
 /// A message, heard at `now`, as a word on a crash; nothing where it is malformed.
-pub fn crash_word(now: Moment, row: &proto::CrashRow) -> Option<CrashWord> {
+pub fn crash_word(now: Moment, row: &proto::CrashRow) -> Option<CrashReport> {
     let digest = RequestDigest(u128::from_be_bytes(row.digest.as_ref().try_into().ok()?));
     let ended = now - Millis(row.ended_ago_ms);
     Some(match proto::CrashKind::try_from(row.kind).ok()? {
-        proto::CrashKind::Sound => CrashWord::Sound(digest, ended),
+        proto::CrashKind::Sound => CrashReport::Sound(digest, ended),
         proto::CrashKind::Quarantined => {
-            CrashWord::Quarantined(digest, Millis(row.left_ms).min(QUARANTINE_SPAN))
+            CrashReport::Quarantined(digest, Millis(row.left_ms).min(QUARANTINE_SPAN))
         }
-        proto::CrashKind::Crashed => CrashWord::Crashed(CrashedRun {
+        proto::CrashKind::Crashed => CrashReport::Crashed(CrashedRun {
             digest,
             upstream: row.upstream.parse().ok()?,
             start: StartStamp(row.start),
--- a/mustardrill_runtime/tests/naming_rows.rs
+++ b/mustardrill_runtime/tests/naming_rows.rs
@@ -1,6 +1,6 @@
 //! What an entry that has just started tells of versions, as another entry takes it.
 
-use mustardrill_core::direct::{AnswerSpan, NamingTime, VersionTable};
+use mustardrill_core::direct::{AnnouncementTime, AnswerSpan, VersionTable};
 use mustardrill_runtime::datagram::ContactRow;
 use mustardrill_types::{Generation, Millis, ModelName, Moment, WeightVersion};
 
@@ -11,16 +11,16 @@
     let (model, version): (ModelName, _) = ("m".parse().unwrap(), WeightVersion(2));
     let (cut_off_at, back_at) = (Moment(100_000), Moment(107_000));
     let mut cut_off = VersionTable::default();
-    cut_off.name(&model, version, NamingTime::after(cut_off_at, back_at));
+    cut_off.announce(&model, version, AnnouncementTime::bounded(cut_off_at, back_at));
     // Its clock began 5 s after the cut, and now stands at 2 s.
     let mut started = VersionTable::default();
-    started.name(&model, version, NamingTime::after(Moment(0), Moment(100)));
+    started.announce(&model, version, AnnouncementTime::bounded(Moment(0), Moment(100)));
     let told_at = Moment(2_000);
-    let words = started.words(told_at - Millis(24_000));
+    let words = started.reports(told_at - Millis(24_000));
     let span = AnswerSpan { since: Moment(100), until: Moment(1_900) };
     let row = ContactRow::new(told_at, span, Generation(1), back_at.0);
     for word in row.with_namings(told_at, words).namings(back_at + Millis(1)) {
         cut_off.refine(&word);
     }
-    assert_eq!(cut_off.named_at(&model, version), Some(cut_off_at));
+    assert_eq!(cut_off.announced_at(&model, version), Some(cut_off_at));
 }
--- a/mustardrill_standins/src/experiment/play.rs
+++ b/mustardrill_standins/src/experiment/play.rs
@@ -7,7 +7,7 @@
     AttemptOutcome, DirectEffect, DirectEvent, DirectReducer, DirectSettings, FleetChange,
     FleetPage, LoadTeller, PeerLoad, RequestNumber, SendPlan,
 };
-use mustardrill_core::quarantine::CrashWord;
+use mustardrill_core::quarantine::CrashReport;
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment, StoreRevision, WeightVersion};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -50,7 +50,7 @@
     Told { id: RunId, news: AttemptNews },
     Looks { entry: usize },
     Heard { entry: usize, load: PeerLoad },
-    CrashHeard { entry: usize, word: CrashWord },
+    CrashHeard { entry: usize, word: CrashReport },
     Wakes { entry: usize },
     Begins { place: usize },
     Ends { place: usize },
@@ -348,7 +348,7 @@
         let state = &mut self.entries[entry];
         let (outstanding, waiting) = (state.reducer.outstanding(), state.reducer.waiting());
         let news = state.teller.next(now, outstanding, waiting);
-        let words = state.reducer.crash_words(now);
+        let words = state.reducer.due_crash_reports(now);
         for other in (0..self.entries.len()).filter(|other| *other != entry) {
             if let Some(news) = news.clone().filter(|_| self.arrives()) {
                 let load = PeerLoad { from: entry_id(entry), news };
