--- a/mustardrill_core/src/direct/mod.rs
+++ b/mustardrill_core/src/direct/mod.rs
@@ -10,8 +10,8 @@
 mod fleet;
 mod placing;
 mod reducer;
-mod repeats;
 mod request;
+mod retries;
 mod route;
 mod store;
 mod versions;
@@ -25,7 +25,7 @@
 pub use fleet::update::{FleetChange, FleetUpdate, PeerRecord, ServedWeights, UpstreamRecord};
 pub use placing::forecast::{EngineForecast, WorkSize};
 pub use reducer::DirectReducer;
-pub use repeats::spending::{RetryShare, RetryWindow};
+pub use retries::retry_budget::{RetryShare, RetryWindow};
 pub use route::{
     CallerLimits, CustomerRecord, EngineProfile, ModelProfile, OriginProfile, RepeatRule,
     RouteDocument, RouteRule, ServiceProfile,
@@ -36,5 +36,5 @@
 pub use store::freshness::{FreshnessClock, confirmation_time};
 pub use store::reader::{ReadOutcome, StoreReader};
 pub use store::watch_timing::WatchTiming;
-pub use versions::table::{NamingTime, NamingWord, VersionTable};
+pub use versions::table::{AnnouncementReport, AnnouncementTime, VersionTable};
 pub use waiting::queue::{WaitQueue, WaitRank};
--- /dev/null
+++ b/mustardrill_core/src/direct/retries/crash_broadcast.rs
@@ -0,0 +1,68 @@
+//! Schedules the reports that entries broadcast about requests that were running when upstreams
+//! crashed.
+//!
+//! A link may lose part of what is sent, or an entry may be cut off for a second. A lost report
+//! costs an engine, and each broadcast costs a datagram per entry, so each report is sent a few
+//! times with growing intervals.
+
+use std::collections::VecDeque;
+
+use mustardrill_types::{Millis, Moment, RequestDigest};
+
+use crate::quarantine::CrashReport;
+
+/// When a report is sent, counted from the event.
+const BROADCAST_DELAYS: [Millis; 5] =
+    [Millis(0), Millis(60), Millis(250), Millis(1_000), Millis(3_000)];
+
+/// Reports that wait to be sent again. Beyond this limit the one added first is dropped.
+const PENDING_REPORTS_LIMIT: usize = 1_024;
+
+/// The reports that still have to be broadcast.
+#[derive(Debug, Default)]
+pub(crate) struct CrashBroadcaster {
+    pending: VecDeque<PendingReport>,
+}
+
+#[derive(Debug)]
+struct PendingReport {
+    report: CrashReport,
+    since: Moment,
+    round: usize,
+}
+
+impl CrashBroadcaster {
+    /// Adds a report to be broadcast from `now` on.
+    pub(crate) fn push(&mut self, now: Moment, report: CrashReport) {
+        if self.pending.len() >= PENDING_REPORTS_LIMIT {
+            self.pending.pop_front();
+        }
+        self.pending.push_back(PendingReport { report, since: now, round: 0 });
+    }
+
+    /// Stops broadcasting a quarantine that has been lifted.
+    pub(crate) fn withdraw_quarantine(&mut self, digest: RequestDigest) {
+        self.pending.retain(
+            |pending| !matches!(pending.report, CrashReport::Quarantined(reported, _) if reported == digest),
+        );
+    }
+
+    /// Whether this entry is still broadcasting a crash that it observed under a request.
+    pub(crate) fn is_broadcasting_crash(&self, digest: RequestDigest) -> bool {
+        let mut reports = self.pending.iter().map(|pending| &pending.report);
+        reports.any(|report| matches!(report, CrashReport::Crashed(run) if run.digest == digest))
+    }
+
+    /// Takes the reports that are due at `now`.
+    pub(crate) fn due(&mut self, now: Moment) -> Vec<CrashReport> {
+        let mut due = Vec::new();
+        for pending in &mut self.pending {
+            if pending.since + BROADCAST_DELAYS[pending.round] <= now {
+                pending.round += 1;
+                due.push(pending.report.clone());
+            }
+        }
+        self.pending.retain(|pending| pending.round < BROADCAST_DELAYS.len());
+        due
+    }
+}
--- a/mustardrill_core/src/direct/store/fleet_updates.rs
+++ b/mustardrill_core/src/direct/store/fleet_updates.rs
@@ -10,7 +10,7 @@
 use crate::direct::fleet::upstream::ExpiryCause;
 use crate::direct::reducer::DirectReducer;
 use crate::direct::store::freshness::{FreshnessClock, earliest_restore_time};
-use crate::direct::versions::table::NamingTime;
+use crate::direct::versions::table::AnnouncementTime;
 
 impl DirectReducer {
     /// Applies an update from the store. `sent` is when the call was sent, or a later moment for which
@@ -27,7 +27,7 @@
         let is_first_read = self.proof.last_confirmed().is_none();
         self.revision = update.revision;
         self.era = update.era;
-        let time = self.naming_time(now, sent, was_unavailable);
+        let time = self.announcement_time(now, sent, was_unavailable);
         self.read_at = now;
         if update.is_snapshot {
             self.expire_missing(now, &update, is_restored);
@@ -46,7 +46,7 @@
         self.proof.confirm(sent);
         self.confirm_config(sent);
         self.remove_unreturned(now);
-        self.settle_namings(now);
+        self.settle_announcements(now);
         effects.extend(self.pump_all(now));
         if !self.word.is_awaited(now) {
             effects.extend(self.release_all_held(now));
@@ -94,7 +94,7 @@
     fn apply_changes(
         &mut self,
         now: Moment,
-        time: NamingTime,
+        time: AnnouncementTime,
         changes: Vec<FleetChange>,
         is_snapshot: bool,
     ) -> Vec<DirectEffect> {
@@ -105,7 +105,7 @@
                 effects.push(DirectEffect::TellAgents(model.clone(), *version, machines));
             }
             if let FleetChange::Quarantined(digest) = &change {
-                effects.extend(self.quarantine_seen(now, *digest));
+                effects.extend(self.apply_stored_quarantine(now, *digest));
             }
             self.apply_change(now, time, change);
         }
@@ -116,7 +116,7 @@
     fn apply_older_copy(
         &mut self,
         now: Moment,
-        time: NamingTime,
+        time: AnnouncementTime,
         changes: Vec<FleetChange>,
     ) -> Vec<DirectEffect> {
         for change in changes {
@@ -130,7 +130,7 @@
                 other => self.apply_change(now, time, other),
             }
         }
-        self.keep_quarantines_again(now)
+        self.rewrite_quarantines(now)
     }
 
     /// Whether the configuration names an upstream's service; true as long as there is none.
@@ -209,7 +209,7 @@
         self.upstreams.peer_loads.remove_peer(id);
     }
 
-    fn apply_change(&mut self, now: Moment, time: NamingTime, change: FleetChange) {
+    fn apply_change(&mut self, now: Moment, time: AnnouncementTime, change: FleetChange) {
         match change {
             FleetChange::Configured(document) => {
                 let current = self.document.as_ref().map(|document| document.generation);
@@ -238,7 +238,7 @@
                 );
             }
             FleetChange::VersionAnnounced(model, version) => {
-                self.version_named(now, &model, version, time);
+                self.record_announcement(now, &model, version, time);
             }
             // Handled in `apply_changes`, which collects the effects.
             FleetChange::Quarantined(_) => {}
