--- a/mustardrill_core/src/admission.rs
+++ b/mustardrill_core/src/admission.rs
@@ -1,7 +1,9 @@
-//! The queue before one upstream: classes in order, bounded starvation, bounded predicted wait.
+//! Admission control and priority queue in front of one upstream.
 //!
-//! Starts of lower classes are spread in time, so that slots free up one by one and a request of
-//! a higher class finds the next one soon. Without that, runs that began together end together.
+//! Requests run in the order of their class, without starving lower classes, and are refused where
+//! the predicted wait goes beyond their deadline. Starts of lower classes are spaced in time, so
+//! that slots become free one by one and a request of a higher class soon finds one. Without that,
+//! requests that started together finish together.
 
 use std::collections::VecDeque;
 
@@ -9,50 +11,53 @@
 
 use crate::document::RequestClass;
 
-/// For how many runs after the last request of a higher class starts are spread.
-const SPREAD_RUNS: f64 = 20.0;
+/// How long starts are spaced after the last request of a higher class, in average run times.
+const SPACING_RUN_COUNT: f64 = 20.0;
 
-/// How requests wait for an upstream.
+/// Settings of an upstream's queue.
 #[derive(Debug, Clone)]
 pub struct AdmissionSettings {
-    /// How many requests the upstream runs at once.
+    /// Requests that the upstream runs concurrently.
     pub capacity: u32,
-    /// How many may wait.
+    /// Requests that may wait.
     pub queue: u32,
-    /// After this many in a row of a higher class, one of a lower class goes first.
+    /// After this many consecutive starts of a higher class, a waiting request of a lower one
+    /// starts.
     pub turns: u32,
-    /// The least time between a start and one of a lower class, in percent of the time in which one
-    /// slot frees up, while requests of a higher class come. Zero spreads nothing; nearer to 100
-    /// the higher class waits less and more of the capacity is lost.
+    /// Minimum time from any start to one of a lower class while requests of a higher class arrive,
+    /// in percent of the average time in which one slot becomes free (run time / capacity). With 0
+    /// nothing is spaced; towards 100 the higher class waits less and more capacity is unused.
     pub spread: u32,
 }
 
-/// What becomes of a request that arrives.
+/// The decision on a request that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Run it now.
+    /// The request runs now.
     Run,
-    /// It waits; it will be run or refused later.
+    /// The request waits; it will be run or refused later.
     Queued,
-    /// It waits in the place of this one of a lower class, which was not run and is refused.
+    /// The request waits and takes the queue slot of this attempt of a lower class, which was not
+    /// run and must be refused.
     Displaced(AttemptId),
-    /// It is refused, was not run, and may come back after this time.
+    /// The request is refused without being run; a retry is worthwhile after this time.
     Refused(ResultCode, Millis),
 }
 
-/// The requests that wait for one upstream or run on it.
+/// The requests that wait for one upstream or run on it, in the order of their class.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     settings: AdmissionSettings,
     waiting: [VecDeque<Waiting>; RequestClass::ALL.len()],
+    /// When each running attempt started.
     running: FastMap<AttemptId, Moment>,
-    /// Starts of the higher class in a row while a lower one waited.
-    turn: u32,
+    /// Consecutive starts of a higher class while a lower one waited.
+    starts_ahead: u32,
     last_start: Moment,
-    /// When a request of each class came last.
-    last_offer: [Option<Moment>; RequestClass::ALL.len()],
-    /// The usual time of a run, smoothed, in milliseconds.
-    pace: f64,
+    /// When the last request of each class arrived.
+    last_arrival: [Option<Moment>; RequestClass::ALL.len()],
+    /// Moving average of the run time.
+    average_run_ms: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -68,21 +73,21 @@
 }
 
 impl AdmissionQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(settings: AdmissionSettings) -> Self {
-        const FIRST_PACE: f64 = 100.0;
+        const INITIAL_RUN_MS: f64 = 100.0;
         Self {
             settings,
             waiting: Default::default(),
             running: FastMap::default(),
-            turn: 0,
+            starts_ahead: 0,
             last_start: Moment(0),
-            last_offer: Default::default(),
-            pace: FIRST_PACE,
+            last_arrival: Default::default(),
+            average_run_ms: INITIAL_RUN_MS,
         }
     }
 
-    /// Takes a request that must be answered by `deadline`.
+    /// Decides on a request that arrives and must be answered by `deadline`.
     pub fn offer(
         &mut self,
         now: Moment,
@@ -93,17 +98,17 @@
         if deadline <= now {
             return Admission::Refused(ResultCode::DeadlinePassed, Millis(0));
         }
-        self.last_offer[class.rank()] = Some(now);
-        let ahead = self.ahead_of(class);
-        if self.has_room() && ahead == 0 && !self.is_held(now, class.rank()) {
-            // It passes what waits of lower classes, which counts towards their turn.
-            self.turn += u32::from(self.queued() > 0);
+        self.last_arrival[class.rank()] = Some(now);
+        let ahead = self.queued_ahead_of(class);
+        if self.has_free_slot() && ahead == 0 && !self.is_held(now, class.rank()) {
+            // It overtakes waiting requests of lower classes, which counts towards `turns`.
+            self.starts_ahead += u32::from(self.queued() > 0);
             self.start(now, attempt);
             return Admission::Run;
         }
         let wait = self.predicted_wait(ahead);
-        // The run itself needs its time too; queueing for an answer that comes late helps nobody.
-        let is_late = now + wait + Millis(self.pace as u64) > deadline;
+        // The deadline also has to cover the run itself, or the answer comes too late to be used.
+        let is_late = now + wait + Millis(self.average_run_ms as u64) > deadline;
         let refusal = Admission::Refused(ResultCode::Overloaded, wait.max(Millis(1)));
         if is_late {
             return refusal;
@@ -117,7 +122,7 @@
         displaced.map_or(Admission::Queued, Admission::Displaced)
     }
 
-    /// Takes a request out before it is run; false where it runs already or is not here.
+    /// Removes a waiting request; returns false where it already runs or is not in the queue.
     pub fn withdraw(&mut self, attempt: AttemptId) -> bool {
         let mut found = false;
         for queue in &mut self.waiting {
@@ -128,33 +133,35 @@
         found
     }
 
-    /// Notes the end of a run.
+    /// Releases the slot of an attempt and adds its run time to the moving average.
     pub fn finished(&mut self, now: Moment, attempt: AttemptId) {
         const SMOOTHING: f64 = 0.1;
         if let Some(started) = self.running.remove(&attempt) {
             let took = now.since(started).0 as f64;
-            self.pace += (took - self.pace) * SMOOTHING;
+            self.average_run_ms += (took - self.average_run_ms) * SMOOTHING;
         }
     }
 
-    /// The next request to run, while the upstream has room.
+    /// Starts the next waiting request where the upstream has a free slot and no spacing holds the
+    /// request back.
     pub fn next_run(&mut self, now: Moment) -> Option<AttemptId> {
-        if !self.has_room() {
+        if !self.has_free_slot() {
             return None;
         }
-        let class = self.next_class(now)?;
-        let waiting = self.waiting[class].pop_front()?;
+        let rank = self.next_rank(now)?;
+        let waiting = self.waiting[rank].pop_front()?;
         self.start(now, waiting.attempt);
         Some(waiting.attempt)
     }
 
-    /// When the next start comes, where there is room and the request that waits is held back.
+    /// When `next_run` is to be called again: set where a slot is free but spacing holds the
+    /// waiting requests back.
     pub fn held_until(&self) -> Option<Moment> {
-        let is_waiting = self.has_room() && self.queued() > 0;
+        let is_waiting = self.has_free_slot() && self.queued() > 0;
         is_waiting.then(|| self.last_start + self.spacing())
     }
 
-    /// Takes out what waits and can no longer be answered in time.
+    /// Removes the waiting requests whose deadline has passed, and returns them.
     pub fn expired(&mut self, now: Moment) -> Vec<AttemptId> {
         let mut expired = Vec::new();
         for queue in &mut self.waiting {
@@ -169,44 +176,45 @@
         expired
     }
 
-    /// Takes out all that waits, for a planned stop.
+    /// Removes and returns all waiting requests, for a planned stop.
     pub fn drain(&mut self) -> Vec<AttemptId> {
         self.waiting.iter_mut().flat_map(std::mem::take).map(|waiting| waiting.attempt).collect()
     }
 
-    /// How many wait.
+    /// Number of waiting requests.
     pub fn queued(&self) -> usize {
         self.waiting.iter().map(VecDeque::len).sum()
     }
 
-    /// How many run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// How many the upstream runs at once.
+    /// Requests that the upstream runs concurrently, as set.
     pub fn capacity(&self) -> u32 {
         self.settings.capacity
     }
 
-    /// When it is worth coming back, as things stand.
+    /// Predicted wait behind all queued requests, for a caller to retry after; at least 1 ms.
     pub fn retry_after(&self) -> Millis {
         self.predicted_wait(self.queued()).max(Millis(1))
     }
 
-    fn next_class(&mut self, now: Moment) -> Option<usize> {
-        let mut classes = (0..self.waiting.len()).filter(|class| !self.waiting[*class].is_empty());
-        let first = classes.next()?;
-        let lower = classes.next();
-        if self.turn >= self.settings.turns {
-            // Its turn is not held back as well, or many starts of the higher class would starve it.
-            self.turn = 0;
+    fn next_rank(&mut self, now: Moment) -> Option<usize> {
+        let mut ranks = (0..self.waiting.len()).filter(|rank| !self.waiting[*rank].is_empty());
+        let first = ranks.next()?;
+        let lower = ranks.next();
+        if self.starts_ahead >= self.settings.turns {
+            // This start is not spaced, or frequent starts of the higher class would starve the
+            // lower.
+            self.starts_ahead = 0;
             return lower.or(Some(first));
         }
         if self.is_held(now, first) {
             return None;
         }
-        self.turn = if lower.is_some() { self.turn + 1 } else { 0 };
+        self.starts_ahead = if lower.is_some() { self.starts_ahead + 1 } else { 0 };
         Some(first)
     }
 
@@ -215,34 +223,36 @@
         self.running.insert(attempt, now);
     }
 
-    fn has_room(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.running.len() < self.settings.capacity as usize
     }
 
-    /// Whether a start of the class would come too soon after the last one.
-    fn is_held(&self, now: Moment, class: usize) -> bool {
-        let recent = |offer: &Moment| now.since(*offer).0 as f64 <= SPREAD_RUNS * self.pace;
-        let is_spread = self.last_offer[..class].iter().flatten().any(recent);
-        is_spread && !self.running.is_empty() && now < self.last_start + self.spacing()
+    /// Whether a start of the class has to wait for the spacing after the last start.
+    fn is_held(&self, now: Moment, rank: usize) -> bool {
+        let is_recent = |arrival: &Moment| {
+            now.since(*arrival).0 as f64 <= SPACING_RUN_COUNT * self.average_run_ms
+        };
+        let is_spaced = self.last_arrival[..rank].iter().flatten().any(is_recent);
+        is_spaced && !self.running.is_empty() && now < self.last_start + self.spacing()
     }
 
     fn spacing(&self) -> Millis {
-        let freed = self.pace / f64::from(self.settings.capacity.max(1));
-        Millis((freed * f64::from(self.settings.spread) / 100.0) as u64)
+        let slot_interval_ms = self.average_run_ms / f64::from(self.settings.capacity.max(1));
+        Millis((slot_interval_ms * f64::from(self.settings.spread) / 100.0) as u64)
     }
 
-    /// Takes out the newest of the lowest class that waits, where that is below `class`.
+    /// Removes the newest waiting request of the lowest class, where that is below `class`.
     fn displace(&mut self, class: RequestClass) -> Option<AttemptId> {
         let lower = self.waiting.iter_mut().skip(class.rank() + 1).rev();
         lower.into_iter().find_map(VecDeque::pop_back).map(|waiting| waiting.attempt)
     }
 
-    fn ahead_of(&self, class: RequestClass) -> usize {
+    fn queued_ahead_of(&self, class: RequestClass) -> usize {
         self.waiting[..=class.rank()].iter().map(VecDeque::len).sum()
     }
 
     fn predicted_wait(&self, ahead: usize) -> Millis {
         let rounds = (ahead + 1) as f64 / f64::from(self.settings.capacity.max(1));
-        Millis((rounds * self.pace).ceil() as u64)
+        Millis((rounds * self.average_run_ms).ceil() as u64)
     }
 }
--- a/mustardrill_core/src/budget.rs
+++ b/mustardrill_core/src/budget.rs
@@ -1,30 +1,30 @@
-//! Budgets that bound retries, and calls to the platform's service, by a share of the traffic.
+//! Budgets for retries, as a share of the traffic, and for rates of calls, by token buckets.
 
 use mustardrill_types::{Millis, Moment};
 
-/// Retries as a share of first attempts, with a small reserve for quiet times.
+/// Limits retries to a percentage of first attempts, plus a small reserve for times of low traffic.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: f64,
     settings: RetrySettings,
 }
 
-/// How many retries there may be.
+/// Limits on retries.
 #[derive(Debug, Clone)]
 pub struct RetrySettings {
     /// Retries as a percentage of first attempts.
     pub percent: u32,
-    /// Retries that may be saved up.
+    /// Retries that the budget may accumulate; it starts with so many.
     pub reserve: u32,
-    /// Attempts for one request, the first included.
+    /// Maximum attempts for one request, the first included.
     pub attempts: u32,
 }
 
-/// Tokens that flow in at a steady rate up to a burst.
+/// A token bucket; rate and burst are passed with each call, as both may change.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     tokens: f64,
-    filled: Moment,
+    refilled_at: Moment,
 }
 
 impl Default for RetrySettings {
@@ -34,18 +34,19 @@
 }
 
 impl RetryBudget {
-    /// A budget with a full reserve.
+    /// Creates a budget with a full reserve.
     pub fn new(settings: RetrySettings) -> Self {
         Self { tokens: f64::from(settings.reserve), settings }
     }
 
-    /// Notes a first attempt, which earns a share of a retry.
+    /// Counts a first attempt, which adds `percent` of a retry to the budget.
     pub fn earn(&mut self) {
         let earned = f64::from(self.settings.percent) / 100.0;
         self.tokens = (self.tokens + earned).min(f64::from(self.settings.reserve));
     }
 
-    /// Takes one retry for a request that had `attempts` already; says whether it may.
+    /// Takes one retry from the budget for a request that has made `attempts` attempts; returns
+    /// whether the retry is allowed.
     pub fn spend(&mut self, attempts: u32) -> bool {
         if attempts >= self.settings.attempts || self.tokens < 1.0 {
             return false;
@@ -56,21 +57,22 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a bucket that holds `burst` tokens.
     pub fn full(now: Moment, burst: f64) -> Self {
-        Self { tokens: burst, filled: now }
+        Self { tokens: burst, refilled_at: now }
     }
 
-    /// Takes one token where there is one; otherwise says when the next comes.
+    /// Takes one token, or returns the time until one is available. `rate` is in tokens per second,
+    /// `burst` is the most tokens that the bucket holds.
     pub fn take(&mut self, now: Moment, rate: f64, burst: f64) -> Result<(), Millis> {
-        let flowed = now.since(self.filled).0 as f64 * rate / 1_000.0;
-        self.tokens = (self.tokens + flowed).min(burst);
-        self.filled = self.filled.max(now);
+        let refill = now.since(self.refilled_at).0 as f64 * rate / 1_000.0;
+        self.tokens = (self.tokens + refill).min(burst);
+        self.refilled_at = self.refilled_at.max(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
         }
-        let wait = (1.0 - self.tokens) * 1_000.0 / rate.max(0.001);
-        Err(Millis(wait.ceil() as u64))
+        let wait_ms = (1.0 - self.tokens) * 1_000.0 / rate.max(0.001);
+        Err(Millis(wait_ms.ceil() as u64))
     }
 }
--- a/mustardrill_core/src/claim.rs
+++ b/mustardrill_core/src/claim.rs
@@ -1,9 +1,11 @@
-//! Claims: a non-idempotent request is agreed in the platform's service before it is dispatched.
+//! Claims: before a non-idempotent request is dispatched, its key is claimed in the platform's
+//! key-value service.
 //!
-//! Claims are batched by hash shard: all that wait for a shard go into one compare-and-swap of
-//! the shard's document. Many claims cost one write, and a key is granted once whichever entry
-//! asks and whoever keeps the shard, for only one write follows a given revision. A write whose answer was lost is
-//! read back, never assumed.
+//! Claims are batched by hash shard: all claims that wait for a shard go into one compare-and-swap
+//! of the shard's document, so many claims cost one write. A key is granted once, whichever entry
+//! asks and whichever agent coordinates the shard, because only one write can follow a given
+//! revision. Where the response to a write is lost, the document is read back; the result is never
+//! assumed.
 
 use std::collections::BTreeMap;
 
@@ -13,109 +15,115 @@
 use crate::budget::TokenBucket;
 use crate::keeper;
 
-/// How claims are kept.
+/// Settings of claims.
 #[derive(Debug, Clone)]
 pub struct ClaimSettings {
-    /// Over how many documents claims are spread.
+    /// Number of shards, each with a document of its own.
     pub shards: u32,
-    /// How long a claim is remembered, in seconds of the wall clock.
+    /// How long a claim stays in its document, in seconds of the wall clock.
     pub retention_s: u64,
-    /// The least time between two writes of a shard by one keeper.
+    /// Minimum time between two writes of a shard by one coordinator.
     pub write_every: Millis,
-    /// How many calls a second all keepers together may make for claims.
+    /// Reads and writes per second that all coordinators together may make.
     pub calls_per_second: u32,
-    /// A claim not settled after this is given up as not run.
+    /// Timeout of a waiting claim, after which it is settled as unavailable.
     pub patience: Millis,
-    /// The most claims that a shard remembers.
+    /// Maximum number of claims in a shard's document; further claims wait until older ones are
+    /// released or pass their retention.
     pub shard_limit: usize,
 }
 
-/// The claims of one shard as they are kept.
+/// The stored claims of one shard.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimDocument {
-    /// By request key.
+    /// Claims by request key.
     pub claims: BTreeMap<RequestKey, ClaimRecord>,
 }
 
-/// One claim.
+/// One stored claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// Who claimed.
+    /// The attempt that holds the claim.
     pub attempt: AttemptId,
-    /// When, in seconds of the wall clock.
+    /// When it was claimed, in seconds of the wall clock.
     pub at_s: u64,
 }
 
-/// The place of a claim's document.
+/// Index of a shard of claims, from zero.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardIndex(pub u32);
 
-/// What came of a claim.
+/// The result of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The claim is written and ours.
+    /// The claim is stored for this attempt.
     Granted,
-    /// The key was claimed before, by another sending.
+    /// Another attempt holds the claim on the key.
     Taken,
-    /// It could not be agreed; ours was or will be taken back.
+    /// The claim was not settled in time. Whoever asked for it must release it, as it may have been
+    /// stored.
     Unavailable,
 }
 
-/// What the batch asks of the platform's service, or tells.
+/// A call to the platform's key-value service, or a settled claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEffect {
     /// Read the shard's document.
     Read(ShardIndex),
-    /// Write the shard's document where its revision is still `expect` (0: it does not exist).
+    /// Write the shard's document if its revision is still `expect` (0: it does not exist).
     Write {
         /// The shard.
         shard: ShardIndex,
-        /// The revision that must still be there.
+        /// The expected revision.
         expect: u64,
         /// The new document.
         document: ClaimDocument,
     },
-    /// A claim is settled.
+    /// The claim of this attempt is settled.
     Settle(AttemptId, ClaimOutcome),
 }
 
-/// What the platform's service said.
+/// The platform's response to a read or write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// The document and its revision; an absent one is empty at revision 0.
+    /// The document and its revision; one that does not exist is empty at revision 0.
     Read(ClaimDocument, u64),
-    /// The write took effect and has this revision.
+    /// The write succeeded and the document now has this revision.
     Written(u64),
-    /// Another write came first.
+    /// The document no longer had the expected revision.
     Conflict,
-    /// No answer; a write may or may not have taken effect.
+    /// No response, or an error; a write may or may not have taken effect.
     Unknown,
 }
 
-/// Calls that an entry may save up, so that the first claims after a quiet time go at once.
+/// Calls that a coordinator may accumulate, so that the first claims after an idle time are written
+/// at once.
 const CALL_BURST: f64 = 10.0;
 
-/// The claims that one keeper has not settled, and what it knows of each of its shards.
+/// The unsettled claims of one coordinator, and its copy of each of its shards' documents.
 #[derive(Debug)]
 pub struct ClaimBatch {
     settings: ClaimSettings,
     shards: FastMap<ShardIndex, ShardState>,
     calls: TokenBucket,
-    /// The shard that goes first at the next tick, so that a small budget serves all in turn.
-    first: u32,
+    /// The shard that goes first at a tick; it advances with each, so that a small budget of calls
+    /// serves all shards in turn.
+    first_shard: u32,
 }
 
 #[derive(Debug, Default)]
 struct ShardState {
     waiting: Vec<WaitingClaim>,
+    /// Claims to be removed from the stored document.
     releasing: Vec<(RequestKey, AttemptId)>,
+    /// The document and its revision; nothing where it must be read first.
     known: Option<(ClaimDocument, u64)>,
-    pending: Pending,
-    next_write: Moment,
+    pending: PendingCall,
+    next_call: Moment,
 }
 
 #[derive(Debug, Default, PartialEq, Eq)]
-enum Pending {
+enum PendingCall {
     #[default]
     Nothing,
     Reading,
@@ -143,13 +151,15 @@
 }
 
 impl ClaimBatch {
-    /// A batch without claims.
+    /// Creates a batch without claims.
     pub fn new(settings: ClaimSettings) -> Self {
         let calls = TokenBucket::full(Moment(0), CALL_BURST);
-        Self { settings, shards: FastMap::default(), calls, first: 0 }
+        Self { settings, shards: FastMap::default(), calls, first_shard: 0 }
     }
 
-    /// Asks for a claim.
+    /// Requests a claim of `key` for `attempt`; returns the calls to make.
+    ///
+    /// `wall_s` is the wall clock in seconds, which records are stamped with.
     pub fn claim(
         &mut self,
         now: Moment,
@@ -159,14 +169,14 @@
     ) -> Vec<ClaimEffect> {
         let index = self.shard_of(key);
         let shard = self.shards.entry(index).or_default();
-        // An entry whose answer was lost asks again for the same attempt.
+        // An entry that got no answer repeats its request for the same attempt.
         if !shard.waiting.iter().any(|claim| claim.attempt == attempt) {
             shard.waiting.push(WaitingClaim { key, attempt, since: now });
         }
         self.advance(now, wall_s, index)
     }
 
-    /// Takes a claim back, granted or not, after proof that the request was not run.
+    /// Releases a claim, granted or not, once it is certain that the request was not run.
     pub fn release(
         &mut self,
         now: Moment,
@@ -181,7 +191,7 @@
         self.advance(now, wall_s, index)
     }
 
-    /// Takes the service's answer for a shard.
+    /// Handles the platform's response to a read or write of a shard.
     pub fn answered(
         &mut self,
         now: Moment,
@@ -192,16 +202,16 @@
         let Some(shard) = self.shards.get_mut(&index) else { return Vec::new() };
         let pending = std::mem::take(&mut shard.pending);
         match (answer, pending) {
-            (ClaimAnswer::Read(document, revision), Pending::Reading) => {
+            (ClaimAnswer::Read(document, revision), PendingCall::Reading) => {
                 shard.known = Some((document, revision));
             }
-            (ClaimAnswer::Written(revision), Pending::Writing(document)) => {
+            (ClaimAnswer::Written(revision), PendingCall::Writing(document)) => {
                 shard.known = Some((document, revision));
             }
-            // A conflict, a lost answer or a failed read: read before anything else is decided.
+            // After a conflict, a lost response or a failed read, the document is read again first.
             _ => {
                 shard.known = None;
-                shard.next_write = now + self.settings.write_every;
+                shard.next_call = now + self.settings.write_every;
             }
         }
         let mut effects = self.settle(index);
@@ -209,22 +219,23 @@
         effects
     }
 
-    /// Gives up what waits too long and starts writes that are due.
+    /// Settles claims that timed out as unavailable, and starts the calls that are due.
     pub fn tick(&mut self, now: Moment, wall_s: u64) -> Vec<ClaimEffect> {
         let mut effects = Vec::new();
-        let patience = self.settings.patience;
+        let timeout = self.settings.patience;
         let mut indexes: Vec<_> = self.shards.keys().copied().collect();
-        self.first = (self.first + 1) % self.settings.shards.max(1);
+        self.first_shard = (self.first_shard + 1) % self.settings.shards.max(1);
         let shards = self.settings.shards.max(1);
-        indexes.sort_unstable_by_key(|index| (index.0 + shards - self.first) % shards);
+        indexes.sort_unstable_by_key(|index| (index.0 + shards - self.first_shard) % shards);
         for index in indexes {
             let shard = self.shards.get_mut(&index).expect("an index of the map");
-            let is_late = |claim: &WaitingClaim| now.since(claim.since) >= patience;
+            let is_late = |claim: &WaitingClaim| now.since(claim.since) >= timeout;
             let late: Vec<_> = shard.waiting.iter().copied().filter(is_late).collect();
             shard.waiting.retain(|claim| !is_late(claim));
             for claim in late {
-                // Nothing is taken back here: another keeper may have granted the same attempt.
-                // Only who asked knows, and releases what was granted nowhere.
+                // The claim is not released here, as another coordinator may have granted it to the
+                // same attempt. Only the entry that asked knows, and it releases the claim where no
+                // coordinator granted it.
                 effects.push(ClaimEffect::Settle(claim.attempt, ClaimOutcome::Unavailable));
             }
             effects.extend(self.advance(now, wall_s, index));
@@ -232,7 +243,7 @@
         effects
     }
 
-    /// Whether anything is left to write or settle.
+    /// Whether no claim waits and no release is left to be written.
     pub fn is_idle(&self) -> bool {
         self.shards.values().all(|it| it.waiting.is_empty() && it.releasing.is_empty())
     }
@@ -241,15 +252,16 @@
         keeper::shard_of(key, self.settings.shards)
     }
 
-    /// Settles every waiting claim on which the known document already decides.
+    /// Settles every waiting claim whose key is in the known document, and drops the releases that
+    /// took effect.
     fn settle(&mut self, index: ShardIndex) -> Vec<ClaimEffect> {
         let shard = self.shards.get_mut(&index).expect("the shard was looked up");
         let Some((document, _)) = &shard.known else { return Vec::new() };
         let mut effects = Vec::new();
         shard.waiting.retain(|claim| {
             let Some(record) = document.claims.get(&claim.key) else { return true };
-            let ours = record.attempt == claim.attempt;
-            let outcome = if ours { ClaimOutcome::Granted } else { ClaimOutcome::Taken };
+            let is_own = record.attempt == claim.attempt;
+            let outcome = if is_own { ClaimOutcome::Granted } else { ClaimOutcome::Taken };
             effects.push(ClaimEffect::Settle(claim.attempt, outcome));
             false
         });
@@ -259,21 +271,22 @@
         effects
     }
 
-    /// Starts the read or write that the shard needs next.
+    /// Starts the next read or write of the shard, where one is needed and the rate limits allow
+    /// it.
     fn advance(&mut self, now: Moment, wall_s: u64, index: ShardIndex) -> Vec<ClaimEffect> {
-        // The budget belongs to all shards alike, and this batch takes the part of its own.
+        // The budget is divided equally among all shards; this batch uses the part of its shards.
         let share = self.shards.len() as f64 / f64::from(self.settings.shards.max(1));
         let rate = f64::from(self.settings.calls_per_second) * share;
         let shard = self.shards.get_mut(&index).expect("the shard was looked up");
         let is_idle = shard.waiting.is_empty() && shard.releasing.is_empty();
-        if is_idle || shard.pending != Pending::Nothing || now < shard.next_write {
+        if is_idle || shard.pending != PendingCall::Nothing || now < shard.next_call {
             return Vec::new();
         }
         if self.calls.take(now, rate, CALL_BURST).is_err() {
             return Vec::new();
         }
         let Some((known, revision)) = &shard.known else {
-            shard.pending = Pending::Reading;
+            shard.pending = PendingCall::Reading;
             return vec![ClaimEffect::Read(index)];
         };
         let (mut document, expect) = (known.clone(), *revision);
@@ -290,14 +303,14 @@
                 document.claims.entry(claim.key).or_insert(record);
             }
         }
-        shard.next_write = now + self.settings.write_every;
-        shard.pending = Pending::Writing(document.clone());
+        shard.next_call = now + self.settings.write_every;
+        shard.pending = PendingCall::Writing(document.clone());
         vec![ClaimEffect::Write { shard: index, expect, document }]
     }
 }
 
 impl ClaimDocument {
-    /// The document as it is kept: a line of key, attempt and second for each claim.
+    /// Encodes the document for storage: a JSON array with key, attempt and second of each claim.
     pub fn encode(&self) -> Vec<u8> {
         let rows: Vec<_> = self
             .claims
@@ -307,7 +320,7 @@
         serde_json::to_vec(&rows).expect("a document is plain data")
     }
 
-    /// Reads what is kept.
+    /// Decodes a stored document; an error says which part could not be parsed.
     pub fn decode(bytes: &[u8]) -> Result<Self, Box<str>> {
         let rows: Vec<(Box<str>, Box<str>, u64)> =
             serde_json::from_slice(bytes).map_err(|error| error.to_string())?;
--- a/mustardrill_core/src/demand.rs
+++ b/mustardrill_core/src/demand.rs
@@ -1,46 +1,47 @@
-//! What customers ask for lately, summed over the entries by the agents that they all talk to.
+//! Recent demand of customers, aggregated over the entries by each agent.
 //!
-//! Entries send what each customer asked of them along with their heartbeats, and get back the
-//! sum over all entries that the agent heard. So limits are shared by demand without a write.
+//! Entries send the number of requests of each customer with their heartbeats. An agent replies
+//! with the sum over all entries that reported to it lately, so limits follow demand without a
+//! write to the store.
 
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment};
 
 use crate::limit::LimitKey;
 
-/// How long an entry's word counts.
-const FRESH: Millis = Millis(3_000);
+/// How long an entry's report is counted.
+const REPORT_TTL: Millis = Millis(3_000);
 
-/// How much one customer asked of one entry of the catalogue during the last round.
+/// Requests of one customer to one entry of the catalogue during the last round.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DemandRow {
     /// The customer and the entry of the catalogue.
     pub key: LimitKey,
-    /// Requests.
+    /// Number of requests, rejected ones included.
     pub asked: u32,
 }
 
-/// What entries said lately, at one agent.
+/// The last report of each entry, as one agent received them.
 #[derive(Debug, Default)]
 pub struct DemandBoard {
-    rows: FastMap<InstanceId, (Moment, Vec<DemandRow>)>,
+    reports: FastMap<InstanceId, (Moment, Vec<DemandRow>)>,
 }
 
 impl DemandBoard {
-    /// Takes what an entry says of its last round.
+    /// Stores an entry's report of its last round, and drops reports that are 3 s old.
     pub fn note(&mut self, now: Moment, entry: InstanceId, rows: Vec<DemandRow>) {
-        self.rows.insert(entry, (now, rows));
-        self.rows.retain(|_, (heard, _)| now.since(*heard) < FRESH);
+        self.reports.insert(entry, (now, rows));
+        self.reports.retain(|_, (received_at, _)| now.since(*received_at) < REPORT_TTL);
     }
 
-    /// How many entries were heard of lately.
+    /// Number of entries whose reports are counted in the totals.
     pub fn entries(&self) -> u32 {
-        self.rows.len() as u32
+        self.reports.len() as u32
     }
 
-    /// The sum over all of them.
+    /// Sums the requests over the reports of all entries.
     pub fn totals(&self) -> Vec<DemandRow> {
         let mut sums: FastMap<&LimitKey, u32> = FastMap::default();
-        for row in self.rows.values().flat_map(|(_, rows)| rows) {
+        for row in self.reports.values().flat_map(|(_, rows)| rows) {
             *sums.entry(&row.key).or_default() += row.asked;
         }
         let rows = sums.into_iter();
--- a/mustardrill_core/src/homes.rs
+++ b/mustardrill_core/src/homes.rs
@@ -1,16 +1,18 @@
-//! Which instance of each data centre is the home of a chunk, on which all agree without talking.
+//! Assignment of chunks to instances: the primary holder of each chunk in a data centre, and the
+//! seeders that fetch it from the origin, computed alike by all instances without coordination.
 //!
-//! Load pattern: a new version goes to every instance at once, over links that carry little more
-//! than one copy up and one down in the time that there is. Each data centre's home of a chunk
-//! draws it from outside and hands it to the others there. Every home has the same number of
-//! chunks, so that every uplink has the same to carry: by plain rendezvous hashing the busiest had
-//! 1.3 times the mean, and the last instance was done that much later. Who is chosen by hashing,
-//! not by counting through, keeps most homes where two instances see different members.
+//! A new version is sent to every instance at once, over links that can carry little more than one
+//! copy up and one down in the time available. In each data centre the primary holder of a chunk
+//! fetches it from outside and serves it to the other instances there. Every instance is primary
+//! holder of the same number of chunks, so that uplinks are loaded evenly: with plain rendezvous
+//! hashing the busiest uplink carried 1.3 times the mean, and the last instance finished that much
+//! later. Holders are still chosen by hashing and not round robin, so that two instances with
+//! different member lists agree on most of them.
 //!
-//! The origin takes few connections, and what it sends is shared among those that ask. In a fleet
-//! that is larger than a limit only some instances, as many of each data centre, draw from it, and
-//! the homes draw from these: where all draw, each chunk is so slow that it is given up and drawn
-//! anew, and the origin sends several copies.
+//! The origin accepts few connections, which share its bandwidth. In a fleet larger than a limit
+//! only some instances, the same number in each data centre, fetch from the origin (seeders), and
+//! the primary holders fetch from these. If all instances fetched from the origin, each chunk would
+//! be so slow that it times out and is fetched again, and the origin would send several copies.
 
 use std::collections::BTreeMap;
 
@@ -19,121 +21,126 @@
 use crate::rendezvous;
 use crate::transfer::TransferPeer;
 
-/// The homes of all chunks of one version.
+/// The primary holders and seeders of all chunks of one version, seen from one instance.
 #[derive(Debug, Default)]
 pub struct HomeTable {
     /// The instances of the own data centre.
-    near: Vec<InstanceId>,
-    /// The place of the own instance among them.
-    own: Option<usize>,
-    /// For each chunk, the places of the own data centre's instances, its home first.
-    orders: Vec<Vec<u16>>,
-    /// For each chunk, how many data centres come before the own one in drawing it.
+    local_ids: Vec<InstanceId>,
+    /// Index of the own instance in `local_ids`.
+    own_index: Option<usize>,
+    /// For each chunk, indexes into `local_ids`, the primary holder first.
+    local_orders: Vec<Vec<u16>>,
+    /// For each chunk, how many data centres come before the own one in fetching it from the
+    /// origin.
     centres_before: Vec<u16>,
     centre_count: usize,
-    /// The instances that draw from the origin; empty where each home does.
-    drawers: Vec<InstanceId>,
-    /// The place of the own instance among them.
-    own_drawer: Option<usize>,
-    /// For each chunk, the places of the drawers, the first to draw it first.
-    drawer_orders: Vec<Vec<u16>>,
+    /// The instances that fetch from the origin; empty where every primary holder does.
+    seeders: Vec<InstanceId>,
+    /// Index of the own instance in `seeders`.
+    own_seeder_index: Option<usize>,
+    /// For each chunk, indexes into `seeders`, the first to fetch it first.
+    seeder_orders: Vec<Vec<u16>>,
 }
 
 impl HomeTable {
-    /// The homes of `total` chunks among `peers`, of which `own` should be one and at most about
-    /// `drawers` draw from the origin.
+    /// Assigns `total` chunks to `peers`, which should include `own`.
+    ///
+    /// Where there are more peers than `max_seeders`, about that many are seeders: the number is
+    /// rounded up to the same one in each data centre.
     pub fn new(
         digest: ManifestDigest,
         total: u32,
         peers: &[TransferPeer],
         own: &TransferPeer,
-        drawers: usize,
+        max_seeders: usize,
     ) -> Self {
         let mut groups: BTreeMap<&DataCentre, Vec<&InstanceId>> = BTreeMap::new();
         for peer in peers {
             groups.entry(&peer.data_centre).or_default().push(&peer.id);
         }
-        let drawers = if peers.len() > drawers {
-            choose_drawers(&digest, &groups, drawers)
+        let seeders = if peers.len() > max_seeders {
+            choose_seeders(&digest, &groups, max_seeders)
         } else {
             Vec::new()
         };
-        let drawer_names: Vec<&str> = drawers.iter().map(InstanceId::as_str).collect();
-        let drawer_orders = balanced_orders(&digest, total, &drawer_names);
-        let names: Vec<&str> = groups.keys().map(|name| name.as_str()).collect();
-        let centre = names.iter().position(|name| *name == own.data_centre.as_str());
+        let seeder_names: Vec<&str> = seeders.iter().map(InstanceId::as_str).collect();
+        let seeder_orders = balanced_orders(&digest, total, &seeder_names);
+        let centre_names: Vec<&str> = groups.keys().map(|name| name.as_str()).collect();
+        let own_centre = centre_names.iter().position(|name| *name == own.data_centre.as_str());
         let group = groups.get(&own.data_centre).cloned().unwrap_or_default();
-        let near: Vec<InstanceId> = group.into_iter().cloned().collect();
-        let ids: Vec<&str> = near.iter().map(InstanceId::as_str).collect();
-        let place_in = |order: &Vec<u16>, place: usize| {
-            order.iter().position(|other| usize::from(*other) == place).unwrap_or(0) as u16
+        let local_ids: Vec<InstanceId> = group.into_iter().cloned().collect();
+        let local_names: Vec<&str> = local_ids.iter().map(InstanceId::as_str).collect();
+        let position_in = |order: &Vec<u16>, index: usize| {
+            order.iter().position(|other| usize::from(*other) == index).unwrap_or(0) as u16
         };
-        let centre_orders = balanced_orders(&digest, total, &names);
+        let centre_orders = balanced_orders(&digest, total, &centre_names);
         let centres_before = centre_orders
             .iter()
-            .map(|order| centre.map_or(0, |centre| place_in(order, centre)))
+            .map(|order| own_centre.map_or(0, |centre| position_in(order, centre)))
             .collect();
         Self {
-            own: near.iter().position(|id| *id == own.id),
-            orders: balanced_orders(&digest, total, &ids),
+            own_index: local_ids.iter().position(|id| *id == own.id),
+            local_orders: balanced_orders(&digest, total, &local_names),
             centres_before,
-            centre_count: names.len(),
-            own_drawer: drawers.iter().position(|id| *id == own.id),
-            drawer_orders,
-            drawers,
-            near,
+            centre_count: centre_names.len(),
+            own_seeder_index: seeders.iter().position(|id| *id == own.id),
+            seeder_orders,
+            seeders,
+            local_ids,
         }
     }
 
-    /// The home of a chunk in the own data centre.
+    /// Returns the primary holder of a chunk in the own data centre.
     pub fn near_home(&self, index: ChunkIndex) -> Option<&InstanceId> {
-        let order = self.orders.get(index.0 as usize)?;
-        self.near.get(usize::from(*order.first()?))
+        let order = self.local_orders.get(index.0 as usize)?;
+        self.local_ids.get(usize::from(*order.first()?))
     }
 
-    /// How many of the own data centre come before the own instance as home of a chunk.
+    /// Returns the rank of the own instance among the holders of a chunk in its data centre; the
+    /// primary holder has rank 0, and `usize::MAX` means that the instance is not among the peers.
     pub fn near_rank(&self, index: ChunkIndex) -> usize {
-        rank_in(&self.orders, index, self.own)
+        rank_in(&self.local_orders, index, self.own_index)
     }
 
-    /// How many instances come before the own one in drawing a chunk from the origin.
+    /// Returns the rank of the own instance in fetching a chunk from the origin; rank 0 fetches it
+    /// first. Instances that are not seeders rank after all seeders.
     pub fn origin_rank(&self, index: ChunkIndex) -> usize {
-        if self.own_drawer.is_some() {
-            return rank_in(&self.drawer_orders, index, self.own_drawer);
+        if self.own_seeder_index.is_some() {
+            return rank_in(&self.seeder_orders, index, self.own_seeder_index);
         }
         let Some(before) = self.centres_before.get(index.0 as usize) else { return usize::MAX };
-        let near = self.near_rank(index);
-        let place = near.saturating_mul(self.centre_count.max(1));
-        place.saturating_add(usize::from(*before)).saturating_add(self.drawers.len())
+        let local_rank = self.near_rank(index);
+        let rank = local_rank.saturating_mul(self.centre_count.max(1));
+        rank.saturating_add(usize::from(*before)).saturating_add(self.seeders.len())
     }
 }
 
-/// The place of `own` in a chunk's order, from zero; past all where it is not in it.
+/// The position of `own` in a chunk's order, from zero; `usize::MAX` where it is not in it.
 fn rank_in(orders: &[Vec<u16>], index: ChunkIndex, own: Option<usize>) -> usize {
     let (Some(own), Some(order)) = (own, orders.get(index.0 as usize)) else { return usize::MAX };
-    order.iter().position(|place| usize::from(*place) == own).unwrap_or(usize::MAX)
+    order.iter().position(|other| usize::from(*other) == own).unwrap_or(usize::MAX)
 }
 
-/// About `count` instances, as many of each data centre.
-fn choose_drawers(
+/// Chooses about `count` instances, the same number in each data centre, rounded up.
+fn choose_seeders(
     digest: &ManifestDigest,
     groups: &BTreeMap<&DataCentre, Vec<&InstanceId>>,
     count: usize,
 ) -> Vec<InstanceId> {
     let share = count.div_ceil(groups.len().max(1));
-    let mut drawers = Vec::new();
+    let mut seeders = Vec::new();
     for group in groups.values() {
         let ranked = rendezvous::ranked(&digest.0, group, |id| id.as_str());
-        drawers.extend(ranked.into_iter().take(share).map(|id| (*id).clone()));
+        seeders.extend(ranked.into_iter().take(share).map(|id| (*id).clone()));
     }
-    drawers
+    seeders
 }
 
-/// For each chunk the places of `names`, in the order of their weight; first goes the heaviest
-/// that is not yet the first of its full share of chunks.
+/// For each chunk, orders the indexes of `names` by their rendezvous weight. The first place goes
+/// to the heaviest name that does not yet have first place for its equal share of chunks.
 fn balanced_orders(digest: &ManifestDigest, total: u32, names: &[&str]) -> Vec<Vec<u16>> {
     let share = (total as usize).div_ceil(names.len().max(1));
-    let mut taken = vec![0; names.len()];
+    let mut first_counts = vec![0; names.len()];
     let mut orders = Vec::with_capacity(total as usize);
     for index in 0..total {
         let mut subject = digest.0[..8].to_vec();
@@ -141,11 +148,11 @@
         let weights: Vec<u64> =
             names.iter().map(|name| rendezvous::weight(&subject, name)).collect();
         let mut order: Vec<u16> = (0..names.len() as u16).collect();
-        order.sort_by_key(|place| std::cmp::Reverse(weights[usize::from(*place)]));
-        let open = order.iter().position(|place| taken[usize::from(*place)] < share);
-        if let Some(open) = open {
-            taken[usize::from(order[open])] += 1;
-            order[..=open].rotate_right(1);
+        order.sort_by_key(|name| std::cmp::Reverse(weights[usize::from(*name)]));
+        let first = order.iter().position(|name| first_counts[usize::from(*name)] < share);
+        if let Some(first) = first {
+            first_counts[usize::from(order[first])] += 1;
+            order[..=first].rotate_right(1);
         }
         orders.push(order);
     }
--- a/mustardrill_core/src/lib.rs
+++ b/mustardrill_core/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of mustardrill as reducers and policies, without network or clock.
+//! The logic of mustardrill as reducers and policies, without I/O and without a clock.
 //!
-//! A reducer takes the present time and an event, changes its state and returns effects as
-//! data. Whoever embeds it turns I/O into events and carries the effects out.
+//! A reducer takes the current time and an event, changes its state and returns effects as data.
+//! The process that embeds it turns I/O into events and performs the effects.
 #![deny(missing_docs, unsafe_code, clippy::unwrap_used)]
 
 pub mod admission;
--- a/mustardrill_core/src/limit.rs
+++ b/mustardrill_core/src/limit.rs
@@ -1,46 +1,52 @@
-//! The limits of customers, shared by the entries without a write for each request.
+//! Distributed rate limiting: customers' limits, divided among the entries without a write per
+//! request.
 //!
-//! Each entry allows a share of a customer's rate. A share moves with demand: an entry that used
-//! all of its share asks for more in the next round, one that did not gives back. Whatever the
-//! entries ask for, the shares of one round never sum to more than the limit.
+//! Each entry admits a share of a customer's limit. Shares follow demand: in each round an entry
+//! that received more requests gets a larger share and the others get a smaller one. Whatever the
+//! demand is, the shares of one round never sum to more than the limit.
 
 use mustardrill_types::{CustomerName, FastMap, Millis, ModelName, Moment};
 
 use crate::budget::TokenBucket;
 use crate::document::CustomerLimits;
 
-/// A bucket holds what flows in during this time, so that short bursts pass.
-const BURST: f64 = 0.5;
+/// A token bucket holds the tokens of this time, so that short bursts pass.
+const BURST_SECONDS: f64 = 0.5;
 
-/// The least share of a limit that an entry keeps, as a part of an equal share.
-const LEAST_SHARE: f64 = 0.1;
+/// The minimum share of a limit that an entry keeps, as a fraction of an equal share.
+const MIN_SHARE_FRACTION: f64 = 0.1;
 
-/// Whose limit on which entry of the catalogue.
+/// The customer that a limit belongs to, and the entry of the catalogue that it applies to.
 pub type LimitKey = (CustomerName, ModelName);
 
-/// The use of limits at one entry.
+/// Usage of customers' limits at one entry.
 #[derive(Debug, Default)]
 pub struct LimitTable {
-    uses: FastMap<LimitKey, LimitUse>,
+    usages: FastMap<LimitKey, LimitUsage>,
 }
 
-/// Why a request is over its customer's limit.
+/// Error of a request that is over its customer's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OverLimit {
-    /// When the customer may come back.
+    /// Time after which the customer may retry.
     pub retry_after: Millis,
 }
 
 #[derive(Debug)]
-struct LimitUse {
+struct LimitUsage {
     bucket: TokenBucket,
+    /// This entry's share of the limit, from 0 to 1.
     share: f64,
     in_flight: u32,
-    asked: u32,
+    /// Requests since the last round, rejected ones included.
+    requests: u32,
 }
 
 impl LimitTable {
-    /// Admits one request, or says when to come back. `entries` is how many entries share.
+    /// Admits one request, or rejects it with the time to retry after.
+    ///
+    /// `entries` is the number of entries that share the limit; a customer that is new here starts
+    /// with an equal share.
     pub fn admit(
         &mut self,
         now: Moment,
@@ -49,18 +55,19 @@
         entries: usize,
     ) -> Result<(), OverLimit> {
         const IN_FLIGHT_RETRY: Millis = Millis(200);
-        let equal = 1.0 / entries.max(1) as f64;
+        let equal_share = 1.0 / entries.max(1) as f64;
         let rate = |share: f64| f64::from(limits.requests_per_second) * share;
-        let usage = self.uses.entry(key.clone()).or_insert_with(|| LimitUse {
-            bucket: TokenBucket::full(now, burst_of(rate(equal))),
-            share: equal,
+        let usage = self.usages.entry(key.clone()).or_insert_with(|| LimitUsage {
+            bucket: TokenBucket::full(now, burst_of(rate(equal_share))),
+            share: equal_share,
             in_flight: 0,
-            asked: 0,
+            requests: 0,
         });
-        usage.asked += 1;
-        // In-progress limits are per entry and rounded up, so that a small limit never becomes none.
-        let in_flight = (f64::from(limits.in_flight) * usage.share).ceil() as u32;
-        if usage.in_flight >= in_flight.max(1) {
+        usage.requests += 1;
+        // The share of the limit on requests in flight is rounded up, so that a small limit never
+        // becomes zero.
+        let max_in_flight = (f64::from(limits.in_flight) * usage.share).ceil() as u32;
+        if usage.in_flight >= max_in_flight.max(1) {
             return Err(OverLimit { retry_after: IN_FLIGHT_RETRY });
         }
         let rate = rate(usage.share);
@@ -70,67 +77,70 @@
         Ok(())
     }
 
-    /// Notes that an admitted request ended.
+    /// Counts an admitted request as ended.
     pub fn finished(&mut self, key: &LimitKey) {
-        if let Some(usage) = self.uses.get_mut(key) {
+        if let Some(usage) = self.usages.get_mut(key) {
             usage.in_flight = usage.in_flight.saturating_sub(1);
         }
     }
 
-    /// How many of a customer's requests are in progress here.
+    /// Number of a customer's requests in progress at this entry.
     pub fn in_flight(&self, key: &LimitKey) -> u32 {
-        self.uses.get(key).map_or(0, |usage| usage.in_flight)
+        self.usages.get(key).map_or(0, |usage| usage.in_flight)
     }
 
-    /// The most requests that one customer has in progress on each entry of the catalogue.
+    /// For each entry of the catalogue, the highest number of requests that any one customer has in
+    /// progress.
     pub fn in_use(&self) -> FastMap<ModelName, u32> {
-        let mut most = FastMap::default();
-        for ((_, model), usage) in &self.uses {
-            let seen: &mut u32 = most.entry(model.clone()).or_default();
-            *seen = (*seen).max(usage.in_flight);
+        let mut highest = FastMap::default();
+        for ((_, model), usage) in &self.usages {
+            let count: &mut u32 = highest.entry(model.clone()).or_default();
+            *count = (*count).max(usage.in_flight);
         }
-        most
+        highest
     }
 
-    /// What each customer asked for since the last call, for the next round of shares.
+    /// Returns and resets the number of requests of each customer since the last call, from which
+    /// the next round of shares is computed.
     pub fn take_demand(&mut self) -> FastMap<LimitKey, u32> {
-        let demand = |usage: &mut LimitUse| std::mem::take(&mut usage.asked);
-        self.uses.iter_mut().map(|(key, usage)| (key.clone(), demand(usage))).collect()
+        let demand = |usage: &mut LimitUsage| std::mem::take(&mut usage.requests);
+        self.usages.iter_mut().map(|(key, usage)| (key.clone(), demand(usage))).collect()
     }
 
-    /// Sets the share of this entry for the next round from what was asked for in the last.
+    /// Sets the share of this entry for the next round from the demand of the last one.
     pub fn set_share(&mut self, key: &LimitKey, demand: RoundDemand, entries: usize) {
-        if let Some(usage) = self.uses.get_mut(key) {
+        if let Some(usage) = self.usages.get_mut(key) {
             usage.share = share_of(demand, entries);
         }
     }
 }
 
-/// What a customer asked for in one round of a second.
+/// The requests of one customer in one round, which lasts a second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoundDemand {
-    /// Of this entry.
+    /// Requests received by this entry.
     pub own: u32,
-    /// Of all entries.
+    /// Requests received by all entries together.
     pub all: u32,
-    /// What the limit allows in a round.
+    /// Requests that the limit allows in a round.
     pub limit: u32,
 }
 
-/// The share of a limit for one of `entries`.
+/// Computes the share of a limit, from 0 to 1, for one of `entries`.
 ///
-/// While less than half of the limit is asked for, all have equal shares: little demand says
-/// nothing of where the next burst comes. Above that every entry keeps a little for the first
-/// request of the next round, and the rest goes by demand. The shares of all sum to one.
+/// While demand is below half of the limit all entries have equal shares, as low demand does not
+/// predict where the next burst arrives. Above that every entry keeps a small share for the first
+/// requests of the next round, and the rest is divided in proportion to demand. The shares of all
+/// entries sum to one.
 pub fn share_of(demand: RoundDemand, entries: usize) -> f64 {
-    let equal = 1.0 / entries.max(1) as f64;
+    let equal_share = 1.0 / entries.max(1) as f64;
     if demand.all < demand.limit.div_ceil(2) || demand.all == 0 {
-        return equal;
+        return equal_share;
     }
-    let kept = equal * LEAST_SHARE;
-    kept + (1.0 - LEAST_SHARE) * f64::from(demand.own) / f64::from(demand.all)
+    let minimum = equal_share * MIN_SHARE_FRACTION;
+    minimum + (1.0 - MIN_SHARE_FRACTION) * f64::from(demand.own) / f64::from(demand.all)
 }
 
 fn burst_of(rate: f64) -> f64 {
-    (rate * BURST).max(1.0)
+    (rate * BURST_SECONDS).max(1.0)
 }
--- a/mustardrill_core/src/membership.rs
+++ b/mustardrill_core/src/membership.rs
@@ -1,12 +1,12 @@
-//! Who is in the fleet: the platform's lagging list, corrected by what connections show.
+//! Fleet membership: the platform's list of instances, which lags, corrected by failed calls.
 
 use mustardrill_types::{DataCentre, FastMap, InstanceId, Millis, Moment, RegionName, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// What the platform's list says of one upstream instance.
+/// One upstream instance in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// The instance.
+    /// Name of the instance.
     pub id: InstanceId,
     /// The service it belongs to.
     pub service: ServiceName,
@@ -16,32 +16,32 @@
     pub region: RegionName,
     /// Where its agent listens, as `ip:port`.
     pub agent: Box<str>,
-    /// Whether it is live or leaving.
+    /// Whether the instance is draining for a planned stop.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// The members as one process sees them.
+/// The members of the fleet from the point of view of one process.
 #[derive(Debug)]
 pub struct MemberTable {
     records: FastMap<InstanceId, InstanceRecord>,
-    suspected: FastMap<InstanceId, Suspicion>,
+    failures: FastMap<InstanceId, FailureRecord>,
     settings: MemberSettings,
 }
 
-/// How connections correct the list.
+/// Settings of failure detection.
 #[derive(Debug, Clone)]
 pub struct MemberSettings {
-    /// Failures in a row after which an instance counts as dead.
+    /// Consecutive failed calls after which an instance counts as dead.
     pub failures: u32,
-    /// How long it counts as dead before it is tried again.
+    /// How long it counts as dead after the last failure, before it is tried again.
     pub dead_for: Millis,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Suspicion {
-    failures: u32,
-    since: Moment,
+struct FailureRecord {
+    count: u32,
+    last_failure: Moment,
 }
 
 impl Default for MemberSettings {
@@ -51,72 +51,72 @@
 }
 
 impl MemberTable {
-    /// A table without members.
+    /// Creates a table without members.
     pub fn new(settings: MemberSettings) -> Self {
-        Self { records: FastMap::default(), suspected: FastMap::default(), settings }
+        Self { records: FastMap::default(), failures: FastMap::default(), settings }
     }
 
-    /// Takes the platform's list in place of the one before; says whether anything changed.
+    /// Replaces all records by the platform's list; returns whether anything changed.
     pub fn replace(&mut self, list: Vec<InstanceRecord>) -> bool {
-        let fresh: FastMap<_, _> =
+        let new: FastMap<_, _> =
             list.into_iter().map(|record| (record.id.clone(), record)).collect();
-        if fresh == self.records {
+        if new == self.records {
             return false;
         }
-        // A replaced instance comes back under a new address and starts with a clean slate.
-        let old = std::mem::replace(&mut self.records, fresh);
+        // A replaced instance comes back under a new address; failures of the old one don't count.
+        let old = std::mem::replace(&mut self.records, new);
         let records = &self.records;
-        self.suspected.retain(|id, _| {
+        self.failures.retain(|id, _| {
             records.get(id).map(|record| &record.agent) == old.get(id).map(|record| &record.agent)
         });
         true
     }
 
-    /// Notes that a call to the instance failed.
+    /// Counts a failed call to the instance.
     pub fn failed(&mut self, now: Moment, id: &InstanceId) {
         if !self.records.contains_key(id) {
             return;
         }
-        let suspicion = self.suspected.entry(id.clone()).or_default();
-        suspicion.failures += 1;
-        suspicion.since = now;
+        let record = self.failures.entry(id.clone()).or_default();
+        record.count += 1;
+        record.last_failure = now;
     }
 
-    /// Notes that the instance answered.
+    /// Resets the failure count of an instance that answered.
     pub fn answered(&mut self, id: &InstanceId) {
-        self.suspected.remove(id);
+        self.failures.remove(id);
     }
 
-    /// Whether the instance is listed and not believed dead.
+    /// Whether the instance is listed and does not count as dead.
     pub fn is_live(&self, now: Moment, id: &InstanceId) -> bool {
         self.records.contains_key(id) && !self.is_dead(now, id)
     }
 
-    /// The record of an instance.
+    /// Returns the record of an instance, also of one that counts as dead.
     pub fn get(&self, id: &InstanceId) -> Option<&InstanceRecord> {
         self.records.get(id)
     }
 
-    /// The instances of a service that are listed and not believed dead, ordered by name.
+    /// Returns the live instances of a service, ordered by name.
     pub fn live_of(&self, now: Moment, service: &ServiceName) -> Vec<&InstanceRecord> {
-        let mut found: Vec<_> = self
+        let mut instances: Vec<_> = self
             .records
             .values()
             .filter(|record| record.service == *service && !self.is_dead(now, &record.id))
             .collect();
-        found.sort_by(|left, right| left.id.cmp(&right.id));
-        found
+        instances.sort_by(|left, right| left.id.cmp(&right.id));
+        instances
     }
 
-    /// All records, in no order.
+    /// Iterates over all records in arbitrary order, dead instances included.
     pub fn records(&self) -> impl Iterator<Item = &InstanceRecord> {
         self.records.values()
     }
 
     fn is_dead(&self, now: Moment, id: &InstanceId) -> bool {
-        self.suspected.get(id).is_some_and(|suspicion| {
-            suspicion.failures >= self.settings.failures
-                && now.since(suspicion.since) < self.settings.dead_for
+        self.failures.get(id).is_some_and(|record| {
+            record.count >= self.settings.failures
+                && now.since(record.last_failure) < self.settings.dead_for
         })
     }
 }
--- a/mustardrill_core/src/partner.rs
+++ b/mustardrill_core/src/partner.rs
@@ -1,4 +1,5 @@
-//! The partners of a transfer: what each holds, how busy it is, and how far it is trusted.
+//! The partners of a transfer, the peers that an instance exchanges chunks with: which chunks each
+//! holds, its load, and backoff after failures or corrupt chunks.
 
 use mustardrill_types::{ChunkIndex, FastMap, InstanceId, Millis, Moment};
 use rand::Rng;
@@ -6,16 +7,16 @@
 
 use crate::manifest::ChunkBitmap;
 
-/// How long a peer that sent too many corrupt chunks is avoided.
-const AVOID_CORRUPT: Millis = Millis(60_000);
+/// Backoff for a partner that sent too many corrupt chunks.
+const CORRUPT_BACKOFF: Millis = Millis(60_000);
 
-/// How long a peer that failed or stalled is avoided.
-const AVOID_FAILED: Millis = Millis(1_000);
+/// Backoff for a partner that failed or stalled.
+const FAILURE_BACKOFF: Millis = Millis(1_000);
 
-/// How many draws one partner gets from this instance at once.
-const FLIGHTS_PER_PARTNER: u32 = 2;
+/// Concurrent fetches from one partner.
+const MAX_FETCHES_PER_PARTNER: u32 = 2;
 
-/// The partners of one transfer, and how many of them hold each chunk.
+/// The partners of one transfer, and the number of partners that hold each chunk.
 #[derive(Debug)]
 pub struct PartnerTable {
     partners: FastMap<InstanceId, PartnerState>,
@@ -25,41 +26,47 @@
 #[derive(Debug)]
 struct PartnerState {
     bitmap: ChunkBitmap,
-    near: bool,
+    /// Whether it is in the own data centre.
+    is_local: bool,
+    /// Queue length that the partner reported.
     queue: u32,
-    flights: u32,
-    corrupt: u32,
-    avoid_until: Moment,
-    heard: Option<Moment>,
+    /// Fetches by this instance in progress.
+    fetches: u32,
+    corrupt_chunks: u32,
+    backoff_until: Moment,
+    reported_at: Option<Moment>,
 }
 
 impl PartnerTable {
-    /// A table without partners for a version of `total` chunks.
+    /// Creates a table without partners for a version of `total` chunks.
     pub fn new(total: u32) -> Self {
         Self { partners: FastMap::default(), copies: vec![0; total as usize] }
     }
 
-    /// Takes the chosen partners, each with whether it is near; forgets all others.
+    /// Replaces the partners by `chosen`, each with whether it is in the own data centre. Partners
+    /// that stay keep their state; returns the names of those that were removed.
     pub fn choose(&mut self, chosen: FastMap<InstanceId, bool>) -> Vec<InstanceId> {
-        let gone: Vec<_> =
+        let removed: Vec<_> =
             self.partners.keys().filter(|id| !chosen.contains_key(*id)).cloned().collect();
-        gone.iter().for_each(|id| self.forget(id));
+        removed.iter().for_each(|id| self.remove_partner(id));
         let total = self.copies.len() as u32;
-        for (id, near) in chosen {
-            self.partners.entry(id).or_insert_with(|| PartnerState::new(near, total));
+        for (id, is_local) in chosen {
+            self.partners.entry(id).or_insert_with(|| PartnerState::new(is_local, total));
         }
-        gone
+        removed
     }
 
-    /// Forgets one partner and what it held.
-    fn forget(&mut self, id: &InstanceId) {
+    fn remove_partner(&mut self, id: &InstanceId) {
         let Some(partner) = self.partners.remove(id) else { return };
         for index in partner.bitmap.held() {
             self.copies[index.0 as usize] -= 1;
         }
     }
 
-    /// Takes a partner's word on what it holds; says which chunks it newly holds.
+    /// Stores a partner's report of the chunks that it holds and the length of its queue; returns
+    /// the chunks that it newly holds.
+    ///
+    /// Reports of a partner in backoff that has sent corrupt chunks are ignored.
     pub fn heard(
         &mut self,
         now: Moment,
@@ -68,7 +75,7 @@
         queue: u32,
     ) -> Vec<ChunkIndex> {
         let Some(partner) = self.partners.get_mut(id) else { return Vec::new() };
-        if partner.corrupt > 0 && partner.avoid_until > now {
+        if partner.corrupt_chunks > 0 && partner.backoff_until > now {
             return Vec::new();
         }
         let added = partner.bitmap.added_in(&bitmap);
@@ -78,11 +85,11 @@
         }
         partner.bitmap = bitmap;
         partner.queue = queue;
-        partner.heard = Some(now);
+        partner.reported_at = Some(now);
         added
     }
 
-    /// Notes that a partner holds a chunk, on another's word.
+    /// Records that a partner holds a chunk, as another partner reported.
     pub fn hint(&mut self, id: &InstanceId, index: ChunkIndex) {
         let Some(partner) = self.partners.get_mut(id) else { return };
         if partner.bitmap.insert(index) {
@@ -90,7 +97,7 @@
         }
     }
 
-    /// Notes that a partner lacks a chunk that it was believed to hold.
+    /// Records that a partner does not hold a chunk, contrary to what was known.
     pub fn retract(&mut self, id: &InstanceId, index: ChunkIndex) {
         let Some(partner) = self.partners.get_mut(id) else { return };
         if partner.bitmap.remove(index) {
@@ -98,66 +105,67 @@
         }
     }
 
-    /// How many partners hold the chunk.
+    /// Number of partners that hold the chunk.
     pub fn copies(&self, index: ChunkIndex) -> u16 {
         self.copies[index.0 as usize]
     }
 
-    /// Notes that a draw from the partner began.
+    /// Counts a fetch from the partner as in progress.
     pub fn began(&mut self, id: &InstanceId) {
         if let Some(partner) = self.partners.get_mut(id) {
-            partner.flights += 1;
+            partner.fetches += 1;
         }
     }
 
-    /// Notes that a draw from the partner ended.
+    /// Counts a fetch from the partner as ended.
     pub fn ended(&mut self, id: &InstanceId) {
         if let Some(partner) = self.partners.get_mut(id) {
-            partner.flights = partner.flights.saturating_sub(1);
+            partner.fetches = partner.fetches.saturating_sub(1);
         }
     }
 
-    /// Counts a corrupt chunk against the partner and avoids it from the limit on.
+    /// Counts a corrupt chunk that the partner sent; from `limit` of them on each starts a backoff
+    /// of 60 s.
     pub fn blame(&mut self, now: Moment, id: &InstanceId, limit: u32) {
         let Some(partner) = self.partners.get_mut(id) else { return };
-        partner.corrupt += 1;
-        if partner.corrupt >= limit {
-            self.rest(now, id, AVOID_CORRUPT);
-            self.disbelieve(id);
+        partner.corrupt_chunks += 1;
+        if partner.corrupt_chunks >= limit {
+            self.rest(now, id, CORRUPT_BACKOFF);
+            self.clear_holding(id);
         }
     }
 
-    /// Avoids a partner that failed for a while.
+    /// Records a failure of a partner, which starts a backoff of 1 s.
     pub fn shun(&mut self, now: Moment, id: &InstanceId) {
-        self.rest(now, id, AVOID_FAILED);
-        self.disbelieve(id);
+        self.rest(now, id, FAILURE_BACKOFF);
+        self.clear_holding(id);
     }
 
-    /// Counts a partner as holding nothing, so that what only it holds is drawn elsewhere. A
-    /// partner that answers again says anew what it holds.
-    fn disbelieve(&mut self, id: &InstanceId) {
+    /// Treats a partner as holding no chunks, so that chunks which only it holds are fetched
+    /// elsewhere. When the partner responds again, it reports anew what it holds.
+    fn clear_holding(&mut self, id: &InstanceId) {
         let Some(partner) = self.partners.get_mut(id) else { return };
         let empty = ChunkBitmap::empty(self.copies.len() as u32);
-        let believed = std::mem::replace(&mut partner.bitmap, empty);
-        for index in believed.held() {
+        let cleared = std::mem::replace(&mut partner.bitmap, empty);
+        for index in cleared.held() {
             self.copies[index.0 as usize] -= 1;
         }
     }
 
-    /// Leaves a partner alone for `span`.
+    /// Starts or extends the backoff of a partner; a backoff is never shortened.
     pub fn rest(&mut self, now: Moment, id: &InstanceId, span: Millis) {
         if let Some(partner) = self.partners.get_mut(id) {
-            partner.avoid_until = partner.avoid_until.max(now + span);
+            partner.backoff_until = partner.backoff_until.max(now + span);
         }
     }
 
-    /// Whether a partner holds the chunk and may be asked for it now.
+    /// Whether a partner holds the chunk and a fetch from it may start now.
     pub fn is_usable(&self, now: Moment, id: &InstanceId, index: ChunkIndex) -> bool {
         self.partners.get(id).is_some_and(|partner| partner.is_usable(now, index))
     }
 
-    /// The least loaded usable partner that holds the chunk; near ones go first between equals,
-    /// and only they are asked where `far` is false.
+    /// Returns the least loaded usable partner that holds the chunk. Between equally loaded ones,
+    /// those in the own data centre are preferred; where `far` is false, only these are considered.
     pub fn best_holder(
         &self,
         now: Moment,
@@ -167,9 +175,9 @@
     ) -> Option<InstanceId> {
         let mut best: Option<(u32, u32, &InstanceId)> = None;
         let usable =
-            |partner: &PartnerState| partner.is_usable(now, index) && (far || partner.near);
+            |partner: &PartnerState| partner.is_usable(now, index) && (far || partner.is_local);
         for (id, partner) in self.partners.iter().filter(|(_, it)| usable(it)) {
-            let load = (partner.queue + partner.flights) * 2 + u32::from(!partner.near);
+            let load = (partner.queue + partner.fetches) * 2 + u32::from(!partner.is_local);
             let tie = random.random::<u32>();
             if best.is_none_or(|(least, other, _)| (load, tie) < (least, other)) {
                 best = Some((load, tie, id));
@@ -178,41 +186,44 @@
         best.map(|(_, _, id)| id.clone())
     }
 
-    /// Up to `limit` partners that hold the chunk.
+    /// Returns up to `limit` partners that hold the chunk, in arbitrary order.
     pub fn holders(&self, index: ChunkIndex, limit: usize) -> Vec<InstanceId> {
         let holding = self.partners.iter().filter(|(_, partner)| partner.bitmap.contains(index));
         holding.map(|(id, _)| id.clone()).take(limit).collect()
     }
 
-    /// The partners not heard of for `age`.
+    /// Returns the partners without a report for `age` that are not in backoff.
     pub fn stale(&self, now: Moment, age: Millis) -> Vec<InstanceId> {
         let is_stale = |partner: &PartnerState| {
-            partner.heard.is_none_or(|heard| now.since(heard) >= age) && partner.avoid_until <= now
+            partner.reported_at.is_none_or(|at| now.since(at) >= age)
+                && partner.backoff_until <= now
         };
         let stale = self.partners.iter().filter(|(_, partner)| is_stale(partner));
         stale.map(|(id, _)| id.clone()).collect()
     }
 
-    /// The partners' names, in no order.
+    /// Iterates over the partners' names in arbitrary order.
     pub fn ids(&self) -> impl Iterator<Item = &InstanceId> {
         self.partners.keys()
     }
 }
 
 impl PartnerState {
-    fn new(near: bool, total: u32) -> Self {
+    fn new(is_local: bool, total: u32) -> Self {
         Self {
             bitmap: ChunkBitmap::empty(total),
-            near,
+            is_local,
             queue: 0,
-            flights: 0,
-            corrupt: 0,
-            avoid_until: Moment(0),
-            heard: None,
+            fetches: 0,
+            corrupt_chunks: 0,
+            backoff_until: Moment(0),
+            reported_at: None,
         }
     }
 
     fn is_usable(&self, now: Moment, index: ChunkIndex) -> bool {
-        self.bitmap.contains(index) && self.avoid_until <= now && self.flights < FLIGHTS_PER_PARTNER
+        self.bitmap.contains(index)
+            && self.backoff_until <= now
+            && self.fetches < MAX_FETCHES_PER_PARTNER
     }
 }
--- a/mustardrill_core/src/refusal.rs
+++ b/mustardrill_core/src/refusal.rs
@@ -1,27 +1,28 @@
-//! What an agent says of an attempt that it did not run.
+//! An agent's refusal of an attempt that it did not run.
 
 use mustardrill_types::{ManifestDigest, Millis, ResultCode};
 
-/// Why an attempt was not run, when to come back, and what the upstream serves instead.
+/// Why an attempt was not run, when a retry is worthwhile, and which weights the upstream serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptRefusal {
-    /// The result code; always one that means "not run".
+    /// The result code; always one that says that the request was not run.
     pub code: ResultCode,
-    /// When the caller may come back.
+    /// Time after which the caller may retry.
     pub retry_after: Millis,
-    /// Where the pinned weights are not served: the weights that are; empty where none are known.
+    /// The weights that the upstream serves, where it doesn't serve those that the attempt was
+    /// pinned to; empty where they are not known.
     ///
-    /// With these the entry need not wait for a heartbeat to learn of a switch.
+    /// With these the entry learns of a switch of weights without waiting for a heartbeat.
     pub serving: Vec<ManifestDigest>,
 }
 
 impl AttemptRefusal {
-    /// A refusal that says nothing of weights.
+    /// Creates a refusal without information on weights.
     pub fn new(code: ResultCode, retry_after: Millis) -> Self {
         Self { code, retry_after, serving: Vec::new() }
     }
 
-    /// A refusal because other weights are served.
+    /// Creates a refusal for an attempt pinned to weights that the upstream doesn't serve.
     pub fn other_weights(retry_after: Millis, serving: Vec<ManifestDigest>) -> Self {
         Self { code: ResultCode::NoUpstream, retry_after, serving }
     }
--- a/mustardrill_core/src/relays.rs
+++ b/mustardrill_core/src/relays.rs
@@ -1,121 +1,126 @@
-//! Which entries hand on the chunks of a version, on which all agree without talking.
+//! Which entry relays each chunk of a version to the agents, chosen alike by all processes without
+//! coordination.
 //!
-//! Load pattern: a new version goes to every engine at once, over links of engines' machines that
-//! carry little more than one copy each in the time that there is, while answers of the engines
-//! go over the same links. Entries have links many times as wide. Each data centre's entries hand
-//! a version on to its agents, each chunk by one of them; one entry in all, near the origin, draws
-//! a chunk. So the origin sends one copy, each border carries one, and an engine's link carries
-//! one copy down and none up. Homes among the agents instead would use their links in both directions.
+//! A new version is sent to every engine at once. The links of the engines' machines can carry
+//! little more than one copy in the time available, and the engines' responses use the same links.
+//! Entries have links many times as wide. So the entries of a data centre relay a version to its
+//! agents, each chunk through one entry, and each chunk is fetched from the origin by a single
+//! entry near it. The origin then sends one copy, one copy crosses into each data centre, and an
+//! engine's link carries one copy down and none up. Distribution among the agents themselves would
+//! use their links in both directions.
 
 use mustardrill_types::{ChunkIndex, DataCentre, FastMap, InstanceId, Millis, Moment};
 
 use crate::direct::PeerRecord;
 use crate::rendezvous;
 
-/// How long an entry that failed is left alone: about what a stalled link takes to be noticed.
-const AVOID_FAILED: Millis = Millis(1_500);
+/// Backoff after a failure of an entry: about the time in which a stalled link is detected.
+const FAILURE_BACKOFF: Millis = Millis(1_500);
 
-/// An entry whose link carries less than this part of its data centre's widest is asked last: a
-/// chunk for all agents near it fills a narrow link while answers wait.
-const NARROW_PART: u32 = 2;
+/// An entry is asked last in its data centre if its link is narrower than the widest there divided
+/// by this: sending a chunk to all agents of the data centre fills a narrow link, and responses
+/// wait.
+const NARROW_LINK_DIVISOR: u32 = 2;
 
-/// The entries that may hand chunks on, as one process sees them.
+/// The entries that may relay chunks, as known to one process, with backoff after failures.
 #[derive(Debug, Default)]
 pub struct RelayTable {
     relays: Vec<PeerRecord>,
-    avoid_until: FastMap<InstanceId, Moment>,
+    backoff_until: FastMap<InstanceId, Moment>,
 }
 
-/// What is handed on: the list of a version, or one of its chunks.
+/// What is relayed: the chunk list of a version, or one of its chunks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RelayItem {
-    /// The list of chunks.
+    /// The version's chunk list.
     List,
-    /// A chunk.
+    /// The chunk with this index.
     Chunk(ChunkIndex),
 }
 
-/// Whether the origin may be asked by one entry, after it could not be reached.
+/// Circuit breaker of one entry for calls to the origin.
 ///
-/// Load pattern: the origin is away for some seconds while a version is drawn. Each chunk that
-/// anybody waits for fails within a millisecond and would be asked for anew, in hundreds of calls a
-/// second whose logs and connections take processor time from callers. One call in each rest finds
-/// out for all.
+/// If the origin is unreachable for some seconds while a version is fetched, each chunk that an
+/// agent waits for fails within a millisecond and would be requested again. That makes hundreds of
+/// calls per second, whose logs and connections take processor time from serving requests. While
+/// the breaker is open, a single probe per backoff finds out for all chunks whether the origin is
+/// back.
 #[derive(Debug, Default)]
 pub struct OriginGate {
-    closed_until: Option<Moment>,
+    /// When the next probe may go out; nothing while calls are unrestricted.
+    probe_at: Option<Moment>,
 }
 
-/// How long an origin that can't be reached is left alone: it is found again within this after
-/// its return, which is a tenth of what a copy takes over its link.
-const ORIGIN_REST: Millis = Millis(200);
+/// Time between probes of an unreachable origin. Its return is noticed within this time, which is a
+/// tenth of what sending a copy over its link takes.
+const ORIGIN_BACKOFF: Millis = Millis(200);
 
 impl OriginGate {
-    /// Whether a call may go out now. After a failure one may in each rest, the others not until
-    /// it has come back with an answer.
+    /// Returns whether a call may go out now. After a failure one call per backoff of 200 ms is
+    /// allowed as a probe, and no others until the origin has responded.
     pub fn pass(&mut self, now: Moment) -> bool {
-        match self.closed_until {
+        match self.probe_at {
             None => true,
-            Some(until) if now < until => false,
+            Some(at) if now < at => false,
             Some(_) => {
-                self.closed_until = Some(now + ORIGIN_REST);
+                self.probe_at = Some(now + ORIGIN_BACKOFF);
                 true
             }
         }
     }
 
-    /// Notes that the origin could not be reached.
+    /// Records that the origin could not be reached, which opens the breaker.
     pub fn failed(&mut self, now: Moment) {
-        self.closed_until = Some(now + ORIGIN_REST);
+        self.probe_at = Some(now + ORIGIN_BACKOFF);
     }
 
-    /// Notes that it answered.
+    /// Records that the origin responded, which lifts the restriction.
     pub fn answered(&mut self) {
-        self.closed_until = None;
+        self.probe_at = None;
     }
 }
 
 impl RelayTable {
-    /// Takes the entries that there are; what is known of failures stays.
+    /// Replaces the list of entries; the backoff of those that remain is kept.
     pub fn set(&mut self, relays: Vec<PeerRecord>) {
         self.relays = relays;
-        let Self { relays, avoid_until } = self;
-        avoid_until.retain(|id, _| relays.iter().any(|relay| relay.id == *id));
+        let Self { relays, backoff_until } = self;
+        backoff_until.retain(|id, _| relays.iter().any(|relay| relay.id == *id));
     }
 
-    /// Adds an entry, or takes its new address.
+    /// Adds an entry, or replaces the record of one with the same name.
     pub fn add(&mut self, relay: PeerRecord) {
         self.remove(&relay.id);
         self.relays.push(relay);
     }
 
-    /// Forgets an entry.
+    /// Removes an entry; its backoff is kept until the next call of `set`.
     pub fn remove(&mut self, id: &InstanceId) {
         self.relays.retain(|relay| relay.id != *id);
     }
 
-    /// The entries.
+    /// Returns all entries, those in backoff included.
     pub fn all(&self) -> &[PeerRecord] {
         &self.relays
     }
 
-    /// What is known of an entry.
+    /// Returns the record of an entry.
     pub fn get(&self, id: &InstanceId) -> Option<&PeerRecord> {
         self.relays.iter().find(|relay| relay.id == *id)
     }
 
-    /// Leaves an entry that failed alone for a while.
+    /// Records a failure of an entry, which is not asked during the backoff of 1.5 s.
     pub fn failed(&mut self, now: Moment, id: &InstanceId) {
-        self.avoid_until.insert(id.clone(), now + AVOID_FAILED);
+        self.backoff_until.insert(id.clone(), now + FAILURE_BACKOFF);
     }
 
-    /// Whether any entry may be asked now.
+    /// Whether any entry is not in backoff.
     pub fn is_usable(&self, now: Moment) -> bool {
-        self.relays.iter().any(|relay| self.is_open(now, relay))
+        self.relays.iter().any(|relay| self.is_available(now, relay))
     }
 
-    /// The entry that hands an item on in a data centre: one of its own entries, another one where
-    /// none of these may be asked.
+    /// Returns the entry that relays an item to the agents of a data centre: one of the entries
+    /// there, or a remote one where all of these are in backoff.
     pub fn nearest(
         &self,
         now: Moment,
@@ -123,11 +128,12 @@
         item: RelayItem,
         centre: &DataCentre,
     ) -> Option<&PeerRecord> {
-        self.preferring(now, version, item, centre).into_iter().next()
+        self.ranked_for(now, version, item, centre).into_iter().next()
     }
 
-    /// The entries that draw an item from the origin, the first in rank first: those of the
-    /// origin's data centre, as the others' copies cross its border anyway.
+    /// Returns the entries that fetch an item from the origin, first choice first. Entries in the
+    /// origin's data centre come first, as copies for the other data centres have to leave it
+    /// anyway.
     pub fn drawers(
         &self,
         now: Moment,
@@ -135,10 +141,10 @@
         item: RelayItem,
         origin: &DataCentre,
     ) -> Vec<&PeerRecord> {
-        self.preferring(now, version, item, origin)
+        self.ranked_for(now, version, item, origin)
     }
 
-    fn preferring(
+    fn ranked_for(
         &self,
         now: Moment,
         version: &str,
@@ -150,16 +156,19 @@
             RelayItem::Chunk(index) => format!("{version}/{index}"),
         };
         let mut ranked = rendezvous::ranked(subject.as_bytes(), &self.relays, |it| it.id.as_str());
-        ranked.retain(|relay| self.is_open(now, relay));
-        let is_near = |relay: &&PeerRecord| relay.data_centre == *centre;
-        let near = ranked.iter().copied().filter(is_near);
-        let widest = near.map(|relay| relay.link_mbps).max().unwrap_or(0);
-        // Near ones with wide links, then the other near ones, then those far away.
-        ranked.sort_by_key(|relay| (!is_near(relay), relay.link_mbps < widest / NARROW_PART));
+        ranked.retain(|relay| self.is_available(now, relay));
+        let is_local = |relay: &&PeerRecord| relay.data_centre == *centre;
+        let local = ranked.iter().copied().filter(is_local);
+        let widest = local.map(|relay| relay.link_mbps).max().unwrap_or(0);
+        // Entries in the data centre with wide links, then those with narrow links, then remote
+        // ones.
+        ranked.sort_by_key(|relay| {
+            (!is_local(relay), relay.link_mbps < widest / NARROW_LINK_DIVISOR)
+        });
         ranked
     }
 
-    fn is_open(&self, now: Moment, relay: &PeerRecord) -> bool {
-        self.avoid_until.get(&relay.id).is_none_or(|until| *until <= now)
+    fn is_available(&self, now: Moment, relay: &PeerRecord) -> bool {
+        self.backoff_until.get(&relay.id).is_none_or(|until| *until <= now)
     }
 }
--- a/mustardrill_core/src/rendezvous.rs
+++ b/mustardrill_core/src/rendezvous.rs
@@ -1,10 +1,11 @@
-//! Rendezvous hashing: processes that see the same names agree on their order without talking.
+//! Rendezvous hashing: processes with the same set of names compute the same order without
+//! coordination.
 
 use std::hash::Hasher;
 
 use rustc_hash::FxHasher;
 
-/// The weight of `name` for `subject`; the highest weight goes first.
+/// Hashes `name` for `subject`; the name with the highest weight comes first.
 pub fn weight(subject: &[u8], name: &str) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(subject);
@@ -12,34 +13,35 @@
     mix(hasher.finish())
 }
 
-/// The score of `name` for `subject`, the highest first, such that names come first in proportion to
-/// their weights.
+/// Scores `name` for `subject`, the highest first, such that over many subjects each name comes
+/// first in proportion to its weight (weighted rendezvous hashing).
 pub fn weighted(subject: &[u8], name: &str, weight_of_name: u32) -> f64 {
     // In (0, 1], so that the logarithm is finite.
     (1.0 - lot(subject, name)).ln() / f64::from(weight_of_name.max(1))
 }
 
-/// A lot of `name` for `subject`, evenly in [0, 1).
+/// Maps `name` and `subject` to a hash that is uniform in [0, 1).
 pub fn lot(subject: &[u8], name: &str) -> f64 {
-    // The bits that a float holds exactly.
-    const KEPT_BITS: u32 = 53;
-    (weight(subject, name) >> (u64::BITS - KEPT_BITS)) as f64 / (1u64 << KEPT_BITS) as f64
+    // An f64 holds integers of this many bits exactly.
+    const MANTISSA_BITS: u32 = 53;
+    (weight(subject, name) >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
 }
 
-/// Orders `names` by their weight for `subject`, highest first.
+/// Orders `names` by their weight for `subject`, highest first, and by name where weights are
+/// equal.
 pub fn ranked<'a, T, F>(subject: &[u8], names: &'a [T], name_of: F) -> Vec<&'a T>
 where
     F: Fn(&T) -> &str,
 {
-    let mut keyed: Vec<_> =
+    let mut weighted: Vec<_> =
         names.iter().map(|item| (weight(subject, name_of(item)), item)).collect();
-    keyed.sort_by(|left, right| {
+    weighted.sort_by(|left, right| {
         right.0.cmp(&left.0).then_with(|| name_of(left.1).cmp(name_of(right.1)))
     });
-    keyed.into_iter().map(|(_, item)| item).collect()
+    weighted.into_iter().map(|(_, item)| item).collect()
 }
 
-/// Spreads the bits of a hash (the finaliser of `SplitMix64`).
+/// Avalanches the bits of a hash (the finaliser of `SplitMix64`).
 fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/mustardrill_core/src/routing.rs
+++ b/mustardrill_core/src/routing.rs
@@ -1,8 +1,9 @@
-//! The choice of an upstream from lagging load reports and what this entry itself has running.
+//! Load balancing over the upstreams of a service.
 //!
-//! Two random candidates, the less loaded one (the power of two choices); a request with an
-//! affinity key goes to its rendezvous choice while that one's load is within a bound
-//! (bounded-load hashing, Mirrokni et al.).
+//! Load reports from agents lag, so they are combined with the attempts that this entry has in
+//! progress. A request goes to the less loaded of two random candidates (power of two choices).
+//! A request with an affinity key goes to the first upstream in its rendezvous order whose load is
+//! within a bound of the mean (consistent hashing with bounded loads, Mirrokni et al.).
 
 use mustardrill_types::{FastMap, InstanceId, ManifestDigest, Millis, Moment};
 use rand::Rng;
@@ -10,79 +11,86 @@
 
 use crate::rendezvous;
 
-/// Failures of one upstream closer together than this are one.
-const ONE_FAILURE: Millis = Millis(50);
+/// Failures of one upstream within this time count as one: a broken connection fails all attempts
+/// on it at once.
+const FAILURE_WINDOW: Millis = Millis(50);
 
-/// How upstreams are chosen.
+/// Settings of load balancing and outlier ejection.
 #[derive(Debug, Clone)]
 pub struct RoutingSettings {
-    /// Failures in a row after which an upstream is left out.
+    /// Consecutive failures after which an upstream is ejected.
     pub eject_after: u32,
-    /// How long it is left out the first time; each time in a row doubles it.
+    /// Duration of the first ejection; doubles with each ejection that follows without a success.
     pub eject_for: Millis,
-    /// How long a returning upstream takes to get its full share.
+    /// Time after an ejection in which an upstream's share of traffic grows back to the full one.
     pub slow_start: Millis,
-    /// How far above the mean an affine choice may be loaded, in percent.
+    /// How far the load of an upstream chosen by affinity may exceed the mean, in percent.
     pub affinity_bound: u32,
-    /// How much busier a near upstream may be than a far one, in requests.
+    /// Requests added to the load of an upstream in another data centre when loads are compared.
     pub near_bonus: f64,
-    /// An upstream not heard of for this long is not chosen.
+    /// An upstream without a load report for longer than this is not chosen.
     pub silent_for: Millis,
 }
 
-/// What an upstream's agent reported last.
+/// The latest load report of an upstream's agent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamReport {
     /// Requests queued and running at the agent.
     pub outstanding: u32,
-    /// Requests that the upstream runs at once.
+    /// Requests that the upstream runs concurrently.
     pub capacity: u32,
-    /// The weights that the upstream serves.
+    /// The weights that the upstream serves, by manifest digest.
     pub serving: Vec<ManifestDigest>,
-    /// Whether it takes no new work.
+    /// Whether the upstream is draining and accepts no new requests.
     pub leaving: bool,
 }
 
-/// One upstream as an entry sees it.
+/// What an entry knows of one upstream: its last report and the results of the entry's attempts.
 #[derive(Debug)]
 pub struct UpstreamView {
-    /// The last report.
+    /// The last report, with `serving` updated from refusals that came after it.
     pub report: UpstreamReport,
-    /// Whether it is in the entry's own data centre.
+    /// Whether the upstream is in the entry's own data centre.
     pub near: bool,
-    heard: Moment,
-    own: u32,
-    since_report: u32,
+    reported_at: Moment,
+    /// Attempts of this entry in progress.
+    own_attempts: u32,
+    /// Attempts sent since the last report that have not ended.
+    attempts_since_report: u32,
+    /// Consecutive failures.
     failures: u32,
-    failed_at: Option<Moment>,
+    last_failure: Option<Moment>,
+    /// Consecutive ejections.
     ejections: u32,
     ejected_until: Moment,
-    returned: Option<Moment>,
+    /// When the last ejection ends; slow start counts from here.
+    readmitted_at: Option<Moment>,
 }
 
-/// The upstreams of one entry.
+/// The upstreams that one entry balances over.
 #[derive(Debug)]
 pub struct RoutingTable {
     settings: RoutingSettings,
     views: FastMap<InstanceId, UpstreamView>,
 }
 
-/// Why an upstream was chosen; one log line each.
+/// Why an upstream was chosen, as written to the log.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq)]
 pub enum RoutingReason {
-    /// The choice of the affinity key, within its bound.
+    /// First in the rendezvous order of the affinity key with a load within the bound.
     #[display("affinity")]
     Affinity,
-    /// The less loaded of two.
+    /// The less loaded of two random candidates.
     #[display("two-choices")]
     TwoChoices,
-    /// The only one.
+    /// The only candidate.
     #[display("only")]
     Only,
-    /// All are left out after failures, and this one comes back first.
+    /// All candidates are ejected, and the ejection of this one ends first.
     #[display("last-resort")]
     LastResort,
-    /// It refused the request for weights that it no longer serves, and told which it does.
+    /// It had refused the request for weights that it no longer serves and reported the weights
+    /// that it serves now.
     #[display("switched")]
     Switched,
 }
@@ -101,18 +109,20 @@
 }
 
 impl RoutingTable {
-    /// A table without upstreams.
+    /// Creates a table without upstreams.
     pub fn new(settings: RoutingSettings) -> Self {
         Self { settings, views: FastMap::default() }
     }
 
-    /// Takes a report of an upstream's agent.
+    /// Stores a load report; an upstream that is not in the table is added.
+    ///
+    /// `near` is read only when the upstream is added.
     pub fn reported(&mut self, now: Moment, id: &InstanceId, near: bool, report: UpstreamReport) {
         match self.views.get_mut(id) {
             Some(view) => {
                 view.report = report;
-                view.heard = now;
-                view.since_report = 0;
+                view.reported_at = now;
+                view.attempts_since_report = 0;
             }
             None => {
                 self.views.insert(id.clone(), UpstreamView::new(now, near, report));
@@ -120,54 +130,56 @@
         }
     }
 
-    /// Notes what an upstream serves, as told with a refusal, ahead of its next report.
+    /// Updates the weights that an upstream serves from a refusal, ahead of its next report.
     pub fn switched(&mut self, id: &InstanceId, serving: &[ManifestDigest]) {
         if let Some(view) = self.views.get_mut(id) {
             view.report.serving = serving.to_vec();
         }
     }
 
-    /// Forgets an upstream that is no longer listed.
+    /// Removes an upstream that is no longer a member of the fleet.
     pub fn forget(&mut self, id: &InstanceId) {
         self.views.remove(id);
     }
 
-    /// The view of an upstream.
+    /// Returns an upstream that has sent a report and was not removed since.
     pub fn get(&self, id: &InstanceId) -> Option<&UpstreamView> {
         self.views.get(id)
     }
 
-    /// All views, in no order.
+    /// Iterates over all upstreams in arbitrary order.
     pub fn views(&self) -> impl Iterator<Item = (&InstanceId, &UpstreamView)> {
         self.views.iter()
     }
 
-    /// Notes that an attempt was sent.
+    /// Counts an attempt sent to an upstream as part of its load.
     pub fn sent(&mut self, id: &InstanceId) {
         if let Some(view) = self.views.get_mut(id) {
-            view.own += 1;
-            view.since_report += 1;
+            view.own_attempts += 1;
+            view.attempts_since_report += 1;
         }
     }
 
-    /// Notes that an attempt ended; `healthy` is false where the upstream or its agent failed.
+    /// Counts an attempt as ended; `healthy` is false where the upstream or its agent failed.
     pub fn ended(&mut self, now: Moment, id: &InstanceId, healthy: bool) {
         let settings = &self.settings;
         let Some(view) = self.views.get_mut(id) else { return };
-        view.own = view.own.saturating_sub(1);
-        view.since_report = view.since_report.saturating_sub(1);
-        view.judge(now, healthy, settings);
+        view.own_attempts = view.own_attempts.saturating_sub(1);
+        view.attempts_since_report = view.attempts_since_report.saturating_sub(1);
+        view.record_result(now, healthy, settings);
     }
 
-    /// Notes that the agent could not be reached, outside of any attempt.
+    /// Counts a failure where the agent could not be reached outside of any attempt.
     pub fn unreachable(&mut self, now: Moment, id: &InstanceId) {
         let settings = &self.settings;
         if let Some(view) = self.views.get_mut(id) {
-            view.judge(now, false, settings);
+            view.record_result(now, false, settings);
         }
     }
 
-    /// Chooses among `candidates`, leaving out `tried` while there is another.
+    /// Chooses one of `candidates`; one of `tried` is chosen only where no other is available.
+    ///
+    /// Returns nothing where every candidate is draining, unknown or silent for too long.
     pub fn choose(
         &self,
         now: Moment,
@@ -176,51 +188,56 @@
         affinity: Option<&str>,
         random: &mut SmallRng,
     ) -> Option<(InstanceId, RoutingReason)> {
-        let is_open = |id: &&InstanceId| self.is_open(now, id);
-        let open: Vec<_> = candidates.iter().filter(is_open).collect();
-        if open.is_empty() {
+        let is_available = |id: &&InstanceId| self.is_available(now, id);
+        let available: Vec<_> = candidates.iter().filter(is_available).collect();
+        if available.is_empty() {
             return self.last_resort(now, candidates, tried);
         }
-        let fresh: Vec<_> = open.iter().copied().filter(|id| !tried.contains(id)).collect();
-        let pool = if fresh.is_empty() { open } else { fresh };
+        let untried: Vec<_> = available.iter().copied().filter(|id| !tried.contains(id)).collect();
+        let pool = if untried.is_empty() { available } else { untried };
         if pool.len() <= 1 {
             return pool.first().map(|id| ((*id).clone(), RoutingReason::Only));
         }
-        if let Some(id) = affinity.and_then(|key| self.affine(now, &pool, key)) {
+        if let Some(id) = affinity.and_then(|key| self.choose_by_affinity(now, &pool, key)) {
             return Some((id, RoutingReason::Affinity));
         }
         let first = random.random_range(0..pool.len());
         let second = (first + random.random_range(1..pool.len())) % pool.len();
-        let load = |place: usize| self.load(now, pool[place]);
-        let place = if load(second) < load(first) { second } else { first };
-        Some((pool[place].clone(), RoutingReason::TwoChoices))
+        let load = |index: usize| self.load(now, pool[index]);
+        let index = if load(second) < load(first) { second } else { first };
+        Some((pool[index].clone(), RoutingReason::TwoChoices))
     }
 
-    /// Where every upstream is left out, the one that comes back first: its agent answers
-    /// heartbeats, so it is more likely to run the request than none is.
+    /// Chooses the upstream whose ejection ends first, where all are ejected. Its agent still sends
+    /// heartbeats, so the request is more likely to run there than if it had no upstream.
     fn last_resort(
         &self,
         now: Moment,
         candidates: &[InstanceId],
         tried: &[InstanceId],
     ) -> Option<(InstanceId, RoutingReason)> {
-        let heard = candidates.iter().filter(|id| self.is_heard(now, id));
+        let responsive = candidates.iter().filter(|id| self.is_responsive(now, id));
         let rank = |id: &&InstanceId| (tried.contains(id), self.views[*id].ejected_until);
-        let best = heard.min_by_key(rank)?;
+        let best = responsive.min_by_key(rank)?;
         Some((best.clone(), RoutingReason::LastResort))
     }
 
-    fn is_open(&self, now: Moment, id: &InstanceId) -> bool {
-        self.is_heard(now, id) && self.views[id].ejected_until <= now
+    fn is_available(&self, now: Moment, id: &InstanceId) -> bool {
+        self.is_responsive(now, id) && self.views[id].ejected_until <= now
     }
 
-    fn is_heard(&self, now: Moment, id: &InstanceId) -> bool {
+    fn is_responsive(&self, now: Moment, id: &InstanceId) -> bool {
         self.views.get(id).is_some_and(|view| {
-            !view.report.leaving && now.since(view.heard) <= self.settings.silent_for
+            !view.report.leaving && now.since(view.reported_at) <= self.settings.silent_for
         })
     }
 
-    fn affine(&self, now: Moment, pool: &[&InstanceId], key: &str) -> Option<InstanceId> {
+    fn choose_by_affinity(
+        &self,
+        now: Moment,
+        pool: &[&InstanceId],
+        key: &str,
+    ) -> Option<InstanceId> {
         let total: f64 = pool.iter().map(|id| self.load(now, id)).sum();
         let mean = total / pool.len() as f64;
         let bound = (mean + 1.0) * (1.0 + f64::from(self.settings.affinity_bound) / 100.0);
@@ -228,71 +245,72 @@
         ranked.into_iter().find(|id| self.load(now, id) < bound).map(|id| (*id).clone())
     }
 
-    /// The load of an upstream in requests against its capacity; a returning one looks busier.
+    /// Load of an upstream: requests divided by capacity. It is raised during slow start, so that
+    /// an upstream that was ejected gets fewer requests at first.
     fn load(&self, now: Moment, id: &InstanceId) -> f64 {
         let Some(view) = self.views.get(id) else { return f64::MAX };
-        // The report lags, so what this entry sent since counts on top of it.
-        let reported = view.report.outstanding + view.since_report;
-        let outstanding = f64::from(reported.max(view.own));
-        let far = if view.near { 0.0 } else { self.settings.near_bonus };
-        let share = view.share(now, self.settings.slow_start);
-        (outstanding + 1.0 + far) / (f64::from(view.report.capacity.max(1)) * share)
+        // The report lags, so attempts that this entry sent since are added.
+        let estimated = view.report.outstanding + view.attempts_since_report;
+        let outstanding = f64::from(estimated.max(view.own_attempts));
+        let far_penalty = if view.near { 0.0 } else { self.settings.near_bonus };
+        let share = view.traffic_share(now, self.settings.slow_start);
+        (outstanding + 1.0 + far_penalty) / (f64::from(view.report.capacity.max(1)) * share)
     }
 }
 
 impl UpstreamView {
-    /// When the agent was last heard of.
+    /// Time of the agent's last load report.
     pub fn heard(&self) -> Moment {
-        self.heard
+        self.reported_at
     }
 
-    /// How many attempts of this entry it has.
+    /// Number of this entry's attempts in progress at the upstream.
     pub fn own(&self) -> u32 {
-        self.own
+        self.own_attempts
     }
 
     fn new(now: Moment, near: bool, report: UpstreamReport) -> Self {
         Self {
             report,
             near,
-            heard: now,
-            own: 0,
-            since_report: 0,
+            reported_at: now,
+            own_attempts: 0,
+            attempts_since_report: 0,
             failures: 0,
-            failed_at: None,
+            last_failure: None,
             ejections: 0,
             ejected_until: Moment(0),
-            returned: None,
+            readmitted_at: None,
         }
     }
 
-    fn judge(&mut self, now: Moment, healthy: bool, settings: &RoutingSettings) {
-        const DOUBLINGS: u32 = 5;
+    fn record_result(&mut self, now: Moment, healthy: bool, settings: &RoutingSettings) {
+        const MAX_DOUBLINGS: u32 = 5;
         if healthy {
             self.failures = 0;
             self.ejections = 0;
             return;
         }
-        // A connection that breaks ends all its attempts in one moment: that is one failure.
-        if self.failed_at.is_some_and(|before| now.since(before) < ONE_FAILURE) {
+        // A connection that breaks fails all its attempts at once; that counts as one failure.
+        if self.last_failure.is_some_and(|before| now.since(before) < FAILURE_WINDOW) {
             return;
         }
-        self.failed_at = Some(now);
+        self.last_failure = Some(now);
         self.failures += 1;
         if self.failures >= settings.eject_after {
-            let span = settings.eject_for.0 << self.ejections.min(DOUBLINGS);
+            let span = settings.eject_for.0 << self.ejections.min(MAX_DOUBLINGS);
             self.ejected_until = now + Millis(span);
-            self.returned = Some(self.ejected_until);
+            self.readmitted_at = Some(self.ejected_until);
             self.ejections += 1;
-            // One more failure after the return leaves it out again.
+            // A single failure after the ejection ejects it again.
             self.failures = settings.eject_after.saturating_sub(1);
         }
     }
 
-    fn share(&self, now: Moment, slow_start: Millis) -> f64 {
-        const LEAST: f64 = 0.1;
-        let Some(returned) = self.returned else { return 1.0 };
-        let passed = now.since(returned).0 as f64 / slow_start.0.max(1) as f64;
-        passed.clamp(LEAST, 1.0)
+    fn traffic_share(&self, now: Moment, slow_start: Millis) -> f64 {
+        const MIN_SHARE: f64 = 0.1;
+        let Some(readmitted_at) = self.readmitted_at else { return 1.0 };
+        let progress = now.since(readmitted_at).0 as f64 / slow_start.0.max(1) as f64;
+        progress.clamp(MIN_SHARE, 1.0)
     }
 }
--- a/mustardrill_core/tests/claims.rs
+++ b/mustardrill_core/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims under generated failures: a key is granted once, whichever entry asks.
+//! Claims under generated failures: a key is granted once, whichever coordinator is asked.
 
 mod common;
 
@@ -12,56 +12,58 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const ENTRIES: usize = 3;
+const COORDINATORS: usize = 3;
 
-/// The wall clock, far from zero so that nothing is old by itself.
+/// The wall clock, far from zero so that no claim is past its retention from the start.
 const WALL_S: u64 = 1_000_000;
 
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum CallOutcome {
     Served,
     Failed,
-    AnswerLost,
+    /// A write takes effect, but its response is lost.
+    ResponseLost,
+    /// A write takes effect later, at a `DeliverLate` step.
     Late,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Turn {
+enum Step {
     Claim {
-        entry: usize,
+        coordinator: usize,
         key: u8,
     },
-    /// The last attempt is asked for again, at another keeper.
-    Again {
-        entry: usize,
+    /// The claim of the last attempt is requested again, at another coordinator.
+    Repeat {
+        coordinator: usize,
     },
     Serve {
-        entry: usize,
-        fate: Fate,
+        coordinator: usize,
+        outcome: CallOutcome,
     },
     Tick,
     Crash {
-        entry: usize,
+        coordinator: usize,
     },
     DeliverLate,
 }
 
 #[derive(Default)]
-struct FakeKey {
+struct StoredShard {
     revision: u64,
     document: ClaimDocument,
 }
 
-struct World {
-    keys: BTreeMap<ShardIndex, FakeKey>,
-    late: Vec<(ShardIndex, u64, ClaimDocument)>,
-    entries: Vec<ClaimBatch>,
+struct Simulation {
+    stored: BTreeMap<ShardIndex, StoredShard>,
+    late_writes: Vec<(ShardIndex, u64, ClaimDocument)>,
+    coordinators: Vec<ClaimBatch>,
     calls: Vec<Vec<ClaimEffect>>,
-    asked: BTreeMap<AttemptId, RequestKey>,
+    key_of: BTreeMap<AttemptId, RequestKey>,
     granted: BTreeMap<RequestKey, Vec<AttemptId>>,
     settled: BTreeMap<(usize, AttemptId), ClaimOutcome>,
-    crashed: Vec<AttemptId>,
-    owners: BTreeMap<AttemptId, usize>,
+    lost_attempts: Vec<AttemptId>,
+    coordinator_of: BTreeMap<AttemptId, usize>,
 }
 
 fn settings() -> ClaimSettings {
@@ -73,31 +75,31 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
-            keys: BTreeMap::new(),
-            late: Vec::new(),
-            entries: (0..ENTRIES).map(|_| ClaimBatch::new(settings())).collect(),
-            calls: vec![Vec::new(); ENTRIES],
-            asked: BTreeMap::new(),
+            stored: BTreeMap::new(),
+            late_writes: Vec::new(),
+            coordinators: (0..COORDINATORS).map(|_| ClaimBatch::new(settings())).collect(),
+            calls: vec![Vec::new(); COORDINATORS],
+            key_of: BTreeMap::new(),
             granted: BTreeMap::new(),
             settled: BTreeMap::new(),
-            crashed: Vec::new(),
-            owners: BTreeMap::new(),
+            lost_attempts: Vec::new(),
+            coordinator_of: BTreeMap::new(),
         }
     }
 
-    fn take(&mut self, entry: usize, effects: Vec<ClaimEffect>) {
+    fn take(&mut self, coordinator: usize, effects: Vec<ClaimEffect>) {
         for effect in effects {
             let ClaimEffect::Settle(attempt, outcome) = effect else {
-                self.calls[entry].push(effect);
+                self.calls[coordinator].push(effect);
                 continue;
             };
-            let before = self.settled.insert((entry, attempt), outcome);
+            let before = self.settled.insert((coordinator, attempt), outcome);
             assert!(before.is_none() || outcome != ClaimOutcome::Granted, "settled twice");
             if outcome == ClaimOutcome::Granted {
-                let key = self.asked[&attempt];
+                let key = self.key_of[&attempt];
                 let granted = self.granted.entry(key).or_default();
                 if !granted.contains(&attempt) {
                     granted.push(attempt);
@@ -107,35 +109,35 @@
     }
 
     fn write(&mut self, shard: ShardIndex, expect: u64, document: ClaimDocument) -> Option<u64> {
-        let key = self.keys.entry(shard).or_default();
-        if key.revision != expect {
+        let stored = self.stored.entry(shard).or_default();
+        if stored.revision != expect {
             return None;
         }
-        key.revision += 1;
-        key.document = document;
-        Some(key.revision)
+        stored.revision += 1;
+        stored.document = document;
+        Some(stored.revision)
     }
 
-    fn serve(&mut self, now: Moment, entry: usize, fate: Fate) {
-        if self.calls[entry].is_empty() {
+    fn serve(&mut self, now: Moment, coordinator: usize, outcome: CallOutcome) {
+        if self.calls[coordinator].is_empty() {
             return;
         }
-        let call = self.calls[entry].remove(0);
+        let call = self.calls[coordinator].remove(0);
         let (shard, answer) = match call {
-            ClaimEffect::Read(shard) => (shard, self.read(shard, fate)),
+            ClaimEffect::Read(shard) => (shard, self.read(shard, outcome)),
             ClaimEffect::Write { shard, expect, document } => {
-                (shard, self.write_with(shard, expect, document, fate))
+                (shard, self.write_with(shard, expect, document, outcome))
             }
-            ClaimEffect::Settle(..) => unreachable!("settled claims are no calls"),
+            ClaimEffect::Settle(..) => unreachable!("a settled claim is not a call"),
         };
-        let effects = self.entries[entry].answered(now, WALL_S, shard, answer);
-        self.take(entry, effects);
+        let effects = self.coordinators[coordinator].answered(now, WALL_S, shard, answer);
+        self.take(coordinator, effects);
     }
 
-    fn read(&mut self, shard: ShardIndex, fate: Fate) -> ClaimAnswer {
-        let key = self.keys.entry(shard).or_default();
-        match fate {
-            Fate::Served => ClaimAnswer::Read(key.document.clone(), key.revision),
+    fn read(&mut self, shard: ShardIndex, outcome: CallOutcome) -> ClaimAnswer {
+        let stored = self.stored.entry(shard).or_default();
+        match outcome {
+            CallOutcome::Served => ClaimAnswer::Read(stored.document.clone(), stored.revision),
             _ => ClaimAnswer::Unknown,
         }
     }
@@ -145,109 +147,113 @@
         shard: ShardIndex,
         expect: u64,
         document: ClaimDocument,
-        fate: Fate,
+        outcome: CallOutcome,
     ) -> ClaimAnswer {
-        match fate {
-            Fate::Served => self
+        match outcome {
+            CallOutcome::Served => self
                 .write(shard, expect, document)
                 .map_or(ClaimAnswer::Conflict, ClaimAnswer::Written),
-            Fate::AnswerLost => {
+            CallOutcome::ResponseLost => {
                 self.write(shard, expect, document);
                 ClaimAnswer::Unknown
             }
-            Fate::Late => {
-                self.late.push((shard, expect, document));
+            CallOutcome::Late => {
+                self.late_writes.push((shard, expect, document));
                 ClaimAnswer::Unknown
             }
-            Fate::Failed => ClaimAnswer::Unknown,
+            CallOutcome::Failed => ClaimAnswer::Unknown,
         }
     }
 
-    fn crash(&mut self, entry: usize) {
-        self.entries[entry] = ClaimBatch::new(settings());
-        self.calls[entry].clear();
-        let lost = self.owners.iter().filter(|(attempt, owner)| {
-            **owner == entry && !self.settled.contains_key(&(entry, **attempt))
+    fn crash(&mut self, coordinator: usize) {
+        self.coordinators[coordinator] = ClaimBatch::new(settings());
+        self.calls[coordinator].clear();
+        let lost = self.coordinator_of.iter().filter(|(attempt, other)| {
+            **other == coordinator && !self.settled.contains_key(&(coordinator, **attempt))
         });
-        self.crashed.extend(lost.map(|(attempt, _)| *attempt));
+        self.lost_attempts.extend(lost.map(|(attempt, _)| *attempt));
     }
 }
 
-fn turns() -> impl Strategy<Value = Vec<Turn>> {
-    let fate = prop_oneof![
-        6 => Just(Fate::Served),
-        1 => Just(Fate::Failed),
-        2 => Just(Fate::AnswerLost),
-        1 => Just(Fate::Late),
+fn steps() -> impl Strategy<Value = Vec<Step>> {
+    let outcome = prop_oneof![
+        6 => Just(CallOutcome::Served),
+        1 => Just(CallOutcome::Failed),
+        2 => Just(CallOutcome::ResponseLost),
+        1 => Just(CallOutcome::Late),
     ];
-    let turn = prop_oneof![
-        4 => (0..ENTRIES, 0..6_u8).prop_map(|(entry, key)| Turn::Claim { entry, key }),
-        8 => (0..ENTRIES, fate).prop_map(|(entry, fate)| Turn::Serve { entry, fate }),
-        1 => (0..ENTRIES).prop_map(|entry| Turn::Again { entry }),
-        2 => Just(Turn::Tick),
-        1 => (0..ENTRIES).prop_map(|entry| Turn::Crash { entry }),
-        1 => Just(Turn::DeliverLate),
+    let step = prop_oneof![
+        4 => (0..COORDINATORS, 0..6_u8)
+            .prop_map(|(coordinator, key)| Step::Claim { coordinator, key }),
+        8 => (0..COORDINATORS, outcome)
+            .prop_map(|(coordinator, outcome)| Step::Serve { coordinator, outcome }),
+        1 => (0..COORDINATORS).prop_map(|coordinator| Step::Repeat { coordinator }),
+        2 => Just(Step::Tick),
+        1 => (0..COORDINATORS).prop_map(|coordinator| Step::Crash { coordinator }),
+        1 => Just(Step::DeliverLate),
     ];
-    prop::collection::vec(turn, 10..120)
+    prop::collection::vec(step, 10..120)
 }
 
-fn play(turns: &[Turn]) -> Result<(), TestCaseError> {
-    let mut world = World::new();
-    for (number, turn) in turns.iter().enumerate() {
+fn run_steps(steps: &[Step]) -> Result<(), TestCaseError> {
+    let mut simulation = Simulation::new();
+    for (number, step) in steps.iter().enumerate() {
         let now = Moment(number as u64 * 3 + 1);
-        match *turn {
-            Turn::Claim { entry, key } => {
+        match *step {
+            Step::Claim { coordinator, key } => {
                 let attempt = AttemptId(number as u128);
                 let key = RequestKey(u128::from(key));
-                world.asked.insert(attempt, key);
-                world.owners.insert(attempt, entry);
-                let effects = world.entries[entry].claim(now, WALL_S, key, attempt);
-                world.take(entry, effects);
+                simulation.key_of.insert(attempt, key);
+                simulation.coordinator_of.insert(attempt, coordinator);
+                let effects = simulation.coordinators[coordinator].claim(now, WALL_S, key, attempt);
+                simulation.take(coordinator, effects);
             }
-            Turn::Again { entry } => {
-                let last = world.asked.iter().next_back().map(|(attempt, key)| (*attempt, *key));
-                let is_asked = |attempt| world.settled.contains_key(&(entry, attempt));
-                if let Some((attempt, key)) = last.filter(|(attempt, _)| !is_asked(*attempt)) {
-                    let effects = world.entries[entry].claim(now, WALL_S, key, attempt);
-                    world.take(entry, effects);
+            Step::Repeat { coordinator } => {
+                let last =
+                    simulation.key_of.iter().next_back().map(|(attempt, key)| (*attempt, *key));
+                let is_settled = |attempt| simulation.settled.contains_key(&(coordinator, attempt));
+                if let Some((attempt, key)) = last.filter(|(attempt, _)| !is_settled(*attempt)) {
+                    let effects =
+                        simulation.coordinators[coordinator].claim(now, WALL_S, key, attempt);
+                    simulation.take(coordinator, effects);
                 }
             }
-            Turn::Serve { entry, fate } => world.serve(now, entry, fate),
-            Turn::Tick => {
-                for entry in 0..ENTRIES {
-                    let effects = world.entries[entry].tick(now, WALL_S);
-                    world.take(entry, effects);
+            Step::Serve { coordinator, outcome } => simulation.serve(now, coordinator, outcome),
+            Step::Tick => {
+                for coordinator in 0..COORDINATORS {
+                    let effects = simulation.coordinators[coordinator].tick(now, WALL_S);
+                    simulation.take(coordinator, effects);
                 }
             }
-            Turn::Crash { entry } => world.crash(entry),
-            Turn::DeliverLate => {
-                if let Some((shard, expect, document)) = world.late.pop() {
-                    world.write(shard, expect, document);
+            Step::Crash { coordinator } => simulation.crash(coordinator),
+            Step::DeliverLate => {
+                if let Some((shard, expect, document)) = simulation.late_writes.pop() {
+                    simulation.write(shard, expect, document);
                 }
             }
         }
     }
-    settle_all(&mut world, turns.len());
-    for (key, attempts) in &world.granted {
+    settle_all(&mut simulation, steps.len());
+    for (key, attempts) in &simulation.granted {
         prop_assert!(attempts.len() == 1, "key {key} was granted to {attempts:?}");
     }
-    for attempt in world.asked.keys() {
-        let owner = world.owners[attempt];
-        let is_settled = world.settled.contains_key(&(owner, *attempt));
-        let is_over = is_settled || world.crashed.contains(attempt);
+    for attempt in simulation.key_of.keys() {
+        let coordinator = simulation.coordinator_of[attempt];
+        let is_settled = simulation.settled.contains_key(&(coordinator, *attempt));
+        let is_over = is_settled || simulation.lost_attempts.contains(attempt);
         prop_assert!(is_over, "claim {attempt} was never settled");
     }
     Ok(())
 }
 
-/// Lets the service answer everything, until every claim is settled.
-fn settle_all(world: &mut World, turns: usize) {
+/// Lets the store serve all calls until every claim is settled.
+fn settle_all(simulation: &mut Simulation, steps: usize) {
     for round in 0..200 {
-        let now = Moment((turns as u64 + round) * 3 + 1);
-        for entry in 0..ENTRIES {
-            world.serve(now, entry, Fate::Served);
-            let effects = world.entries[entry].tick(now, WALL_S);
-            world.take(entry, effects);
+        let now = Moment((steps as u64 + round) * 3 + 1);
+        for coordinator in 0..COORDINATORS {
+            simulation.serve(now, coordinator, CallOutcome::Served);
+            let effects = simulation.coordinators[coordinator].tick(now, WALL_S);
+            simulation.take(coordinator, effects);
         }
     }
 }
@@ -256,33 +262,33 @@
     #![proptest_config(ProptestConfig { cases: cases(2_000), rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_key_is_granted_once(turns in turns()) {
-        play(&turns)?;
+    fn a_key_is_granted_once(steps in steps()) {
+        run_steps(&steps)?;
     }
 }
 
 #[test]
-fn a_released_key_may_be_claimed_again() {
-    let mut world = World::new();
+fn a_released_key_can_be_claimed_again() {
+    let mut simulation = Simulation::new();
     let key = RequestKey(7);
     let (first, second) = (AttemptId(1), AttemptId(2));
-    world.asked.insert(first, key);
-    world.asked.insert(second, key);
-    let effects = world.entries[0].claim(Moment(1), WALL_S, key, first);
-    world.take(0, effects);
-    settle_all(&mut world, 1);
-    assert_eq!(world.settled[&(0, first)], ClaimOutcome::Granted);
-    let effects = world.entries[0].release(Moment(601), WALL_S, key, first);
-    world.take(0, effects);
-    settle_all(&mut world, 200);
-    let effects = world.entries[1].claim(Moment(1_999), WALL_S, key, second);
-    world.take(1, effects);
-    settle_all(&mut world, 666);
-    assert_eq!(world.settled[&(1, second)], ClaimOutcome::Granted);
+    simulation.key_of.insert(first, key);
+    simulation.key_of.insert(second, key);
+    let effects = simulation.coordinators[0].claim(Moment(1), WALL_S, key, first);
+    simulation.take(0, effects);
+    settle_all(&mut simulation, 1);
+    assert_eq!(simulation.settled[&(0, first)], ClaimOutcome::Granted);
+    let effects = simulation.coordinators[0].release(Moment(601), WALL_S, key, first);
+    simulation.take(0, effects);
+    settle_all(&mut simulation, 200);
+    let effects = simulation.coordinators[1].claim(Moment(1_999), WALL_S, key, second);
+    simulation.take(1, effects);
+    settle_all(&mut simulation, 666);
+    assert_eq!(simulation.settled[&(1, second)], ClaimOutcome::Granted);
 }
 
 #[test]
-fn many_claims_cost_one_write() {
+fn claims_of_a_shard_are_batched_into_one_write() {
     let mut batch = ClaimBatch::new(ClaimSettings { shards: 1, ..ClaimSettings::default() });
     let (mut reads, mut writes) = (0, 0);
     let mut calls = Vec::new();
@@ -311,7 +317,7 @@
 }
 
 #[test]
-fn claims_are_forgotten_after_their_retention() {
+fn claims_are_removed_after_their_retention() {
     let mut batch =
         ClaimBatch::new(ClaimSettings { shards: 1, retention_s: 60, ..ClaimSettings::default() });
     let old = RequestKey(1);
--- a/mustardrill_core/tests/limits.rs
+++ b/mustardrill_core/tests/limits.rs
@@ -1,4 +1,5 @@
-//! The shares of customers' limits at entries that hear of a part of the others only.
+//! Shares of customers' limits at entries whose agents receive reports of some entries only, and
+//! the quarantine that the same heartbeats carry.
 
 mod common;
 
@@ -17,14 +18,14 @@
 
 const LIMIT: u32 = 100;
 
-/// An entry among `entries`, with one agent of the service.
-struct Side {
+/// One entry of a fleet, with one agent of the service.
+struct EntryFixture {
     reducer: EntryReducer,
     now: u64,
-    next: u64,
+    last_request: u64,
 }
 
-impl Side {
+impl EntryFixture {
     fn new(entries: usize) -> Self {
         let settings = EntrySettings {
             own: "entry-0".parse().unwrap(),
@@ -53,18 +54,18 @@
         reducer.reduce(now, EntryEvent::CatalogueSeen(Arc::new(document_with(&text))));
         reducer.reduce(now, EntryEvent::InstancesSeen(vec![record]));
         reducer.reduce(now, EntryEvent::EntriesCounted(entries));
-        let mut side = Self { reducer, now: 1_000, next: 0 };
-        side.hear(0, 0);
-        side
+        let mut fixture = Self { reducer, now: 1_000, last_request: 0 };
+        fixture.receive_demand(0, 0);
+        fixture
     }
 
-    /// An agent tells the sum over `heard` entries, this one included.
-    fn hear(&mut self, asked: u32, heard: u32) {
-        self.hear_all(asked, heard, Vec::new());
+    /// Receives the agent's sum of the requests over `reporting` entries, this one included.
+    fn receive_demand(&mut self, asked: u32, reporting: u32) {
+        self.receive_sync(asked, reporting, Vec::new());
     }
 
-    /// An agent also passes on what it heard of crashes.
-    fn hear_all(&mut self, asked: u32, heard: u32, crashes: Vec<CrashWord>) {
+    /// Receives the agent's answer to a heartbeat, with reports of crashes.
+    fn receive_sync(&mut self, asked: u32, reporting: u32, crashes: Vec<CrashWord>) {
         let key = ("comedor".parse().unwrap(), "desk".parse().unwrap());
         let report =
             UpstreamReport { outstanding: 0, capacity: 1_000, serving: vec![], leaving: false };
@@ -76,32 +77,32 @@
                 report,
                 progress: Vec::new(),
                 demand: vec![DemandRow { key, asked }],
-                entries: heard,
+                entries: reporting,
                 crashes,
             }),
         );
     }
 
-    /// A second with this many requests; returns how many were admitted.
-    fn second(&mut self, requests: u64) -> u32 {
+    /// Sends this many requests within a second; returns how many were admitted.
+    fn run_second(&mut self, requests: u64) -> u32 {
         let mut admitted = 0;
-        for place in 0..requests {
-            let now = Moment(self.now + place * 1_000 / requests);
-            self.next += 1;
+        for index in 0..requests {
+            let now = Moment(self.now + index * 1_000 / requests);
+            self.last_request += 1;
             let incoming = IncomingRequest {
-                id: RequestId(self.next),
+                id: RequestId(self.last_request),
                 customer: "comedor".parse().unwrap(),
                 target: "desk".parse().unwrap(),
                 is_model: false,
                 key: None,
                 deadline: now + Millis(60_000),
                 affinity: None,
-                digest: RequestDigest(u128::from(self.next)),
+                digest: RequestDigest(u128::from(self.last_request)),
             };
             let effects = self.reducer.reduce(now, EntryEvent::RequestArrived(incoming));
             let is_over = |effect: &EntryEffect| matches!(effect, EntryEffect::Reject { code, .. } if *code == ResultCode::OverLimit);
             admitted += u32::from(!effects.iter().any(is_over));
-            self.reducer.reduce(now, EntryEvent::CallerGone(RequestId(self.next)));
+            self.reducer.reduce(now, EntryEvent::CallerGone(RequestId(self.last_request)));
         }
         self.now += 1_000;
         self.reducer.reduce(Moment(self.now), EntryEvent::Tick);
@@ -109,64 +110,69 @@
     }
 }
 
-/// What an entry admits of `own` requests a second, where each of the others that its agent heard
-/// of had `others`; after a few rounds.
-fn admitted(entries: usize, heard: u32, own: u64, others: u32) -> u32 {
-    let mut side = Side::new(entries);
-    let mut last = 0;
+/// Requests that an entry admits of `own` per second after a few rounds, where each other entry
+/// that reports to its agent receives `others` per second.
+fn admitted_per_second(entries: usize, reporting: u32, own: u64, others: u32) -> u32 {
+    let mut fixture = EntryFixture::new(entries);
+    let mut admitted = 0;
     for _ in 0..5 {
-        last = side.second(own);
-        side.hear(own as u32 + others * (heard - 1), heard);
+        admitted = fixture.run_second(own);
+        fixture.receive_demand(own as u32 + others * (reporting - 1), reporting);
     }
-    last
+    admitted
 }
 
 #[test]
-fn a_customer_at_one_entry_of_many_has_its_whole_limit() {
-    for (entries, heard) in [(3, 3), (34, 10), (340, 18)] {
-        let got = admitted(entries, heard, u64::from(LIMIT), 0);
+fn a_customer_at_one_entry_of_many_gets_its_full_limit() {
+    for (entries, reporting) in [(3, 3), (34, 10), (340, 18)] {
+        let admitted = admitted_per_second(entries, reporting, u64::from(LIMIT), 0);
         assert!(
-            got >= LIMIT * 85 / 100,
-            "{got} of {LIMIT} with {heard} of {entries} entries heard"
+            admitted >= LIMIT * 85 / 100,
+            "{admitted} of {LIMIT} admitted with {reporting} of {entries} entries reporting"
         );
     }
 }
 
 #[test]
-fn even_demand_has_even_shares() {
-    for (entries, heard) in [(3, 3), (34, 10)] {
-        // Each entry is asked for four times its part of the limit.
+fn equal_demand_gets_equal_shares() {
+    for (entries, reporting) in [(3, 3), (34, 10)] {
+        // Each entry receives four times its equal share of the limit.
         let own = 4 * LIMIT / entries as u32;
-        let got = admitted(entries, heard, u64::from(own), own) as f64 * entries as f64;
+        let admitted =
+            admitted_per_second(entries, reporting, u64::from(own), own) as f64 * entries as f64;
         let limit = f64::from(LIMIT);
-        assert!(got >= 0.6 * limit && got <= 1.3 * limit, "{got} of {limit} at {entries} entries");
+        assert!(
+            admitted >= 0.6 * limit && admitted <= 1.3 * limit,
+            "{admitted} of {limit} admitted at {entries} entries"
+        );
     }
 }
 
 #[test]
-fn an_entry_that_is_heard_alone_keeps_to_an_equal_share() {
-    let got = admitted(34, 1, u64::from(LIMIT), 0);
-    assert!(got <= LIMIT / 10, "{got} of {LIMIT}, though nothing is known of 33 others");
+fn an_entry_that_reports_alone_keeps_to_an_equal_share() {
+    let admitted = admitted_per_second(34, 1, u64::from(LIMIT), 0);
+    assert!(admitted <= LIMIT / 10, "{admitted} of {LIMIT} admitted without reports of 33 others");
 }
 
-/// A request was held to end upstreams, and then was answered whole. Entries that had heard of the
-/// first told it on with each heartbeat, also to those that had heard of the second.
+/// A request is quarantined as crashing upstreams and later gets a complete answer. Entries that
+/// had received the quarantine sent it on with each heartbeat, also to entries that knew it had
+/// ended.
 #[test]
-fn a_quarantine_that_has_ended_is_told_on_no_more() {
-    let mut side = Side::new(2);
+fn a_quarantine_that_has_ended_is_no_longer_broadcast() {
+    let mut fixture = EntryFixture::new(2);
     let digest = RequestDigest(7);
-    let told = |side: &mut Side| {
-        side.now += 700;
-        let effects = side.reducer.reduce(Moment(side.now), EntryEvent::Tick);
+    let broadcast = |fixture: &mut EntryFixture| {
+        fixture.now += 700;
+        let effects = fixture.reducer.reduce(Moment(fixture.now), EntryEvent::Tick);
         let sync = effects.into_iter().find_map(|effect| match effect {
             EntryEffect::Sync { crashes, .. } => Some(crashes),
             _ => None,
         });
-        side.hear(0, 0);
+        fixture.receive_demand(0, 0);
         sync.expect("a heartbeat is due")
     };
-    side.hear_all(0, 0, vec![CrashWord::Quarantined(digest, Millis(60_000))]);
-    assert!(matches!(told(&mut side)[..], [CrashWord::Quarantined(..)]));
-    side.hear_all(0, 0, vec![CrashWord::Sound(digest, Moment(side.now))]);
-    assert_eq!(told(&mut side), []);
+    fixture.receive_sync(0, 0, vec![CrashWord::Quarantined(digest, Millis(60_000))]);
+    assert!(matches!(broadcast(&mut fixture)[..], [CrashWord::Quarantined(..)]));
+    fixture.receive_sync(0, 0, vec![CrashWord::Sound(digest, Moment(fixture.now))]);
+    assert_eq!(broadcast(&mut fixture), []);
 }
--- a/mustardrill_core/tests/paces.rs
+++ b/mustardrill_core/tests/paces.rs
@@ -1,4 +1,4 @@
-//! The estimated finish of a copy.
+//! The estimated remaining time of a transfer.
 
 mod common;
 
@@ -10,13 +10,13 @@
 
 const START: u64 = 1_000;
 
-/// A copy that grows by one chunk every `every` milliseconds until it holds `held`.
-fn grown(every: u64, held: u32) -> (TransferPace, Moment) {
+/// A transfer that receives one chunk every `interval_ms` until it holds `held`.
+fn transfer_with(interval_ms: u64, held: u32) -> (TransferPace, Moment) {
     let mut pace = TransferPace::default();
     let mut now = Moment(START);
     pace.note(now, 0);
     for count in 1..=held {
-        now = Moment(START + u64::from(count) * every);
+        now = Moment(START + u64::from(count) * interval_ms);
         pace.note(now, count);
     }
     (pace, now)
@@ -31,35 +31,46 @@
     })]
 
     #[test]
-    fn a_steady_copy_is_foretold(every in 5u64..2_000, held in 1u32..400, missing in 1u32..400) {
-        let (pace, now) = grown(every, held);
-        let told = pace.remaining(now, held, held + missing).map(|left| left.0);
-        let right = u64::from(missing) * every;
-        prop_assert_eq!(told, Some(right));
+    fn the_estimate_of_a_steady_transfer_is_exact(
+        interval_ms in 5u64..2_000,
+        held in 1u32..400,
+        missing in 1u32..400,
+    ) {
+        let (pace, now) = transfer_with(interval_ms, held);
+        let estimate_ms = pace.remaining(now, held, held + missing).map(|left| left.0);
+        let expected_ms = u64::from(missing) * interval_ms;
+        prop_assert_eq!(estimate_ms, Some(expected_ms));
     }
 
     #[test]
-    fn the_pace_of_long_ago_is_forgotten(slow in 50u32..400, fast in 20u64..200) {
-        // Slow for a long time, then steady at another pace for longer than the window.
-        let (mut pace, begun) = grown(1_000, slow);
-        let count = 11_000 / fast + 30;
-        let mut now = begun;
+    fn the_rate_before_the_window_is_not_counted(slow_chunks in 50u32..400, fast_ms in 20u64..200) {
+        // Slow for a long time, then steady at another rate for longer than the window.
+        let (mut pace, changed_at) = transfer_with(1_000, slow_chunks);
+        let count = 11_000 / fast_ms + 30;
+        let mut now = changed_at;
         for step in 1..=count {
-            now = begun + Millis(step * fast);
-            pace.note(now, slow + step as u32);
+            now = changed_at + Millis(step * fast_ms);
+            pace.note(now, slow_chunks + step as u32);
         }
-        let held = slow + count as u32;
-        let told = pace.remaining(now, held, held + 100).expect("it grows").0;
-        let right = 100 * fast;
-        prop_assert!(told >= right && told <= right * 5 / 4, "{told} for {right}");
+        let held = slow_chunks + count as u32;
+        let estimate_ms = pace.remaining(now, held, held + 100).expect("chunks arrive").0;
+        let expected_ms = 100 * fast_ms;
+        prop_assert!(
+            estimate_ms >= expected_ms && estimate_ms <= expected_ms * 5 / 4,
+            "{estimate_ms} for {expected_ms}"
+        );
     }
 }
 
 #[test]
-fn what_does_not_move_has_no_estimate() {
-    let (pace, now) = grown(100, 50);
-    assert_eq!(TransferPace::default().remaining(now, 0, 100), None, "nothing came yet");
+fn a_stalled_transfer_has_no_estimate() {
+    let (pace, now) = transfer_with(100, 50);
+    assert_eq!(TransferPace::default().remaining(now, 0, 100), None, "no chunk has arrived yet");
     assert!(pace.remaining(now + Millis(9_000), 50, 100).is_some());
-    assert_eq!(pace.remaining(now + Millis(10_000), 50, 100), None, "it stalls");
-    assert_eq!(pace.remaining(now + Millis(60_000), 100, 100), Some(Millis(0)), "it is whole");
+    assert_eq!(pace.remaining(now + Millis(10_000), 50, 100), None, "the transfer has stalled");
+    assert_eq!(
+        pace.remaining(now + Millis(60_000), 100, 100),
+        Some(Millis(0)),
+        "the transfer is complete"
+    );
 }
--- a/mustardrill_core/tests/policies.rs
+++ b/mustardrill_core/tests/policies.rs
@@ -1,4 +1,4 @@
-//! Admission, limits, routing and budgets, each with the measure that speaks for it.
+//! Policies of admission, rate limits, load balancing, retry budgets and rendezvous hashing.
 
 mod common;
 
@@ -12,8 +12,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn queue(capacity: u32, places: u32, turns: u32) -> AdmissionQueue {
-    AdmissionQueue::new(AdmissionSettings { capacity, queue: places, turns, ..Default::default() })
+fn queue(capacity: u32, length: u32, turns: u32) -> AdmissionQueue {
+    AdmissionQueue::new(AdmissionSettings { capacity, queue: length, turns, ..Default::default() })
 }
 
 fn offer(queue: &mut AdmissionQueue, attempt: u128, class: RequestClass) -> Admission {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn higher_classes_go_first_and_lower_ones_are_not_starved() {
+fn higher_classes_run_first_and_lower_ones_are_not_starved() {
     let mut queue = queue(1, 100, 4);
     assert_eq!(offer(&mut queue, 0, RequestClass::Urgent), Admission::Run);
     for number in 1..=20 {
@@ -34,57 +34,65 @@
     }
     let mut order = Vec::new();
     let mut running = AttemptId(0);
-    for turn in 0..20 {
-        queue.finished(Moment(10 * turn), running);
-        running = queue.next_run(Moment(10 * turn)).unwrap();
+    for round in 0..20 {
+        queue.finished(Moment(10 * round), running);
+        running = queue.next_run(Moment(10 * round)).unwrap();
         order.push(running.0.is_multiple_of(2));
     }
-    assert_eq!(&order[..5], [true, true, true, true, false], "one of five goes to the lower class");
-    let urgent_done = order.iter().rposition(|is_urgent| *is_urgent).unwrap();
-    assert_eq!(urgent_done, 11, "ten urgent ones with two others between them");
+    assert_eq!(
+        &order[..5],
+        [true, true, true, true, false],
+        "one of five starts is of the lower class"
+    );
+    let last_urgent = order.iter().rposition(|is_urgent| *is_urgent).unwrap();
+    assert_eq!(last_urgent, 11, "ten urgent requests with two background ones between them");
 }
 
 #[test]
-fn lower_classes_start_one_by_one_while_a_higher_one_is_about() {
-    // A run is taken to last 100 ms at first, so a slot of ten frees up every 10 ms.
+fn lower_classes_start_one_by_one_while_a_higher_class_is_active() {
+    // The initial run time is 100 ms, so one of ten slots becomes free every 10 ms.
     let mut queue = queue(10, 100, 1_000);
     let far = Moment(1_000_000);
     let urgent = queue.offer(Moment(1_000), AttemptId(0), RequestClass::Urgent, far);
     assert_eq!(urgent, Admission::Run);
     for number in 1..=5 {
         let low = queue.offer(Moment(1_000), AttemptId(number), RequestClass::Background, far);
-        assert_eq!(low, Admission::Queued, "it would end together with the urgent one");
+        assert_eq!(low, Admission::Queued, "it would finish together with the urgent one");
     }
     assert_eq!(queue.next_run(Moment(1_004)), None);
     assert_eq!(queue.held_until(), Some(Moment(1_005)));
     assert_eq!(queue.next_run(Moment(1_005)), Some(AttemptId(1)));
-    assert_eq!(queue.next_run(Moment(1_006)), None, "one at a time");
-    // A request of the higher class never waits for a free slot.
+    assert_eq!(queue.next_run(Moment(1_006)), None, "starts are spaced");
+    // A request of the higher class starts at once where a slot is free.
     let urgent = queue.offer(Moment(1_006), AttemptId(9), RequestClass::Urgent, far);
     assert_eq!(urgent, Admission::Run);
     assert_eq!(queue.next_run(Moment(1_011)), Some(AttemptId(2)));
-    // Long after the last of the higher class nothing is held back any more.
+    // Long after the last request of the higher class, starts are no longer spaced.
     let later = Moment(10_000);
     assert_eq!(queue.next_run(later), Some(AttemptId(3)));
     assert_eq!(queue.next_run(later), Some(AttemptId(4)));
 }
 
 #[test]
-fn requests_that_pass_a_held_one_count_towards_its_turn() {
+fn requests_that_overtake_a_held_one_count_towards_its_turn() {
     let mut queue = queue(10, 100, 8);
     let far = Moment(1_000_000);
     queue.offer(Moment(1_000), AttemptId(0), RequestClass::Urgent, far);
     queue.offer(Moment(1_000), AttemptId(1), RequestClass::Background, far);
     for number in 2..10 {
-        assert_eq!(queue.next_run(Moment(1_000)), None, "it is held back");
+        assert_eq!(queue.next_run(Moment(1_000)), None, "the background request is held");
         let urgent = queue.offer(Moment(1_000), AttemptId(number), RequestClass::Urgent, far);
         assert_eq!(urgent, Admission::Run);
     }
-    assert_eq!(queue.next_run(Moment(1_000)), Some(AttemptId(1)), "after eight it is its turn");
+    assert_eq!(
+        queue.next_run(Moment(1_000)),
+        Some(AttemptId(1)),
+        "it starts after eight requests of the higher class"
+    );
 }
 
 #[test]
-fn one_class_alone_is_never_held_back() {
+fn starts_of_a_single_class_are_never_spaced() {
     let mut queue = queue(10, 100, 8);
     let runs = (0..10).map(|number| offer(&mut queue, number, RequestClass::Background));
     assert!(runs.into_iter().all(|admission| admission == Admission::Run));
@@ -92,24 +100,24 @@
 }
 
 #[test]
-fn what_would_be_late_is_refused_at_once() {
+fn requests_that_would_miss_their_deadline_are_refused_at_once() {
     let mut queue = queue(1, 100, 4);
     offer(&mut queue, 0, RequestClass::Standard);
-    // A run takes 100 ms as far as is known, so a second one ends at 200 ms.
+    // The initial run time is 100 ms, so a second request would finish at 200 ms.
     let late = queue.offer(Moment(1), AttemptId(1), RequestClass::Standard, Moment(150));
     assert!(
         matches!(late, Admission::Refused(ResultCode::Overloaded, wait) if wait.0 >= 100),
         "{late:?}"
     );
-    let dead = queue.offer(Moment(1), AttemptId(2), RequestClass::Standard, Moment(1));
-    assert!(matches!(dead, Admission::Refused(ResultCode::DeadlinePassed, _)));
+    let expired = queue.offer(Moment(1), AttemptId(2), RequestClass::Standard, Moment(1));
+    assert!(matches!(expired, Admission::Refused(ResultCode::DeadlinePassed, _)));
     let fits = queue.offer(Moment(1), AttemptId(3), RequestClass::Standard, Moment(500));
     assert_eq!(fits, Admission::Queued);
     assert_eq!(queue.expired(Moment(600)), [AttemptId(3)]);
 }
 
 #[test]
-fn a_full_queue_refuses_and_a_withdrawn_one_frees_its_place() {
+fn a_full_queue_refuses_until_a_waiting_request_is_withdrawn() {
     let mut queue = queue(1, 1, 4);
     offer(&mut queue, 0, RequestClass::Standard);
     assert_eq!(offer(&mut queue, 1, RequestClass::Standard), Admission::Queued);
@@ -117,7 +125,10 @@
         offer(&mut queue, 2, RequestClass::Standard),
         Admission::Refused(ResultCode::Overloaded, _)
     ));
-    assert!(queue.withdraw(AttemptId(1)) && !queue.withdraw(AttemptId(0)), "what runs stays");
+    assert!(
+        queue.withdraw(AttemptId(1)) && !queue.withdraw(AttemptId(0)),
+        "a running request is not withdrawn"
+    );
     assert_eq!(offer(&mut queue, 3, RequestClass::Standard), Admission::Queued);
 }
 
@@ -132,7 +143,10 @@
     assert_eq!(offer(&mut queue, 5, RequestClass::Urgent), Admission::Displaced(AttemptId(2)));
     assert_eq!(offer(&mut queue, 6, RequestClass::Urgent), Admission::Displaced(AttemptId(1)));
     let full = offer(&mut queue, 7, RequestClass::Urgent);
-    assert!(matches!(full, Admission::Refused(ResultCode::Overloaded, _)), "nobody is lower");
+    assert!(
+        matches!(full, Admission::Refused(ResultCode::Overloaded, _)),
+        "no request of a lower class waits"
+    );
     assert_eq!(queue.queued(), 3);
 }
 
@@ -140,9 +154,9 @@
     (customer.parse().unwrap(), "drafts".parse().unwrap())
 }
 
-/// Admits `offered` requests a second at each entry for ten seconds, with a round of shares each
-/// second; returns how many were admitted a second after the first three.
-fn admitted(offered: &[u64], limits: CustomerLimits) -> f64 {
+/// Sends `offered` requests per second to each entry for ten seconds, with a round of shares each
+/// second; returns the requests admitted per second after the first three seconds.
+fn admitted_rate(offered: &[u64], limits: CustomerLimits) -> f64 {
     let mut tables: Vec<LimitTable> = offered.iter().map(|_| LimitTable::default()).collect();
     let key = key("comedor");
     let mut count = 0;
@@ -175,9 +189,12 @@
 fn a_limit_is_shared_by_entries_and_follows_demand() {
     let limits = CustomerLimits { requests_per_second: 100, in_flight: 50 };
     for offered in [vec![300, 0, 0, 0], vec![100, 100, 100, 100], vec![200, 50, 10, 0], vec![400]] {
-        let rate = admitted(&offered, limits);
+        let rate = admitted_rate(&offered, limits);
         let error = (rate - 100.0) / 100.0;
-        assert!((-0.12..=0.05).contains(&error), "{offered:?}: {rate} a second of 100");
+        assert!(
+            (-0.12..=0.05).contains(&error),
+            "{offered:?}: {rate} requests admitted per second of 100 allowed"
+        );
     }
     for (entries, limit) in [(1, 10), (4, 1), (4, 1_000), (100, 2_000)] {
         let all = (0..entries).sum();
@@ -188,23 +205,23 @@
 }
 
 #[test]
-fn little_demand_at_another_entry_takes_no_share_away() {
+fn low_demand_at_another_entry_takes_no_share_away() {
     let limits = CustomerLimits { requests_per_second: 5_000, in_flight: 500 };
     let (mut table, key) = (LimitTable::default(), key("comedor"));
     assert!(table.admit(Moment(1), &key, limits, 2).is_ok());
     let demand = RoundDemand { own: 0, all: 1, limit: 5_000 };
     table.set_share(&key, demand, 2);
     let admitted = (0..200).filter(|_| table.admit(Moment(2), &key, limits, 2).is_ok()).count();
-    assert_eq!(admitted, 200, "half of 500 may be in progress here");
+    assert_eq!(admitted, 200, "half of the 500 requests in flight are allowed at this entry");
 }
 
 #[test]
-fn one_customers_storm_leaves_another_whole() {
+fn a_customer_over_its_limit_does_not_affect_another() {
     let limits = CustomerLimits { requests_per_second: 10, in_flight: 5 };
     let mut table = LimitTable::default();
     let storm =
         (0..1_000).filter(|_| table.admit(Moment(1), &key("storm"), limits, 1).is_ok()).count();
-    assert!(storm <= 5, "{storm} were admitted");
+    assert!(storm <= 5, "{storm} requests were admitted");
     assert!(table.admit(Moment(1), &key("calm"), limits, 1).is_ok());
     let over = table.admit(Moment(1), &key("storm"), limits, 1).unwrap_err();
     assert!(over.retry_after.0 > 0);
@@ -212,7 +229,7 @@
 }
 
 #[test]
-fn retries_stay_within_their_share() {
+fn retries_stay_within_their_budget() {
     let mut budget = RetryBudget::new(RetrySettings { percent: 20, reserve: 10, attempts: 4 });
     let mut retries = 0;
     for _ in 0..1_000 {
@@ -220,11 +237,11 @@
         retries += u32::from(budget.spend(1));
     }
     assert!((200..=210).contains(&retries), "{retries} retries of 1000 requests");
-    assert!(!budget.spend(4), "a request has its last attempt");
+    assert!(!budget.spend(4), "the request has no attempt left");
 }
 
 fn ids(count: usize) -> Vec<InstanceId> {
-    (0..count).map(|place| format!("instance-{place}").parse().unwrap()).collect()
+    (0..count).map(|index| format!("instance-{index}").parse().unwrap()).collect()
 }
 
 fn report(outstanding: u32) -> UpstreamReport {
@@ -239,7 +256,7 @@
 }
 
 #[test]
-fn a_failing_upstream_is_left_out_and_comes_back_slowly() {
+fn a_failing_upstream_is_ejected_and_readmitted_by_slow_start() {
     let settings = RoutingSettings { silent_for: Millis(1_000_000), ..RoutingSettings::default() };
     let (mut table, ids) = table(2, settings);
     let mut random = SmallRng::seed_from_u64(1);
@@ -263,39 +280,46 @@
         }
         picked
     };
-    assert_eq!(share(&mut table, 200), 0, "it is left out");
-    let back = share(&mut table, 2_140);
-    assert!(back > 0 && back < 300, "{back} of 1000 went to one that has just returned");
+    assert_eq!(share(&mut table, 200), 0, "it is ejected");
+    let picked = share(&mut table, 2_140);
+    assert!(picked > 0 && picked < 300, "{picked} of 1000 went to an upstream in slow start");
 }
 
 #[test]
-fn one_broken_connection_is_one_failure() {
+fn one_broken_connection_counts_as_one_failure() {
     let (mut table, ids) = table(2, RoutingSettings::default());
     let mut random = SmallRng::seed_from_u64(1);
     (0..20).for_each(|_| table.sent(&ids[0]));
     (0..20).for_each(|_| table.ended(Moment(10), &ids[0], false));
     let mut choose = || table.choose(Moment(11), &ids, &[], None, &mut random).unwrap().0;
-    assert!((0..100).any(|_| choose() == ids[0]), "twenty attempts on one connection eject nobody");
+    assert!(
+        (0..100).any(|_| choose() == ids[0]),
+        "twenty failed attempts on one connection eject no upstream"
+    );
 }
 
 #[test]
-fn where_all_are_left_out_the_first_to_return_is_the_last_resort() {
+fn where_all_are_ejected_the_first_to_be_readmitted_is_the_last_resort() {
     let (mut table, ids) = table(3, RoutingSettings::default());
     let mut random = SmallRng::seed_from_u64(1);
-    for (place, id) in ids.iter().enumerate() {
+    for (index, id) in ids.iter().enumerate() {
         for failure in 0..3 {
-            table.ended(Moment(10 + 100 * failure + place as u64), id, false);
+            table.ended(Moment(10 + 100 * failure + index as u64), id, false);
         }
     }
     let mut choose =
         |tried: &[InstanceId]| table.choose(Moment(300), &ids, tried, None, &mut random).unwrap();
     assert_eq!(choose(&[]), (ids[0].clone(), RoutingReason::LastResort));
     assert_eq!(choose(&ids[..1]), (ids[1].clone(), RoutingReason::LastResort));
-    assert_eq!(choose(&ids), (ids[0].clone(), RoutingReason::LastResort), "better than none");
+    assert_eq!(
+        choose(&ids),
+        (ids[0].clone(), RoutingReason::LastResort),
+        "a tried upstream is better than none"
+    );
 }
 
 #[test]
-fn a_prefix_stays_with_its_upstream_within_the_bound() {
+fn requests_with_one_prefix_go_to_one_upstream_within_the_load_bound() {
     let (mut table, ids) = table(8, RoutingSettings::default());
     let mut random = SmallRng::seed_from_u64(1);
     let mut choose = |table: &RoutingTable| {
@@ -305,11 +329,11 @@
     assert_eq!(reason, RoutingReason::Affinity);
     assert_eq!(choose(&table).0, first);
     (0..40).for_each(|_| table.sent(&first));
-    assert_ne!(choose(&table).0, first, "it is far above the mean");
+    assert_ne!(choose(&table).0, first, "its load is far above the mean");
 }
 
 #[test]
-fn a_silent_or_leaving_upstream_is_not_chosen() {
+fn a_silent_or_draining_upstream_is_not_chosen() {
     let (mut table, ids) = table(2, RoutingSettings::default());
     let mut random = SmallRng::seed_from_u64(1);
     table.reported(Moment(9_000), &ids[0], true, UpstreamReport { leaving: true, ..report(0) });
@@ -320,7 +344,7 @@
 }
 
 #[test]
-fn a_leaver_moves_only_its_own_share() {
+fn removing_a_name_moves_only_its_own_subjects() {
     let before = ids(50);
     let after: Vec<_> = before.iter().filter(|id| id.as_str() != "instance-7").cloned().collect();
     let first = |names: &[InstanceId], subject: u32| {
--- a/mustardrill_core/tests/relays.rs
+++ b/mustardrill_core/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Which entries hand weights on, and how a transfer uses them.
+//! Which entries relay weights, and how a transfer fetches from them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,9 +20,9 @@
     name.parse().unwrap()
 }
 
-fn relay(id: &str, place: &str, link_mbps: u32) -> PeerRecord {
+fn relay(id: &str, hall: &str, link_mbps: u32) -> PeerRecord {
     let address = SocketAddr::from(([10, 9, 0, 1], 7700));
-    PeerRecord { id: id.parse().unwrap(), address, data_centre: centre(place), link_mbps }
+    PeerRecord { id: id.parse().unwrap(), address, data_centre: centre(hall), link_mbps }
 }
 
 fn table(relays: &[PeerRecord]) -> RelayTable {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn near_entries_share_the_chunks_and_far_ones_stand_in() {
+fn local_entries_share_the_chunks_and_remote_ones_are_the_fallback() {
     let relays = [
         relay("e-1", "hall-a", 1_000),
         relay("e-2", "hall-a", 1_000),
@@ -55,36 +55,36 @@
     assert_eq!(nearest(&table, START, 0).as_deref(), Some("e-3"));
     table.failed(START, &"e-3".parse().unwrap());
     assert_eq!(nearest(&table, START, 0), None);
-    assert!(nearest(&table, START + Millis(5_000), 0).is_some(), "failures are forgiven");
+    assert!(nearest(&table, START + Millis(5_000), 0).is_some(), "the backoff has ended");
 }
 
-/// A chunk for all agents of a data centre takes a narrow link so long that answers wait.
+/// Sending a chunk to all agents of a data centre fills a narrow link, and answers wait behind it.
 #[test]
-fn entries_with_narrow_links_hand_on_only_what_no_other_can() {
+fn entries_with_narrow_links_relay_only_where_no_other_can() {
     let mut table = table(&[relay("wide", "hall-a", 200), relay("narrow", "hall-a", 40)]);
-    let all_by = |table: &RelayTable, id: &str| {
+    let all_relayed_by = |table: &RelayTable, id: &str| {
         (0..TOTAL).all(|index| {
             let found = table.nearest(START, "m:2", chunk(index), &centre("hall-a"));
             found.is_some_and(|relay| relay.id.as_str() == id)
         })
     };
-    assert!(all_by(&table, "wide"));
+    assert!(all_relayed_by(&table, "wide"));
     table.failed(START, &"wide".parse().unwrap());
-    assert!(all_by(&table, "narrow"));
+    assert!(all_relayed_by(&table, "narrow"));
 }
 
 #[test]
-fn all_agree_on_who_draws_and_it_stands_near_the_origin() {
+fn all_processes_choose_the_same_seeders_near_the_origin_first() {
     let relays =
         [relay("e-1", "hall-a", 100), relay("e-2", "hall-b", 100), relay("e-3", "hall-b", 100)];
     let reversed: Vec<_> = relays.iter().rev().cloned().collect();
     let (one, other) = (table(&relays), table(&reversed));
     let origin = centre("hall-b");
     for index in 0..TOTAL {
-        let drawers = one.drawers(START, "m:2", chunk(index), &origin);
-        assert_eq!(drawers[0].data_centre, origin);
-        assert_eq!(drawers, other.drawers(START, "m:2", chunk(index), &origin));
-        assert_eq!(drawers.len(), relays.len());
+        let seeders = one.drawers(START, "m:2", chunk(index), &origin);
+        assert_eq!(seeders[0].data_centre, origin);
+        assert_eq!(seeders, other.drawers(START, "m:2", chunk(index), &origin));
+        assert_eq!(seeders.len(), relays.len());
     }
 }
 
@@ -121,129 +121,136 @@
     }
 }
 
-fn of_relays(draws: &[ChunkDraw]) -> Vec<u32> {
+fn relayed_indexes(draws: &[ChunkDraw]) -> Vec<u32> {
     let is_relay = |draw: &&ChunkDraw| matches!(draw.source, ChunkSource::Relay(_));
     draws.iter().filter(is_relay).map(|draw| draw.index.0).collect()
 }
 
 #[test]
-fn a_version_that_has_just_been_named_is_drawn_from_entries_in_order() {
+fn a_newly_announced_version_is_fetched_from_entries_in_order() {
     let mut plan = plan("10.0.0.1", settings(true), &[relay("e-1", "hall-a", 100)]);
-    // Peers hold some of it: their links are left to answers all the same.
+    // A peer holds all chunks, but its link is left to answers.
     let id: InstanceId = "10.0.0.2".parse().unwrap();
     plan.heard(START, &id, ChunkBitmap::full(TOTAL), 0);
-    let mut drawn = Vec::new();
+    let mut fetched = Vec::new();
     while !plan.is_complete() {
         let draws = plan.next_draws(START);
-        assert_eq!(of_relays(&draws).len(), draws.len(), "{draws:?}");
+        assert_eq!(relayed_indexes(&draws).len(), draws.len(), "{draws:?}");
         assert!(!draws.is_empty() && draws.len() <= 3);
         for draw in draws {
-            drawn.push(draw.index.0);
+            fetched.push(draw.index.0);
             plan.finished(START, draw.index, &draw.source, &DrawOutcome::Verified);
         }
     }
-    assert_eq!(drawn, (0..TOTAL).collect::<Vec<_>>());
+    assert_eq!(fetched, (0..TOTAL).collect::<Vec<_>>());
 }
 
 #[test]
-fn one_that_comes_later_asks_its_peers_first() {
+fn an_instance_that_joins_later_fetches_from_its_peers_first() {
     let mut plan = plan("10.0.0.1", settings(false), &[relay("e-1", "hall-a", 100)]);
-    assert!(plan.next_draws(START).is_empty(), "peers are given a moment to tell what they hold");
-    let mut most = ChunkBitmap::full(TOTAL);
-    most.remove(ChunkIndex(7));
-    plan.heard(START, &"10.0.0.2".parse().unwrap(), most, 0);
+    assert!(plan.next_draws(START).is_empty(), "it first waits for peers to report what they hold");
+    let mut all_but_one = ChunkBitmap::full(TOTAL);
+    all_but_one.remove(ChunkIndex(7));
+    plan.heard(START, &"10.0.0.2".parse().unwrap(), all_but_one, 0);
     let later = START + Millis(400);
     let mut from_entries = Vec::new();
     for step in 0..TOTAL {
         let now = later + Millis(u64::from(step));
         for draw in plan.next_draws(now) {
-            from_entries.extend(of_relays(std::slice::from_ref(&draw)));
+            from_entries.extend(relayed_indexes(std::slice::from_ref(&draw)));
             plan.finished(now, draw.index, &draw.source, &DrawOutcome::Verified);
         }
     }
     assert!(plan.is_complete());
-    assert_eq!(from_entries, [7], "what no peer shows");
+    assert_eq!(from_entries, [7], "the chunk that no peer holds");
 }
 
 #[test]
-fn without_entries_near_one_copy_crosses_the_border() {
+fn without_local_entries_one_copy_is_fetched_from_another_data_centre() {
     let relays = [relay("e-1", "hall-b", 100)];
-    let mut asked = Vec::new();
+    let mut relayed = Vec::new();
     for own in ["10.0.0.1", "10.0.0.2", "10.0.0.3"] {
         let mut plan = plan(own, settings(true), &relays);
         let now = START + Millis(400);
         for _ in 0..TOTAL {
             for draw in plan.next_draws(now) {
-                asked.extend(of_relays(std::slice::from_ref(&draw)));
+                relayed.extend(relayed_indexes(std::slice::from_ref(&draw)));
                 plan.finished(now, draw.index, &draw.source, &DrawOutcome::Verified);
             }
         }
     }
-    asked.sort_unstable();
-    assert_eq!(asked, (0..TOTAL).collect::<Vec<_>>(), "each chunk by its home");
+    relayed.sort_unstable();
+    assert_eq!(relayed, (0..TOTAL).collect::<Vec<_>>(), "each chunk by its primary holder");
 }
 
 #[test]
-fn entries_that_fail_leave_the_origin_and_peers() {
+fn after_entries_fail_chunks_are_fetched_from_the_origin() {
     let mut plan = plan("10.0.0.1", settings(true), &[relay("e-1", "hall-a", 100)]);
     for draw in plan.next_draws(START) {
         plan.finished(START, draw.index, &draw.source, &DrawOutcome::Failed);
     }
     let draws = plan.next_draws(START + Millis(300));
     assert!(draws.iter().any(|draw| draw.source == ChunkSource::Origin), "{draws:?}");
-    assert!(of_relays(&draws).is_empty());
+    assert!(relayed_indexes(&draws).is_empty());
 }
 
-/// Asked for by each agent itself, the origin would send every chunk many times on its return.
+/// If each agent asked the origin itself, the origin would send every chunk many times on its
+/// return.
 #[test]
-fn entries_that_wait_for_the_origin_are_asked_again_and_the_origin_is_not() {
+fn busy_entries_are_asked_again_and_the_origin_is_not() {
     let mut plan = plan("10.0.0.1", settings(true), &[relay("e-1", "hall-a", 100)]);
-    let mut asked = 0;
+    let mut call_count = 0;
     for step in 0..60 {
         let now = START + Millis(step * 100);
         for draw in plan.next_draws(now) {
             assert!(matches!(draw.source, ChunkSource::Relay(_)), "{draw:?}");
-            asked += 1;
+            call_count += 1;
             plan.finished(now, draw.index, &draw.source, &DrawOutcome::Busy(Vec::new()));
         }
     }
-    assert!((30..=100).contains(&asked), "{asked} questions in 6 s");
+    assert!((30..=100).contains(&call_count), "{call_count} calls in 6 s");
     let now = START + Millis(6_200);
     let draws = plan.next_draws(now);
-    assert_eq!(of_relays(&draws), [0, 1, 2], "and at once when they have it");
+    assert_eq!(relayed_indexes(&draws), [0, 1, 2], "the window of chunks is requested again");
 }
 
 #[test]
-fn one_call_in_each_rest_finds_out_whether_the_origin_is_back() {
-    let mut gate = OriginGate::default();
-    assert!(gate.pass(START) && gate.pass(START), "all may ask one that answers");
-    gate.failed(START);
-    let calls = (1..=50).filter(|step| gate.pass(START + Millis(step * 20))).count();
-    assert_eq!(calls, 5, "in 1 s");
-    gate.answered();
-    assert!((0..10).all(|_| gate.pass(START + Millis(1_001))), "all may ask at once");
+fn an_unreachable_origin_gets_one_probe_per_backoff() {
+    let mut breaker = OriginGate::default();
+    assert!(
+        breaker.pass(START) && breaker.pass(START),
+        "calls to an origin that responds are not limited"
+    );
+    breaker.failed(START);
+    let calls = (1..=50).filter(|step| breaker.pass(START + Millis(step * 20))).count();
+    assert_eq!(calls, 5, "probes in 1 s");
+    breaker.answered();
+    assert!(
+        (0..10).all(|_| breaker.pass(START + Millis(1_001))),
+        "calls are unrestricted after a response"
+    );
 }
 
-/// Requests wait behind the chunks that are before a link.
+/// Responses wait behind the chunks that are queued before a link.
 #[test]
-fn a_link_that_has_narrowed_gets_one_chunk_at_a_time() {
+fn a_link_that_became_slow_gets_one_chunk_at_a_time() {
     let mut plan = plan("10.0.0.1", settings(true), &[relay("e-1", "hall-a", 100)]);
-    let (mut now, mut flying) = (START, Vec::new());
-    let mut most = Vec::new();
+    let (mut now, mut in_flight) = (START, Vec::new());
+    let mut in_flight_counts = Vec::new();
     for _ in 0..TOTAL {
-        flying.extend(plan.next_draws(now));
-        most.push(flying.len());
+        in_flight.extend(plan.next_draws(now));
+        in_flight_counts.push(in_flight.len());
         now = now + Millis(645);
-        let draw = flying.remove(0);
+        let draw = in_flight.remove(0);
         plan.finished(now, draw.index, &draw.source, &DrawOutcome::Verified);
     }
-    assert_eq!(most[0], 3);
-    assert!(most[6..].iter().all(|count| *count == 1), "{most:?}");
-    // Chunks come quickly again: the link is as before.
+    assert_eq!(in_flight_counts[0], 3);
+    assert!(in_flight_counts[6..].iter().all(|count| *count == 1), "{in_flight_counts:?}");
+    // Chunks arrive quickly again, as before.
     while !plan.is_complete() {
-        flying.extend(plan.next_draws(now));
+        in_flight.extend(plan.next_draws(now));
         now = now + Millis(30);
-        let Some(draw) = flying.pop() else { break };
+        let Some(draw) = in_flight.pop() else { break };
         plan.finished(now, draw.index, &draw.source, &DrawOutcome::Verified);
     }
     assert!(plan.is_complete());
