--- a/mustardrill_agent/src/actor.rs
+++ b/mustardrill_agent/src/actor.rs
@@ -246,7 +246,7 @@
         _: &mut Context<Self, (Vec<DemandRow>, u32)>,
     ) -> (Vec<DemandRow>, u32) {
         let board = self.reducer.demand();
-        (board.totals(), board.entries())
+        (board.totals(), board.reporting_entries())
     }
 }
 
--- a/mustardrill_agent/src/config.rs
+++ b/mustardrill_agent/src/config.rs
@@ -143,7 +143,7 @@
             1,
             100_000,
         ),
-        patience: reader.value("claims", "patience", default.patience),
+        claim_timeout: reader.value("claims", "patience", default.claim_timeout),
         shard_limit: default.shard_limit,
     }
 }
--- a/mustardrill_agent/src/effects.rs
+++ b/mustardrill_agent/src/effects.rs
@@ -6,7 +6,7 @@
 use cadence::Counted;
 use kameo::prelude::*;
 use mustardrill_core::agent::{AgentEffect, AgentEvent, AgentReducer, LoadOrder};
-use mustardrill_core::claim::{ClaimAnswer, ClaimDocument, ClaimEffect, ShardIndex};
+use mustardrill_core::claim::{ClaimDocument, ClaimEffect, ShardIndex, ShardResponse};
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::ownership::{OwnerAnswer, OwnerCall};
 use mustardrill_core::transfer::{ChunkDraw, ChunkSource, DrawOutcome};
@@ -324,18 +324,18 @@
     }
 }
 
-async fn read_claims(context: &AgentContext, shard: ShardIndex) -> ClaimAnswer {
+async fn read_claims(context: &AgentContext, shard: ShardIndex) -> ShardResponse {
     let Ok(value) = context.key_value.read(&claim_key(shard)).await else {
-        return ClaimAnswer::Unknown;
+        return ShardResponse::Unknown;
     };
     if value.bytes.is_empty() {
-        return ClaimAnswer::Read(ClaimDocument::default(), value.revision);
+        return ShardResponse::Read(ClaimDocument::default(), value.revision);
     }
     match ClaimDocument::decode(&value.bytes) {
-        Ok(document) => ClaimAnswer::Read(document, value.revision),
+        Ok(document) => ShardResponse::Read(document, value.revision),
         Err(error) => {
             log::warn!("claims shard={shard} decision=refuse reason=\"{error}\"");
-            ClaimAnswer::Unknown
+            ShardResponse::Unknown
         }
     }
 }
@@ -345,12 +345,12 @@
     shard: ShardIndex,
     expect: u64,
     document: &ClaimDocument,
-) -> ClaimAnswer {
+) -> ShardResponse {
     let bytes = Bytes::from(document.encode());
     match context.key_value.write(&claim_key(shard), bytes, expect, None).await {
-        Ok(revision) => ClaimAnswer::Written(revision),
-        Err(KeyValueError::Conflict) => ClaimAnswer::Conflict,
-        Err(_) => ClaimAnswer::Unknown,
+        Ok(revision) => ShardResponse::Written(revision),
+        Err(KeyValueError::Conflict) => ShardResponse::Conflict,
+        Err(_) => ShardResponse::Unknown,
     }
 }
 
--- a/mustardrill_agent/src/stock/fleet.rs
+++ b/mustardrill_agent/src/stock/fleet.rs
@@ -106,7 +106,7 @@
 ) -> Option<FleetPage> {
     let (centre, service) = (&context.config.stock.data_centre, &context.config.stock.service);
     let mut table = RelayTable::default();
-    table.set(entries);
+    table.set_relays(entries);
     // Each agent asks in an order of its own, and another entry in each round.
     let subject = format!("{}/{round}", context.config.stock.own);
     let entry = table.nearest(context.clock.now(), &subject, RelayItem::List, centre)?;
--- a/mustardrill_core/examples/admission.rs
+++ b/mustardrill_core/examples/admission.rs
@@ -81,7 +81,7 @@
         }
         self.arrive(RequestClass::Urgent, URGENT_LOAD);
         self.arrive(RequestClass::Background, background);
-        while let Some(attempt) = self.queue.next_run(Moment(self.now)) {
+        while let Some(attempt) = self.queue.start_next(Moment(self.now)) {
             self.run(attempt);
         }
     }
@@ -114,7 +114,7 @@
     }
 
     fn end(&mut self, attempt: AttemptId) {
-        self.queue.finished(Moment(self.now), attempt);
+        self.queue.finish(Moment(self.now), attempt);
         self.ended += 1;
         if let Some((since, RequestClass::Urgent)) = self.arrived.remove(&attempt) {
             self.urgent_times.push(self.now - since);
--- a/mustardrill_core/examples/burst.rs
+++ b/mustardrill_core/examples/burst.rs
@@ -217,7 +217,7 @@
         self.timed(agent, |plan| {
             plan.overdue(now);
         });
-        let stale = self.machines[agent].plan.partners().stale(now, Millis(CHUNK_MS));
+        let stale = self.machines[agent].plan.partners().stale_partners(now, Millis(CHUNK_MS));
         for id in stale {
             let holder = self.places[&id];
             if self.machines[holder].is_dead {
--- a/mustardrill_core/src/admission.rs
+++ b/mustardrill_core/src/admission.rs
@@ -134,7 +134,7 @@
     }
 
     /// Releases the slot of an attempt and adds its run time to the moving average.
-    pub fn finished(&mut self, now: Moment, attempt: AttemptId) {
+    pub fn finish(&mut self, now: Moment, attempt: AttemptId) {
         const SMOOTHING: f64 = 0.1;
         if let Some(started) = self.running.remove(&attempt) {
             let took = now.since(started).0 as f64;
@@ -144,7 +144,7 @@
 
     /// Starts the next waiting request where the upstream has a free slot and no spacing holds the
     /// request back.
-    pub fn next_run(&mut self, now: Moment) -> Option<AttemptId> {
+    pub fn start_next(&mut self, now: Moment) -> Option<AttemptId> {
         if !self.has_free_slot() {
             return None;
         }
@@ -154,15 +154,15 @@
         Some(waiting.attempt)
     }
 
-    /// When `next_run` is to be called again: set where a slot is free but spacing holds the
+    /// When `start_next` is to be called again: set where a slot is free but spacing holds the
     /// waiting requests back.
-    pub fn held_until(&self) -> Option<Moment> {
+    pub fn next_start_at(&self) -> Option<Moment> {
         let is_waiting = self.has_free_slot() && self.queued() > 0;
         is_waiting.then(|| self.last_start + self.spacing())
     }
 
     /// Removes the waiting requests whose deadline has passed, and returns them.
-    pub fn expired(&mut self, now: Moment) -> Vec<AttemptId> {
+    pub fn take_expired(&mut self, now: Moment) -> Vec<AttemptId> {
         let mut expired = Vec::new();
         for queue in &mut self.waiting {
             queue.retain(|waiting| {
--- a/mustardrill_core/src/agent/event.rs
+++ b/mustardrill_core/src/agent/event.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::admission::AdmissionSettings;
-use crate::claim::{ClaimAnswer, ClaimEffect, ClaimSettings, ShardIndex};
+use crate::claim::{ClaimEffect, ClaimSettings, ShardIndex, ShardResponse};
 use crate::demand::DemandRow;
 use crate::document::{CatalogueDocument, RequestClass};
 use crate::manifest::{ChunkBitmap, Manifest};
@@ -85,7 +85,7 @@
     /// An entry takes a claim back, as the request was not run.
     ClaimReleased(RequestKey, AttemptId, u64),
     /// The platform's service answered about claims.
-    ClaimAnswered(ShardIndex, ClaimAnswer),
+    ClaimAnswered(ShardIndex, ShardResponse),
     /// Time passed.
     Tick,
     /// The moment came for which `AgentEffect::Wake` asked.
--- a/mustardrill_core/src/agent/reducer.rs
+++ b/mustardrill_core/src/agent/reducer.rs
@@ -15,7 +15,7 @@
 use crate::agent::weights::WeightsTable;
 use crate::claim::{ClaimBatch, ClaimEffect};
 use crate::crash_board::CrashBoard;
-use crate::demand::DemandBoard;
+use crate::demand::DemandAggregator;
 use crate::document::{CatalogueDocument, RequestClass};
 use crate::edit::adopt;
 use crate::manifest::ChunkBitmap;
@@ -33,7 +33,7 @@
     owner: OwnerLease,
     queue: AdmissionQueue,
     attempts: FastMap<AttemptId, AttemptState>,
-    demand: DemandBoard,
+    demand: DemandAggregator,
     crashes: CrashBoard,
     claims: ClaimBatch,
     /// The wall clock that came with the last claim.
@@ -68,7 +68,7 @@
             owner: OwnerLease::new(now, settings.owner.clone()),
             queue: AdmissionQueue::new(settings.admission.clone()),
             attempts: FastMap::default(),
-            demand: DemandBoard::default(),
+            demand: DemandAggregator::default(),
             crashes: CrashBoard::default(),
             claims: ClaimBatch::new(settings.claim.clone()),
             wall: None,
@@ -94,11 +94,11 @@
                 Vec::new()
             }
             AgentEvent::HoldingSeen { digest, id, bitmap, queue, serving } => {
-                self.members.answered(&id);
+                self.members.record_success(&id);
                 self.weights.heard(now, digest, &id, bitmap, queue, serving)
             }
             AgentEvent::PeerFailed(id) => {
-                self.members.failed(now, &id);
+                self.members.record_failure(now, &id);
                 self.weights.peer_failed(now, &id);
                 Vec::new()
             }
@@ -120,7 +120,7 @@
             AgentEvent::RequestWithdrawn(attempt) => self.request_withdrawn(now, attempt),
             AgentEvent::RequestFinished(attempt) => self.request_finished(now, attempt),
             AgentEvent::DemandSeen(entry, rows) => {
-                self.demand.note(now, entry, rows);
+                self.demand.record_report(now, entry, rows);
                 Vec::new()
             }
             AgentEvent::CrashesHeard(words) => {
@@ -137,7 +137,7 @@
             }
             AgentEvent::ClaimAnswered(shard, answer) => {
                 let wall_s = self.wall_s(now);
-                claim_effects(self.claims.answered(now, wall_s, shard, answer))
+                claim_effects(self.claims.handle_response(now, wall_s, shard, answer))
             }
             AgentEvent::Tick => self.tick(now),
             AgentEvent::Woke => {
@@ -154,7 +154,7 @@
     }
 
     /// What customers asked of all entries lately.
-    pub fn demand(&self) -> &DemandBoard {
+    pub fn demand(&self) -> &DemandAggregator {
         &self.demand
     }
 
@@ -303,7 +303,7 @@
 
     fn request_finished(&mut self, now: Moment, attempt: AttemptId) -> Vec<AgentEffect> {
         self.forget(attempt);
-        self.queue.finished(now, attempt);
+        self.queue.finish(now, attempt);
         self.run_next(now)
     }
 
@@ -315,11 +315,11 @@
 
     fn run_next(&mut self, now: Moment) -> Vec<AgentEffect> {
         let mut effects = Vec::new();
-        while let Some(attempt) = self.queue.next_run(now) {
+        while let Some(attempt) = self.queue.start_next(now) {
             let pinned = self.attempts.get(&attempt).and_then(|state| state.pinned);
             // The upstream may have switched while the request waited.
             if !self.serves(pinned) {
-                self.queue.finished(now, attempt);
+                self.queue.finish(now, attempt);
                 self.forget(attempt);
                 effects.extend(self.other_weights(attempt, Millis(1)));
                 continue;
@@ -332,7 +332,7 @@
 
     /// Asks to be woken for the next start, where one is held back and no waking is due before.
     fn wake(&mut self, now: Moment) -> Option<AgentEffect> {
-        let at = self.queue.held_until().filter(|at| *at > now)?;
+        let at = self.queue.next_start_at().filter(|at| *at > now)?;
         if self.wake_at.is_some_and(|due| due <= at) {
             return None;
         }
@@ -353,7 +353,7 @@
     fn tick(&mut self, now: Moment) -> Vec<AgentEffect> {
         let wall_s = self.wall_s(now);
         let mut effects = claim_effects(self.claims.tick(now, wall_s));
-        for attempt in self.queue.expired(now) {
+        for attempt in self.queue.take_expired(now) {
             self.forget(attempt);
             effects.extend(refusal(attempt, ResultCode::DeadlinePassed, Millis(0)));
         }
--- a/mustardrill_core/src/agent/version.rs
+++ b/mustardrill_core/src/agent/version.rs
@@ -3,8 +3,8 @@
 use mustardrill_types::{InstanceId, Millis, ModelName, Moment, VersionName};
 
 use crate::membership::MemberTable;
-use crate::pace::TransferPace;
 use crate::transfer::TransferPlan;
+use crate::transfer_rate::TransferRate;
 
 /// One version that this agent is to serve.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     /// When the instance before this one in the wave order may be asked again.
     pub(super) next_question: Moment,
     pub(super) trouble: Box<str>,
-    pub(super) pace: TransferPace,
+    pub(super) pace: TransferRate,
 }
 
 #[derive(Debug)]
@@ -42,7 +42,7 @@
             waiting_since: None,
             next_question: now,
             trouble: "".into(),
-            pace: TransferPace::default(),
+            pace: TransferRate::default(),
         }
     }
 
--- a/mustardrill_core/src/agent/weights.rs
+++ b/mustardrill_core/src/agent/weights.rs
@@ -15,7 +15,7 @@
 use crate::document::CatalogueDocument;
 use crate::manifest::{ChunkBitmap, Manifest};
 use crate::membership::MemberTable;
-use crate::placement::assigned;
+use crate::placement::assign_instances;
 use crate::rendezvous;
 use crate::transfer::{ChunkSource, DrawOutcome, TransferPeer, TransferPlan};
 
@@ -78,7 +78,7 @@
         let own = self.settings.own.id.clone();
         let live = self.live_instances(now, members);
         let mut wanted = FastMap::default();
-        for (model, instances) in assigned(document, &service, &live) {
+        for (model, instances) in assign_instances(document, &service, &live) {
             let weights = document.entries.get(&model).and_then(|entry| entry.weights.as_ref());
             if let Some(weights) = weights.filter(|_| instances.contains(&own)) {
                 wanted.insert(weights.manifest, (model, weights.version.clone(), instances));
@@ -133,7 +133,7 @@
         let transfer = self.settings.transfer.clone();
         let mut plan = TransferPlan::new(now, own, manifest, transfer, seed);
         plan.set_peers(&peers);
-        state.pace.note(now, 0);
+        state.pace.add_sample(now, 0);
         state.trouble = "".into();
         state.stage = VersionStage::Drawing(Box::new(plan));
         self.draw(now, digest)
@@ -194,7 +194,7 @@
         let Some(state) = self.versions.get_mut(&digest) else { return Vec::new() };
         let VersionStage::Drawing(plan) = &mut state.stage else { return Vec::new() };
         plan.finished(now, index, source, outcome);
-        state.pace.note(now, plan.held().count());
+        state.pace.add_sample(now, plan.held().count());
         if *outcome == DrawOutcome::Corrupt {
             warn!(
                 "chunk manifest={} index={index} source={source} decision=drop reason=corrupt",
@@ -311,7 +311,7 @@
     }
 
     fn live_instances(&self, now: Moment, members: &MemberTable) -> Vec<InstanceId> {
-        let live = members.live_of(now, &self.settings.service);
+        let live = members.live_instances(now, &self.settings.service);
         let staying = live.into_iter().filter(|record| !record.leaving);
         staying.map(|record| record.id.clone()).collect()
     }
@@ -387,7 +387,7 @@
         let every = self.settings.exchange_every;
         let Some(plan) = self.plan(digest) else { return Vec::new() };
         let late = plan.overdue(now);
-        let stale = plan.partners().stale(now, every);
+        let stale = plan.partners().stale_partners(now, every);
         let mut effects: Vec<_> = late
             .into_iter()
             .map(|(index, source)| AgentEffect::CancelDraw(digest, index, source))
--- a/mustardrill_core/src/homes.rs
+++ b/mustardrill_core/src/chunk_assignment.rs
@@ -23,7 +23,7 @@
 
 /// The primary holders and seeders of all chunks of one version, seen from one instance.
 #[derive(Debug, Default)]
-pub struct HomeTable {
+pub struct ChunkAssignment {
     /// The instances of the own data centre.
     local_ids: Vec<InstanceId>,
     /// Index of the own instance in `local_ids`.
@@ -42,7 +42,7 @@
     seeder_orders: Vec<Vec<u16>>,
 }
 
-impl HomeTable {
+impl ChunkAssignment {
     /// Assigns `total` chunks to `peers`, which should include `own`.
     ///
     /// Where there are more peers than `max_seeders`, about that many are seeders: the number is
@@ -91,14 +91,14 @@
     }
 
     /// Returns the primary holder of a chunk in the own data centre.
-    pub fn near_home(&self, index: ChunkIndex) -> Option<&InstanceId> {
+    pub fn primary_holder(&self, index: ChunkIndex) -> Option<&InstanceId> {
         let order = self.local_orders.get(index.0 as usize)?;
         self.local_ids.get(usize::from(*order.first()?))
     }
 
     /// Returns the rank of the own instance among the holders of a chunk in its data centre; the
     /// primary holder has rank 0, and `usize::MAX` means that the instance is not among the peers.
-    pub fn near_rank(&self, index: ChunkIndex) -> usize {
+    pub fn holder_rank(&self, index: ChunkIndex) -> usize {
         rank_in(&self.local_orders, index, self.own_index)
     }
 
@@ -109,7 +109,7 @@
             return rank_in(&self.seeder_orders, index, self.own_seeder_index);
         }
         let Some(before) = self.centres_before.get(index.0 as usize) else { return usize::MAX };
-        let local_rank = self.near_rank(index);
+        let local_rank = self.holder_rank(index);
         let rank = local_rank.saturating_mul(self.centre_count.max(1));
         rank.saturating_add(usize::from(*before)).saturating_add(self.seeders.len())
     }
--- a/mustardrill_core/src/claim.rs
+++ b/mustardrill_core/src/claim.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::budget::TokenBucket;
-use crate::keeper;
+use crate::coordinator;
 
 /// Settings of claims.
 #[derive(Debug, Clone)]
@@ -27,7 +27,7 @@
     /// Reads and writes per second that all coordinators together may make.
     pub calls_per_second: u32,
     /// Timeout of a waiting claim, after which it is settled as unavailable.
-    pub patience: Millis,
+    pub claim_timeout: Millis,
     /// Maximum number of claims in a shard's document; further claims wait until older ones are
     /// released or pass their retention.
     pub shard_limit: usize,
@@ -85,7 +85,7 @@
 
 /// The platform's response to a read or write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimAnswer {
+pub enum ShardResponse {
     /// The document and its revision; one that does not exist is empty at revision 0.
     Read(ClaimDocument, u64),
     /// The write succeeded and the document now has this revision.
@@ -144,7 +144,7 @@
             retention_s: 600,
             write_every: Millis(40),
             calls_per_second: 300,
-            patience: Millis(1_000),
+            claim_timeout: Millis(1_000),
             shard_limit: 8_000,
         }
     }
@@ -192,20 +192,20 @@
     }
 
     /// Handles the platform's response to a read or write of a shard.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         now: Moment,
         wall_s: u64,
         index: ShardIndex,
-        answer: ClaimAnswer,
+        answer: ShardResponse,
     ) -> Vec<ClaimEffect> {
         let Some(shard) = self.shards.get_mut(&index) else { return Vec::new() };
         let pending = std::mem::take(&mut shard.pending);
         match (answer, pending) {
-            (ClaimAnswer::Read(document, revision), PendingCall::Reading) => {
+            (ShardResponse::Read(document, revision), PendingCall::Reading) => {
                 shard.known = Some((document, revision));
             }
-            (ClaimAnswer::Written(revision), PendingCall::Writing(document)) => {
+            (ShardResponse::Written(revision), PendingCall::Writing(document)) => {
                 shard.known = Some((document, revision));
             }
             // After a conflict, a lost response or a failed read, the document is read again first.
@@ -222,7 +222,7 @@
     /// Settles claims that timed out as unavailable, and starts the calls that are due.
     pub fn tick(&mut self, now: Moment, wall_s: u64) -> Vec<ClaimEffect> {
         let mut effects = Vec::new();
-        let timeout = self.settings.patience;
+        let timeout = self.settings.claim_timeout;
         let mut indexes: Vec<_> = self.shards.keys().copied().collect();
         self.first_shard = (self.first_shard + 1) % self.settings.shards.max(1);
         let shards = self.settings.shards.max(1);
@@ -249,7 +249,7 @@
     }
 
     fn shard_of(&self, key: RequestKey) -> ShardIndex {
-        keeper::shard_of(key, self.settings.shards)
+        coordinator::shard_of(key, self.settings.shards)
     }
 
     /// Settles every waiting claim whose key is in the known document, and drops the releases that
--- a/mustardrill_core/src/keeper.rs
+++ b/mustardrill_core/src/coordinator.rs
@@ -20,7 +20,11 @@
 
 /// Returns the agents that coordinate a shard, first choice first, by rendezvous hashing among all
 /// live agents that are not draining.
-pub fn keepers(now: Moment, members: &MemberTable, shard: ShardIndex) -> Vec<&InstanceRecord> {
+pub fn coordinators_of(
+    now: Moment,
+    members: &MemberTable,
+    shard: ShardIndex,
+) -> Vec<&InstanceRecord> {
     let is_eligible =
         |record: &&InstanceRecord| !record.leaving && members.is_live(now, &record.id);
     let eligible: Vec<_> = members.records().filter(is_eligible).collect();
@@ -30,7 +34,7 @@
 
 /// The agent that an entry asks for a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimKeeper {
+pub struct ClaimCoordinator {
     /// Name of the agent's instance.
     pub id: InstanceId,
     /// Where the agent listens, as `ip:port`.
--- a/mustardrill_core/src/demand.rs
+++ b/mustardrill_core/src/demand.rs
@@ -17,24 +17,24 @@
     /// The customer and the entry of the catalogue.
     pub key: LimitKey,
     /// Number of requests, rejected ones included.
-    pub asked: u32,
+    pub requests: u32,
 }
 
 /// The last report of each entry, as one agent received them.
 #[derive(Debug, Default)]
-pub struct DemandBoard {
+pub struct DemandAggregator {
     reports: FastMap<InstanceId, (Moment, Vec<DemandRow>)>,
 }
 
-impl DemandBoard {
+impl DemandAggregator {
     /// Stores an entry's report of its last round, and drops reports that are 3 s old.
-    pub fn note(&mut self, now: Moment, entry: InstanceId, rows: Vec<DemandRow>) {
+    pub fn record_report(&mut self, now: Moment, entry: InstanceId, rows: Vec<DemandRow>) {
         self.reports.insert(entry, (now, rows));
         self.reports.retain(|_, (received_at, _)| now.since(*received_at) < REPORT_TTL);
     }
 
     /// Number of entries whose reports are counted in the totals.
-    pub fn entries(&self) -> u32 {
+    pub fn reporting_entries(&self) -> u32 {
         self.reports.len() as u32
     }
 
@@ -42,9 +42,9 @@
     pub fn totals(&self) -> Vec<DemandRow> {
         let mut sums: FastMap<&LimitKey, u32> = FastMap::default();
         for row in self.reports.values().flat_map(|(_, rows)| rows) {
-            *sums.entry(&row.key).or_default() += row.asked;
+            *sums.entry(&row.key).or_default() += row.requests;
         }
         let rows = sums.into_iter();
-        rows.map(|(key, asked)| DemandRow { key: key.clone(), asked }).collect()
+        rows.map(|(key, requests)| DemandRow { key: key.clone(), requests }).collect()
     }
 }
--- a/mustardrill_core/src/direct/placing/choice.rs
+++ b/mustardrill_core/src/direct/placing/choice.rs
@@ -55,7 +55,7 @@
                 reading: present.reading,
                 far: upstream.record.data_centre != self.settings.data_centre,
                 failing: upstream.failing,
-                lot: rendezvous::lot(state.attempt.as_bytes(), id.as_str()),
+                lot: rendezvous::uniform_hash(state.attempt.as_bytes(), id.as_str()),
             });
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, id));
@@ -113,9 +113,10 @@
         let service = &upstream.record.service;
         let subject = upstream.record.id.as_str().as_bytes();
         let here = self.queues.get(service).map_or(0, WaitQueue::len) as u32;
-        let own = rendezvous::weighted(subject, self.settings.own.as_str(), here);
+        let own = rendezvous::weighted_score(subject, self.settings.own.as_str(), here);
         let others = self.upstreams.heard.waiting(service);
-        let scores = others.map(|(id, count)| rendezvous::weighted(subject, id.as_str(), count));
+        let scores =
+            others.map(|(id, count)| rendezvous::weighted_score(subject, id.as_str(), count));
         // The others come first at one that still reads a prompt of this entry.
         let yields = upstream.own.reading > Millis(0);
         let (mut waiting, mut before) = (0, 0);
--- a/mustardrill_core/src/entry/dispatch.rs
+++ b/mustardrill_core/src/entry/dispatch.rs
@@ -53,7 +53,7 @@
         let address = self.members.get(&instance).map(|record| record.agent.clone());
         let attempt = AttemptId(self.random.random());
         self.requests.bind(attempt, id);
-        self.routing.sent(&instance);
+        self.routing.record_sent(&instance);
         let state = self.requests.get_mut(id).expect("the request was looked up");
         state.attempts += 1;
         state.tried.push(instance.clone());
@@ -135,7 +135,7 @@
             state.delivered = delivered;
         }
         let is_healthy = matches!(end, AttemptEnd::Whole | AttemptEnd::Refused(..));
-        self.routing.ended(now, &instance, is_healthy);
+        self.routing.record_ended(now, &instance, is_healthy);
         match end {
             AttemptEnd::Whole => {
                 if let Some(state) = self.finish(id) {
@@ -145,7 +145,7 @@
             }
             AttemptEnd::Refused(refusal) => self.refused(now, id, &instance, refusal),
             AttemptEnd::NotSent => {
-                self.members.failed(now, &instance);
+                self.members.record_failure(now, &instance);
                 self.retry(now, id, ResultCode::NoUpstream, NO_UPSTREAM_RETRY, None)
             }
             AttemptEnd::Lost => self.lost(now, id, ResultCode::Unknown),
@@ -169,7 +169,7 @@
         if serving.is_empty() {
             return self.retry(now, id, *code, *retry_after, None);
         }
-        self.routing.switched(instance, serving);
+        self.routing.update_serving(instance, serving);
         // Of all upstreams this one's weights are known best: the others may have switched too.
         let switched = Some(instance).filter(|instance| self.serves_otherwise(id, instance));
         self.retry(now, id, *code, *retry_after, switched)
@@ -246,7 +246,7 @@
 
     pub(super) fn finish(&mut self, id: RequestId) -> Option<RequestState> {
         let state = self.requests.remove(id)?;
-        self.limits.finished(&(state.customer.clone(), state.target.clone()));
+        self.limits.release(&(state.customer.clone(), state.target.clone()));
         Some(state)
     }
 }
--- a/mustardrill_core/src/entry/event.rs
+++ b/mustardrill_core/src/entry/event.rs
@@ -10,9 +10,9 @@
 use crate::agent::WeightsProgress;
 use crate::budget::RetrySettings;
 use crate::claim::ClaimOutcome;
+use crate::coordinator::ClaimCoordinator;
 use crate::demand::DemandRow;
 use crate::document::{CatalogueDocument, RequestClass};
-use crate::keeper::ClaimKeeper;
 use crate::membership::{InstanceRecord, MemberSettings};
 use crate::quarantine::CrashWord;
 use crate::refusal::AttemptRefusal;
@@ -151,7 +151,7 @@
     /// The attempt that claims it.
     pub attempt: AttemptId,
     /// Whom to ask, first choice first.
-    pub keepers: Vec<ClaimKeeper>,
+    pub keepers: Vec<ClaimCoordinator>,
 }
 
 /// An attempt to be sent.
--- a/mustardrill_core/src/entry/reducer.rs
+++ b/mustardrill_core/src/entry/reducer.rs
@@ -13,6 +13,7 @@
 use crate::agent::WeightsProgress;
 use crate::budget::RetryBudget;
 use crate::claim::ClaimOutcome;
+use crate::coordinator::{self, ClaimCoordinator};
 use crate::crash_board::CrashBoard;
 use crate::demand::DemandRow;
 use crate::document::{CatalogueDocument, CatalogueEntry};
@@ -21,7 +22,6 @@
     AgentSync, ClaimOrder, EntryEffect, EntryEvent, EntrySettings, IncomingRequest, RequestId,
 };
 use crate::entry::request::{RequestStage, RequestState, RequestTable};
-use crate::keeper::{self, ClaimKeeper};
 use crate::limit::{LimitTable, RoundDemand};
 use crate::membership::{InstanceRecord, MemberTable};
 use crate::quarantine::QuarantineTable;
@@ -227,7 +227,7 @@
         let Some(state) = self.finish(id) else { return Vec::new() };
         match state.stage {
             RequestStage::Sent(attempt, instance) => {
-                self.routing.ended(now, &instance, true);
+                self.routing.record_ended(now, &instance, true);
                 vec![EntryEffect::Cancel(attempt)]
             }
             RequestStage::Claiming => self.release_claim(now, &state).into_iter().collect(),
@@ -241,11 +241,12 @@
         key: RequestKey,
         attempt: AttemptId,
     ) -> ClaimOrder {
-        let shard = keeper::shard_of(key, self.settings.claim_shards);
-        let keepers = keeper::keepers(now, &self.members, shard);
-        let keepers = keepers
-            .into_iter()
-            .map(|record| ClaimKeeper { id: record.id.clone(), address: record.agent.clone() });
+        let shard = coordinator::shard_of(key, self.settings.claim_shards);
+        let keepers = coordinator::coordinators_of(now, &self.members, shard);
+        let keepers = keepers.into_iter().map(|record| ClaimCoordinator {
+            id: record.id.clone(),
+            address: record.agent.clone(),
+        });
         ClaimOrder { key, attempt, keepers: keepers.collect() }
     }
 
@@ -298,7 +299,7 @@
         let gone: Vec<_> = self.agents.keys().filter(is_gone).cloned().collect();
         for id in gone {
             self.agents.remove(&id);
-            self.routing.forget(&id);
+            self.routing.remove(&id);
         }
         for id in chosen {
             self.agents
@@ -331,12 +332,12 @@
         let Some(view) = self.agents.get_mut(&sync.id) else { return Vec::new() };
         view.progress = sync.progress;
         self.share_limits(&sync.demand, sync.entries);
-        self.members.answered(&sync.id);
+        self.members.record_success(&sync.id);
         let near = self
             .members
             .get(&sync.id)
             .is_some_and(|record| record.data_centre == self.settings.data_centre);
-        self.routing.reported(now, &sync.id, near, sync.report);
+        self.routing.record_report(now, &sync.id, near, sync.report);
         Vec::new()
     }
 
@@ -347,8 +348,8 @@
         }
         for row in totals {
             let own = self.demand.iter().find(|mine| mine.key == row.key);
-            let own = own.map_or(0, |mine| mine.asked);
-            let all = demand_of_all(own, row.asked, heard, self.entries);
+            let own = own.map_or(0, |mine| mine.requests);
+            let all = demand_of_all(own, row.requests, heard, self.entries);
             let entry = self.document.entries.get(&row.key.1);
             let limit = entry.map_or(0, |entry| entry.limits.requests_per_second);
             let demand = RoundDemand { own, all, limit };
@@ -363,8 +364,8 @@
         }
         self.next_round = now + DEMAND_ROUND;
         self.round += 1;
-        let asked = self.limits.take_demand().into_iter().filter(|(_, asked)| *asked > 0);
-        self.demand = asked.map(|(key, asked)| DemandRow { key, asked }).collect();
+        let requests = self.limits.take_demand().into_iter().filter(|(_, requests)| *requests > 0);
+        self.demand = requests.map(|(key, requests)| DemandRow { key, requests }).collect();
     }
 
     fn sync_failed(&mut self, now: Moment, id: &InstanceId) -> Vec<EntryEffect> {
@@ -373,8 +374,8 @@
             // A replaced agent starts with nothing, so it is sent the catalogue again.
             view.generation = Generation(0);
         }
-        self.members.failed(now, id);
-        self.routing.unreachable(now, id);
+        self.members.record_failure(now, id);
+        self.routing.record_unreachable(now, id);
         if self.members.is_live(now, id) {
             return Vec::new();
         }
@@ -427,7 +428,7 @@
         let RequestStage::Sent(attempt, instance) = stage else {
             return self.reject(now, id, ResultCode::DeadlinePassed, Millis(0));
         };
-        self.routing.ended(now, &instance, true);
+        self.routing.record_ended(now, &instance, true);
         let mut effects = vec![EntryEffect::Cancel(attempt)];
         effects.extend(self.reject(now, id, ResultCode::Unknown, Millis(0)));
         effects
--- a/mustardrill_core/src/limit.rs
+++ b/mustardrill_core/src/limit.rs
@@ -78,7 +78,7 @@
     }
 
     /// Counts an admitted request as ended.
-    pub fn finished(&mut self, key: &LimitKey) {
+    pub fn release(&mut self, key: &LimitKey) {
         if let Some(usage) = self.usages.get_mut(key) {
             usage.in_flight = usage.in_flight.saturating_sub(1);
         }
@@ -91,7 +91,7 @@
 
     /// For each entry of the catalogue, the highest number of requests that any one customer has in
     /// progress.
-    pub fn in_use(&self) -> FastMap<ModelName, u32> {
+    pub fn peak_in_flight(&self) -> FastMap<ModelName, u32> {
         let mut highest = FastMap::default();
         for ((_, model), usage) in &self.usages {
             let count: &mut u32 = highest.entry(model.clone()).or_default();
--- a/mustardrill_core/src/membership.rs
+++ b/mustardrill_core/src/membership.rs
@@ -73,7 +73,7 @@
     }
 
     /// Counts a failed call to the instance.
-    pub fn failed(&mut self, now: Moment, id: &InstanceId) {
+    pub fn record_failure(&mut self, now: Moment, id: &InstanceId) {
         if !self.records.contains_key(id) {
             return;
         }
@@ -83,7 +83,7 @@
     }
 
     /// Resets the failure count of an instance that answered.
-    pub fn answered(&mut self, id: &InstanceId) {
+    pub fn record_success(&mut self, id: &InstanceId) {
         self.failures.remove(id);
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Returns the live instances of a service, ordered by name.
-    pub fn live_of(&self, now: Moment, service: &ServiceName) -> Vec<&InstanceRecord> {
+    pub fn live_instances(&self, now: Moment, service: &ServiceName) -> Vec<&InstanceRecord> {
         let mut instances: Vec<_> = self
             .records
             .values()
--- a/mustardrill_core/src/partner.rs
+++ b/mustardrill_core/src/partner.rs
@@ -45,7 +45,7 @@
 
     /// Replaces the partners by `chosen`, each with whether it is in the own data centre. Partners
     /// that stay keep their state; returns the names of those that were removed.
-    pub fn choose(&mut self, chosen: FastMap<InstanceId, bool>) -> Vec<InstanceId> {
+    pub fn set_partners(&mut self, chosen: FastMap<InstanceId, bool>) -> Vec<InstanceId> {
         let removed: Vec<_> =
             self.partners.keys().filter(|id| !chosen.contains_key(*id)).cloned().collect();
         removed.iter().for_each(|id| self.remove_partner(id));
@@ -67,7 +67,7 @@
     /// the chunks that it newly holds.
     ///
     /// Reports of a partner in backoff that has sent corrupt chunks are ignored.
-    pub fn heard(
+    pub fn record_holding(
         &mut self,
         now: Moment,
         id: &InstanceId,
@@ -90,7 +90,7 @@
     }
 
     /// Records that a partner holds a chunk, as another partner reported.
-    pub fn hint(&mut self, id: &InstanceId, index: ChunkIndex) {
+    pub fn record_hint(&mut self, id: &InstanceId, index: ChunkIndex) {
         let Some(partner) = self.partners.get_mut(id) else { return };
         if partner.bitmap.insert(index) {
             self.copies[index.0 as usize] += 1;
@@ -111,14 +111,14 @@
     }
 
     /// Counts a fetch from the partner as in progress.
-    pub fn began(&mut self, id: &InstanceId) {
+    pub fn record_fetch_start(&mut self, id: &InstanceId) {
         if let Some(partner) = self.partners.get_mut(id) {
             partner.fetches += 1;
         }
     }
 
     /// Counts a fetch from the partner as ended.
-    pub fn ended(&mut self, id: &InstanceId) {
+    pub fn record_fetch_end(&mut self, id: &InstanceId) {
         if let Some(partner) = self.partners.get_mut(id) {
             partner.fetches = partner.fetches.saturating_sub(1);
         }
@@ -126,18 +126,18 @@
 
     /// Counts a corrupt chunk that the partner sent; from `limit` of them on each starts a backoff
     /// of 60 s.
-    pub fn blame(&mut self, now: Moment, id: &InstanceId, limit: u32) {
+    pub fn record_corrupt_chunk(&mut self, now: Moment, id: &InstanceId, limit: u32) {
         let Some(partner) = self.partners.get_mut(id) else { return };
         partner.corrupt_chunks += 1;
         if partner.corrupt_chunks >= limit {
-            self.rest(now, id, CORRUPT_BACKOFF);
+            self.back_off(now, id, CORRUPT_BACKOFF);
             self.clear_holding(id);
         }
     }
 
     /// Records a failure of a partner, which starts a backoff of 1 s.
-    pub fn shun(&mut self, now: Moment, id: &InstanceId) {
-        self.rest(now, id, FAILURE_BACKOFF);
+    pub fn record_failure(&mut self, now: Moment, id: &InstanceId) {
+        self.back_off(now, id, FAILURE_BACKOFF);
         self.clear_holding(id);
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Starts or extends the backoff of a partner; a backoff is never shortened.
-    pub fn rest(&mut self, now: Moment, id: &InstanceId, span: Millis) {
+    pub fn back_off(&mut self, now: Moment, id: &InstanceId, span: Millis) {
         if let Some(partner) = self.partners.get_mut(id) {
             partner.backoff_until = partner.backoff_until.max(now + span);
         }
@@ -193,7 +193,7 @@
     }
 
     /// Returns the partners without a report for `age` that are not in backoff.
-    pub fn stale(&self, now: Moment, age: Millis) -> Vec<InstanceId> {
+    pub fn stale_partners(&self, now: Moment, age: Millis) -> Vec<InstanceId> {
         let is_stale = |partner: &PartnerState| {
             partner.reported_at.is_none_or(|at| now.since(at) >= age)
                 && partner.backoff_until <= now
--- a/mustardrill_core/src/placement.rs
+++ b/mustardrill_core/src/placement.rs
@@ -10,7 +10,7 @@
 /// Models are processed in the order of their names. Each takes its number of replicas, or as many
 /// as are left, by rendezvous hashing among the instances that no earlier model took. Agents with
 /// the same list of instances compute the same assignment without coordination.
-pub fn assigned(
+pub fn assign_instances(
     document: &CatalogueDocument,
     service: &ServiceName,
     live: &[InstanceId],
--- a/mustardrill_core/src/relays.rs
+++ b/mustardrill_core/src/relays.rs
@@ -46,7 +46,7 @@
 /// the breaker is open, a single probe per backoff finds out for all chunks whether the origin is
 /// back.
 #[derive(Debug, Default)]
-pub struct OriginGate {
+pub struct OriginBreaker {
     /// When the next probe may go out; nothing while calls are unrestricted.
     probe_at: Option<Moment>,
 }
@@ -55,10 +55,10 @@
 /// tenth of what sending a copy over its link takes.
 const ORIGIN_BACKOFF: Millis = Millis(200);
 
-impl OriginGate {
+impl OriginBreaker {
     /// Returns whether a call may go out now. After a failure one call per backoff of 200 ms is
     /// allowed as a probe, and no others until the origin has responded.
-    pub fn pass(&mut self, now: Moment) -> bool {
+    pub fn allow_call(&mut self, now: Moment) -> bool {
         match self.probe_at {
             None => true,
             Some(at) if now < at => false,
@@ -70,19 +70,19 @@
     }
 
     /// Records that the origin could not be reached, which opens the breaker.
-    pub fn failed(&mut self, now: Moment) {
+    pub fn record_failure(&mut self, now: Moment) {
         self.probe_at = Some(now + ORIGIN_BACKOFF);
     }
 
     /// Records that the origin responded, which lifts the restriction.
-    pub fn answered(&mut self) {
+    pub fn record_response(&mut self) {
         self.probe_at = None;
     }
 }
 
 impl RelayTable {
     /// Replaces the list of entries; the backoff of those that remain is kept.
-    pub fn set(&mut self, relays: Vec<PeerRecord>) {
+    pub fn set_relays(&mut self, relays: Vec<PeerRecord>) {
         self.relays = relays;
         let Self { relays, backoff_until } = self;
         backoff_until.retain(|id, _| relays.iter().any(|relay| relay.id == *id));
@@ -94,7 +94,7 @@
         self.relays.push(relay);
     }
 
-    /// Removes an entry; its backoff is kept until the next call of `set`.
+    /// Removes an entry; its backoff is kept until the next call of `set_relays`.
     pub fn remove(&mut self, id: &InstanceId) {
         self.relays.retain(|relay| relay.id != *id);
     }
@@ -110,12 +110,12 @@
     }
 
     /// Records a failure of an entry, which is not asked during the backoff of 1.5 s.
-    pub fn failed(&mut self, now: Moment, id: &InstanceId) {
+    pub fn record_failure(&mut self, now: Moment, id: &InstanceId) {
         self.backoff_until.insert(id.clone(), now + FAILURE_BACKOFF);
     }
 
     /// Whether any entry is not in backoff.
-    pub fn is_usable(&self, now: Moment) -> bool {
+    pub fn has_available(&self, now: Moment) -> bool {
         self.relays.iter().any(|relay| self.is_available(now, relay))
     }
 
@@ -134,7 +134,7 @@
     /// Returns the entries that fetch an item from the origin, first choice first. Entries in the
     /// origin's data centre come first, as copies for the other data centres have to leave it
     /// anyway.
-    pub fn drawers(
+    pub fn seeders(
         &self,
         now: Moment,
         version: &str,
--- a/mustardrill_core/src/rendezvous.rs
+++ b/mustardrill_core/src/rendezvous.rs
@@ -15,13 +15,13 @@
 
 /// Scores `name` for `subject`, the highest first, such that over many subjects each name comes
 /// first in proportion to its weight (weighted rendezvous hashing).
-pub fn weighted(subject: &[u8], name: &str, weight_of_name: u32) -> f64 {
+pub fn weighted_score(subject: &[u8], name: &str, weight_of_name: u32) -> f64 {
     // In (0, 1], so that the logarithm is finite.
-    (1.0 - lot(subject, name)).ln() / f64::from(weight_of_name.max(1))
+    (1.0 - uniform_hash(subject, name)).ln() / f64::from(weight_of_name.max(1))
 }
 
 /// Maps `name` and `subject` to a hash that is uniform in [0, 1).
-pub fn lot(subject: &[u8], name: &str) -> f64 {
+pub fn uniform_hash(subject: &[u8], name: &str) -> f64 {
     // An f64 holds integers of this many bits exactly.
     const MANTISSA_BITS: u32 = 53;
     (weight(subject, name) >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
--- a/mustardrill_core/src/routing.rs
+++ b/mustardrill_core/src/routing.rs
@@ -51,7 +51,7 @@
     /// The last report, with `serving` updated from refusals that came after it.
     pub report: UpstreamReport,
     /// Whether the upstream is in the entry's own data centre.
-    pub near: bool,
+    pub is_local: bool,
     reported_at: Moment,
     /// Attempts of this entry in progress.
     own_attempts: u32,
@@ -116,8 +116,14 @@
 
     /// Stores a load report; an upstream that is not in the table is added.
     ///
-    /// `near` is read only when the upstream is added.
-    pub fn reported(&mut self, now: Moment, id: &InstanceId, near: bool, report: UpstreamReport) {
+    /// `is_local` is read only when the upstream is added.
+    pub fn record_report(
+        &mut self,
+        now: Moment,
+        id: &InstanceId,
+        is_local: bool,
+        report: UpstreamReport,
+    ) {
         match self.views.get_mut(id) {
             Some(view) => {
                 view.report = report;
@@ -125,20 +131,20 @@
                 view.attempts_since_report = 0;
             }
             None => {
-                self.views.insert(id.clone(), UpstreamView::new(now, near, report));
+                self.views.insert(id.clone(), UpstreamView::new(now, is_local, report));
             }
         }
     }
 
     /// Updates the weights that an upstream serves from a refusal, ahead of its next report.
-    pub fn switched(&mut self, id: &InstanceId, serving: &[ManifestDigest]) {
+    pub fn update_serving(&mut self, id: &InstanceId, serving: &[ManifestDigest]) {
         if let Some(view) = self.views.get_mut(id) {
             view.report.serving = serving.to_vec();
         }
     }
 
     /// Removes an upstream that is no longer a member of the fleet.
-    pub fn forget(&mut self, id: &InstanceId) {
+    pub fn remove(&mut self, id: &InstanceId) {
         self.views.remove(id);
     }
 
@@ -153,7 +159,7 @@
     }
 
     /// Counts an attempt sent to an upstream as part of its load.
-    pub fn sent(&mut self, id: &InstanceId) {
+    pub fn record_sent(&mut self, id: &InstanceId) {
         if let Some(view) = self.views.get_mut(id) {
             view.own_attempts += 1;
             view.attempts_since_report += 1;
@@ -161,7 +167,7 @@
     }
 
     /// Counts an attempt as ended; `healthy` is false where the upstream or its agent failed.
-    pub fn ended(&mut self, now: Moment, id: &InstanceId, healthy: bool) {
+    pub fn record_ended(&mut self, now: Moment, id: &InstanceId, healthy: bool) {
         let settings = &self.settings;
         let Some(view) = self.views.get_mut(id) else { return };
         view.own_attempts = view.own_attempts.saturating_sub(1);
@@ -170,7 +176,7 @@
     }
 
     /// Counts a failure where the agent could not be reached outside of any attempt.
-    pub fn unreachable(&mut self, now: Moment, id: &InstanceId) {
+    pub fn record_unreachable(&mut self, now: Moment, id: &InstanceId) {
         let settings = &self.settings;
         if let Some(view) = self.views.get_mut(id) {
             view.record_result(now, false, settings);
@@ -252,7 +258,7 @@
         // The report lags, so attempts that this entry sent since are added.
         let estimated = view.report.outstanding + view.attempts_since_report;
         let outstanding = f64::from(estimated.max(view.own_attempts));
-        let far_penalty = if view.near { 0.0 } else { self.settings.near_bonus };
+        let far_penalty = if view.is_local { 0.0 } else { self.settings.near_bonus };
         let share = view.traffic_share(now, self.settings.slow_start);
         (outstanding + 1.0 + far_penalty) / (f64::from(view.report.capacity.max(1)) * share)
     }
@@ -260,19 +266,19 @@
 
 impl UpstreamView {
     /// Time of the agent's last load report.
-    pub fn heard(&self) -> Moment {
+    pub fn reported_at(&self) -> Moment {
         self.reported_at
     }
 
     /// Number of this entry's attempts in progress at the upstream.
-    pub fn own(&self) -> u32 {
+    pub fn own_attempts(&self) -> u32 {
         self.own_attempts
     }
 
-    fn new(now: Moment, near: bool, report: UpstreamReport) -> Self {
+    fn new(now: Moment, is_local: bool, report: UpstreamReport) -> Self {
         Self {
             report,
-            near,
+            is_local,
             reported_at: now,
             own_attempts: 0,
             attempts_since_report: 0,
--- a/mustardrill_core/src/stock/reducer.rs
+++ b/mustardrill_core/src/stock/reducer.rs
@@ -124,7 +124,7 @@
             StockEvent::Fleet(page) => self.fleet_seen(now, page),
             StockEvent::VersionHeard(model, version) => self.named(now, &model, version),
             StockEvent::RelaysSeen(relays) => {
-                self.relays.set(relays);
+                self.relays.set_relays(relays);
                 self.tell_plan();
                 Vec::new()
             }
@@ -198,7 +198,7 @@
         if page.whole {
             self.peers.clear();
             self.registered.clear();
-            self.relays.set(Vec::new());
+            self.relays.set_relays(Vec::new());
         }
         for change in page.changes {
             match change {
--- a/mustardrill_core/src/transfer/choice.rs
+++ b/mustardrill_core/src/transfer/choice.rs
@@ -103,7 +103,7 @@
         // The home may have others to serve first, so it has twice the time of a drawer.
         let patience = self.settings.stall_after.0.max(1) * 2;
         let waited = now.since(self.seen_at[index.0 as usize]).0 / patience;
-        (self.homes.near_rank(index) as u64) < drawers as u64 + waited
+        (self.homes.holder_rank(index) as u64) < drawers as u64 + waited
     }
 
     /// The instance of this data centre that the others here ask first for a chunk.
@@ -111,7 +111,7 @@
         if !self.settings.homes {
             return None;
         }
-        self.homes.near_home(index)
+        self.homes.primary_holder(index)
     }
 
     pub(super) fn next_peer_chunk(&mut self, now: Moment) -> Option<(ChunkIndex, InstanceId)> {
@@ -124,7 +124,7 @@
             let index = self.missing.chunks[place];
             let mut copies = self.partners.copies(index);
             // The others here wait for what this instance is the home of.
-            if copies > 0 && self.settings.homes && self.homes.near_rank(index) == 0 {
+            if copies > 0 && self.settings.homes && self.homes.holder_rank(index) == 0 {
                 copies = 1;
             }
             let is_rarer = best.as_ref().is_none_or(|(least, _, _)| copies < *least);
--- a/mustardrill_core/src/transfer/mod.rs
+++ b/mustardrill_core/src/transfer/mod.rs
@@ -14,7 +14,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::homes::HomeTable;
+use crate::chunk_assignment::ChunkAssignment;
 use crate::manifest::{ChunkBitmap, Manifest};
 use crate::partner::PartnerTable;
 use crate::relays::RelayTable;
@@ -40,7 +40,7 @@
     partners: PartnerTable,
     drawers: Vec<InstanceId>,
     successors: Vec<InstanceId>,
-    homes: HomeTable,
+    homes: ChunkAssignment,
     relays: RelayTable,
     own_draws: Vec<ChunkIndex>,
     flights: FastMap<ChunkIndex, Flight>,
@@ -80,7 +80,7 @@
             partners: PartnerTable::new(total),
             drawers: Vec::new(),
             successors: Vec::new(),
-            homes: HomeTable::default(),
+            homes: ChunkAssignment::default(),
             relays: RelayTable::default(),
             own_draws: Vec::new(),
             flights: FastMap::default(),
@@ -125,10 +125,10 @@
     /// and drawers among them.
     pub fn set_peers(&mut self, peers: &[TransferPeer]) {
         let (total, drawers) = (self.manifest.chunk_count(), self.settings.drawers);
-        self.homes = HomeTable::new(self.digest, total, peers, &self.own, drawers);
+        self.homes = ChunkAssignment::new(self.digest, total, peers, &self.own, drawers);
         self.choose_drawers(peers);
         let chosen = self.choose_partners(peers);
-        for id in self.partners.choose(chosen) {
+        for id in self.partners.set_partners(chosen) {
             self.drop_flights(&id);
         }
     }
@@ -150,7 +150,7 @@
 
     /// Takes a partner's word on what it holds and how many uploads it has queued.
     pub fn heard(&mut self, now: Moment, id: &InstanceId, bitmap: ChunkBitmap, queue: u32) {
-        for index in self.partners.heard(now, id, bitmap, queue) {
+        for index in self.partners.record_holding(now, id, bitmap, queue) {
             self.note_seen(now, index);
         }
     }
@@ -166,7 +166,7 @@
         let awaited = self.flights.get(&index).is_some_and(|flight| flight.source == *source);
         let flight = if awaited { self.flights.remove(&index) } else { None };
         if let (ChunkSource::Peer(id), true) = (source, awaited) {
-            self.partners.ended(id);
+            self.partners.record_fetch_end(id);
         }
         match source {
             _ if *outcome == DrawOutcome::Verified => self.keep(now, index, source, flight),
@@ -214,7 +214,7 @@
 
     /// Leaves a partner that did not answer alone for a while.
     pub fn shun(&mut self, now: Moment, id: &InstanceId) {
-        self.partners.shun(now, id);
+        self.partners.record_failure(now, id);
     }
 
     fn choose_drawers(&mut self, peers: &[TransferPeer]) {
@@ -302,18 +302,18 @@
         match outcome {
             DrawOutcome::Corrupt => {
                 self.counts.corrupt_chunks += 1;
-                self.partners.blame(now, id, self.settings.corrupt_limit);
+                self.partners.record_corrupt_chunk(now, id, self.settings.corrupt_limit);
                 self.partners.retract(id, index);
             }
             DrawOutcome::Busy(others) => {
-                self.partners.rest(now, id, self.busy_rest());
+                self.partners.back_off(now, id, self.busy_rest());
                 for other in others {
-                    self.partners.hint(other, index);
+                    self.partners.record_hint(other, index);
                     self.note_seen(now, index);
                 }
             }
             DrawOutcome::Missing => self.partners.retract(id, index),
-            DrawOutcome::Failed | DrawOutcome::Verified => self.partners.shun(now, id),
+            DrawOutcome::Failed | DrawOutcome::Verified => self.partners.record_failure(now, id),
         }
     }
 
@@ -328,7 +328,7 @@
 
     fn start(&mut self, now: Moment, index: ChunkIndex, source: ChunkSource) -> ChunkDraw {
         if let ChunkSource::Peer(id) = &source {
-            self.partners.began(id);
+            self.partners.record_fetch_start(id);
         }
         self.flights.insert(index, Flight { source: source.clone(), started: now });
         let patience = self.patience(&source);
@@ -355,7 +355,7 @@
     /// home of, or draws from the origin.
     pub fn awaited_here(&self) -> usize {
         let is_awaited = |index: &ChunkIndex| {
-            self.homes.near_rank(*index) == 0 || self.homes.origin_rank(*index) == 0
+            self.homes.holder_rank(*index) == 0 || self.homes.origin_rank(*index) == 0
         };
         self.held.held().into_iter().filter(is_awaited).count()
     }
--- a/mustardrill_core/src/transfer/relayed.rs
+++ b/mustardrill_core/src/transfer/relayed.rs
@@ -42,7 +42,7 @@
 impl TransferPlan {
     /// Takes the entries that hand chunks on.
     pub fn set_relays(&mut self, relays: Vec<PeerRecord>) {
-        self.relays.set(relays);
+        self.relays.set_relays(relays);
     }
 
     pub(super) fn relay_flights(&self) -> usize {
@@ -89,7 +89,7 @@
         let is_open = |index: &ChunkIndex| match duty {
             RelayDuty::All => true,
             RelayDuty::Unseen => self.partners.copies(*index) == 0,
-            _ => self.partners.copies(*index) == 0 && self.homes.near_rank(*index) <= stalls,
+            _ => self.partners.copies(*index) == 0 && self.homes.holder_rank(*index) <= stalls,
         };
         let missing = self.missing.chunks.iter().copied();
         let free = missing.filter(|index| !self.flights.contains_key(index));
@@ -104,9 +104,9 @@
             DrawOutcome::Busy(_) => self.relay_rest = now + RELAY_REST,
             DrawOutcome::Corrupt => {
                 self.counts.corrupt_chunks += 1;
-                self.relays.failed(now, id);
+                self.relays.record_failure(now, id);
             }
-            _ => self.relays.failed(now, id),
+            _ => self.relays.record_failure(now, id),
         }
     }
 
--- a/mustardrill_core/src/pace.rs
+++ b/mustardrill_core/src/transfer_rate.rs
@@ -12,13 +12,13 @@
 
 /// Recent samples of the number of chunks held, from which the rate of a transfer is computed.
 #[derive(Debug, Default)]
-pub struct TransferPace {
+pub struct TransferRate {
     samples: VecDeque<(Moment, u32)>,
 }
 
-impl TransferPace {
+impl TransferRate {
     /// Adds a sample of the chunks held; samples within 250 ms of the last one are dropped.
-    pub fn note(&mut self, now: Moment, held: u32) {
+    pub fn add_sample(&mut self, now: Moment, held: u32) {
         let is_too_soon = self
             .samples
             .back()
--- a/mustardrill_core/tests/claims.rs
+++ b/mustardrill_core/tests/claims.rs
@@ -6,7 +6,7 @@
 
 use common::cases;
 use mustardrill_core::claim::{
-    ClaimAnswer, ClaimBatch, ClaimDocument, ClaimEffect, ClaimOutcome, ClaimSettings, ShardIndex,
+    ClaimBatch, ClaimDocument, ClaimEffect, ClaimOutcome, ClaimSettings, ShardIndex, ShardResponse,
 };
 use mustardrill_types::{AttemptId, Millis, Moment, RequestKey};
 use proptest::prelude::*;
@@ -70,7 +70,7 @@
     ClaimSettings {
         shards: 2,
         write_every: Millis(2),
-        patience: Millis(60),
+        claim_timeout: Millis(60),
         ..ClaimSettings::default()
     }
 }
@@ -130,15 +130,15 @@
             }
             ClaimEffect::Settle(..) => unreachable!("a settled claim is not a call"),
         };
-        let effects = self.coordinators[coordinator].answered(now, WALL_S, shard, answer);
+        let effects = self.coordinators[coordinator].handle_response(now, WALL_S, shard, answer);
         self.take(coordinator, effects);
     }
 
-    fn read(&mut self, shard: ShardIndex, outcome: CallOutcome) -> ClaimAnswer {
+    fn read(&mut self, shard: ShardIndex, outcome: CallOutcome) -> ShardResponse {
         let stored = self.stored.entry(shard).or_default();
         match outcome {
-            CallOutcome::Served => ClaimAnswer::Read(stored.document.clone(), stored.revision),
-            _ => ClaimAnswer::Unknown,
+            CallOutcome::Served => ShardResponse::Read(stored.document.clone(), stored.revision),
+            _ => ShardResponse::Unknown,
         }
     }
 
@@ -148,20 +148,20 @@
         expect: u64,
         document: ClaimDocument,
         outcome: CallOutcome,
-    ) -> ClaimAnswer {
+    ) -> ShardResponse {
         match outcome {
             CallOutcome::Served => self
                 .write(shard, expect, document)
-                .map_or(ClaimAnswer::Conflict, ClaimAnswer::Written),
+                .map_or(ShardResponse::Conflict, ShardResponse::Written),
             CallOutcome::ResponseLost => {
                 self.write(shard, expect, document);
-                ClaimAnswer::Unknown
+                ShardResponse::Unknown
             }
             CallOutcome::Late => {
                 self.late_writes.push((shard, expect, document));
-                ClaimAnswer::Unknown
+                ShardResponse::Unknown
             }
-            CallOutcome::Failed => ClaimAnswer::Unknown,
+            CallOutcome::Failed => ShardResponse::Unknown,
         }
     }
 
@@ -300,12 +300,17 @@
         match call {
             ClaimEffect::Read(shard) => {
                 reads += 1;
-                let answer = ClaimAnswer::Read(ClaimDocument::default(), 0);
-                calls.extend(batch.answered(Moment(2), WALL_S, shard, answer));
+                let answer = ShardResponse::Read(ClaimDocument::default(), 0);
+                calls.extend(batch.handle_response(Moment(2), WALL_S, shard, answer));
             }
             ClaimEffect::Write { shard, .. } => {
                 writes += 1;
-                calls.extend(batch.answered(Moment(3), WALL_S, shard, ClaimAnswer::Written(1)));
+                calls.extend(batch.handle_response(
+                    Moment(3),
+                    WALL_S,
+                    shard,
+                    ShardResponse::Written(1),
+                ));
             }
             ClaimEffect::Settle(_, outcome) => {
                 assert_eq!(outcome, ClaimOutcome::Granted);
@@ -326,7 +331,7 @@
     document.claims.insert(old, record);
     let shard = ShardIndex(0);
     batch.claim(Moment(1), WALL_S, RequestKey(2), AttemptId(2));
-    let effects = batch.answered(Moment(2), WALL_S, shard, ClaimAnswer::Read(document, 4));
+    let effects = batch.handle_response(Moment(2), WALL_S, shard, ShardResponse::Read(document, 4));
     let [ClaimEffect::Write { document, expect: 4, .. }] = effects.as_slice() else {
         panic!("{effects:?}");
     };
--- a/mustardrill_core/tests/homes.rs
+++ b/mustardrill_core/tests/homes.rs
@@ -1,7 +1,7 @@
 //! Primary holders of chunks: balanced, the same for all instances, and mostly stable when members
 //! change.
 
-use mustardrill_core::homes::HomeTable;
+use mustardrill_core::chunk_assignment::ChunkAssignment;
 use mustardrill_core::transfer::TransferPeer;
 use mustardrill_types::{ChunkIndex, FastMap, InstanceId, ManifestDigest};
 use proptest::prelude::*;
@@ -35,10 +35,10 @@
     ) {
         let all = peers(&counts);
         let tables: Vec<_> =
-            all.iter().map(|own| HomeTable::new(digest(seed), TOTAL, &all, own, usize::MAX)).collect();
+            all.iter().map(|own| ChunkAssignment::new(digest(seed), TOTAL, &all, own, usize::MAX)).collect();
         for (own, table) in all.iter().zip(&tables) {
             let size = all.iter().filter(|peer| peer.data_centre == own.data_centre).count();
-            let held = (0..TOTAL).filter(|index| table.near_rank(ChunkIndex(*index)) == 0).count();
+            let held = (0..TOTAL).filter(|index| table.holder_rank(ChunkIndex(*index)) == 0).count();
             prop_assert!(held <= (TOTAL as usize).div_ceil(size));
         }
         for index in (0..TOTAL).map(ChunkIndex) {
@@ -53,8 +53,9 @@
     let all = peers(&[7]);
     let fewer = &all[..6];
     let holders_among = |members: &[TransferPeer]| {
-        let table = HomeTable::new(digest(3), TOTAL, members, &all[0], usize::MAX);
-        let holders = (0..TOTAL).map(|index| table.near_home(ChunkIndex(index)).cloned().unwrap());
+        let table = ChunkAssignment::new(digest(3), TOTAL, members, &all[0], usize::MAX);
+        let holders =
+            (0..TOTAL).map(|index| table.primary_holder(ChunkIndex(index)).cloned().unwrap());
         holders.collect::<Vec<InstanceId>>()
     };
     let (before, after) = (holders_among(&all), holders_among(fewer));
@@ -73,7 +74,7 @@
     let all = peers(&[25, 26, 25]);
     let mut chunks_of = FastMap::default();
     for own in &all {
-        let table = HomeTable::new(digest(5), TOTAL, &all, own, SEEDERS);
+        let table = ChunkAssignment::new(digest(5), TOTAL, &all, own, SEEDERS);
         let is_first = |index: &u32| table.origin_rank(ChunkIndex(*index)) == 0;
         let chunks = (0..TOTAL).filter(is_first).count();
         if chunks > 0 {
@@ -93,7 +94,7 @@
 fn instances_that_are_not_seeders_rank_after_all_seeders() {
     let all = peers(&[5, 5]);
     for index in (0..TOTAL).map(ChunkIndex) {
-        let ranks = all.iter().map(|own| HomeTable::new(digest(5), TOTAL, &all, own, 4));
+        let ranks = all.iter().map(|own| ChunkAssignment::new(digest(5), TOTAL, &all, own, 4));
         let mut ranks: Vec<_> = ranks.map(|table| table.origin_rank(index)).collect();
         ranks.sort_unstable();
         assert_eq!(ranks[..4], [0, 1, 2, 3]);
--- a/mustardrill_core/tests/limits.rs
+++ b/mustardrill_core/tests/limits.rs
@@ -60,12 +60,12 @@
     }
 
     /// Receives the agent's sum of the requests over `reporting` entries, this one included.
-    fn receive_demand(&mut self, asked: u32, reporting: u32) {
-        self.receive_sync(asked, reporting, Vec::new());
+    fn receive_demand(&mut self, requests: u32, reporting: u32) {
+        self.receive_sync(requests, reporting, Vec::new());
     }
 
     /// Receives the agent's answer to a heartbeat, with reports of crashes.
-    fn receive_sync(&mut self, asked: u32, reporting: u32, crashes: Vec<CrashWord>) {
+    fn receive_sync(&mut self, requests: u32, reporting: u32, crashes: Vec<CrashWord>) {
         let key = ("comedor".parse().unwrap(), "desk".parse().unwrap());
         let report =
             UpstreamReport { outstanding: 0, capacity: 1_000, serving: vec![], leaving: false };
@@ -76,7 +76,7 @@
                 generation: Generation(1),
                 report,
                 progress: Vec::new(),
-                demand: vec![DemandRow { key, asked }],
+                demand: vec![DemandRow { key, requests }],
                 entries: reporting,
                 crashes,
             }),
--- a/mustardrill_core/tests/policies.rs
+++ b/mustardrill_core/tests/policies.rs
@@ -35,8 +35,8 @@
     let mut order = Vec::new();
     let mut running = AttemptId(0);
     for round in 0..20 {
-        queue.finished(Moment(10 * round), running);
-        running = queue.next_run(Moment(10 * round)).unwrap();
+        queue.finish(Moment(10 * round), running);
+        running = queue.start_next(Moment(10 * round)).unwrap();
         order.push(running.0.is_multiple_of(2));
     }
     assert_eq!(
@@ -59,18 +59,18 @@
         let low = queue.offer(Moment(1_000), AttemptId(number), RequestClass::Background, far);
         assert_eq!(low, Admission::Queued, "it would finish together with the urgent one");
     }
-    assert_eq!(queue.next_run(Moment(1_004)), None);
-    assert_eq!(queue.held_until(), Some(Moment(1_005)));
-    assert_eq!(queue.next_run(Moment(1_005)), Some(AttemptId(1)));
-    assert_eq!(queue.next_run(Moment(1_006)), None, "starts are spaced");
+    assert_eq!(queue.start_next(Moment(1_004)), None);
+    assert_eq!(queue.next_start_at(), Some(Moment(1_005)));
+    assert_eq!(queue.start_next(Moment(1_005)), Some(AttemptId(1)));
+    assert_eq!(queue.start_next(Moment(1_006)), None, "starts are spaced");
     // A request of the higher class starts at once where a slot is free.
     let urgent = queue.offer(Moment(1_006), AttemptId(9), RequestClass::Urgent, far);
     assert_eq!(urgent, Admission::Run);
-    assert_eq!(queue.next_run(Moment(1_011)), Some(AttemptId(2)));
+    assert_eq!(queue.start_next(Moment(1_011)), Some(AttemptId(2)));
     // Long after the last request of the higher class, starts are no longer spaced.
     let later = Moment(10_000);
-    assert_eq!(queue.next_run(later), Some(AttemptId(3)));
-    assert_eq!(queue.next_run(later), Some(AttemptId(4)));
+    assert_eq!(queue.start_next(later), Some(AttemptId(3)));
+    assert_eq!(queue.start_next(later), Some(AttemptId(4)));
 }
 
 #[test]
@@ -80,12 +80,12 @@
     queue.offer(Moment(1_000), AttemptId(0), RequestClass::Urgent, far);
     queue.offer(Moment(1_000), AttemptId(1), RequestClass::Background, far);
     for number in 2..10 {
-        assert_eq!(queue.next_run(Moment(1_000)), None, "the background request is held");
+        assert_eq!(queue.start_next(Moment(1_000)), None, "the background request is held");
         let urgent = queue.offer(Moment(1_000), AttemptId(number), RequestClass::Urgent, far);
         assert_eq!(urgent, Admission::Run);
     }
     assert_eq!(
-        queue.next_run(Moment(1_000)),
+        queue.start_next(Moment(1_000)),
         Some(AttemptId(1)),
         "it starts after eight requests of the higher class"
     );
@@ -96,7 +96,7 @@
     let mut queue = queue(10, 100, 8);
     let runs = (0..10).map(|number| offer(&mut queue, number, RequestClass::Background));
     assert!(runs.into_iter().all(|admission| admission == Admission::Run));
-    assert_eq!(queue.held_until(), None);
+    assert_eq!(queue.next_start_at(), None);
 }
 
 #[test]
@@ -113,7 +113,7 @@
     assert!(matches!(expired, Admission::Refused(ResultCode::DeadlinePassed, _)));
     let fits = queue.offer(Moment(1), AttemptId(3), RequestClass::Standard, Moment(500));
     assert_eq!(fits, Admission::Queued);
-    assert_eq!(queue.expired(Moment(600)), [AttemptId(3)]);
+    assert_eq!(queue.take_expired(Moment(600)), [AttemptId(3)]);
 }
 
 #[test]
@@ -165,7 +165,7 @@
             let due = (now + 1) * rate / 1_000 - now * rate / 1_000;
             for _ in 0..due {
                 if table.admit(Moment(now), &key, limits, offered.len()).is_ok() {
-                    table.finished(&key);
+                    table.release(&key);
                     count += u64::from(now >= 3_000);
                 }
             }
@@ -251,7 +251,7 @@
 fn table(count: usize, settings: RoutingSettings) -> (RoutingTable, Vec<InstanceId>) {
     let mut table = RoutingTable::new(settings);
     let ids = ids(count);
-    ids.iter().for_each(|id| table.reported(Moment(1), id, true, report(0)));
+    ids.iter().for_each(|id| table.record_report(Moment(1), id, true, report(0)));
     (table, ids)
 }
 
@@ -261,22 +261,22 @@
     let (mut table, ids) = table(2, settings);
     let mut random = SmallRng::seed_from_u64(1);
     for at in [10, 70, 130] {
-        table.sent(&ids[0]);
-        table.ended(Moment(at), &ids[0], false);
+        table.record_sent(&ids[0]);
+        table.record_ended(Moment(at), &ids[0], false);
     }
     let mut share = |table: &mut RoutingTable, now: u64| {
         let mut picked = 0;
         for number in 0..1_000 {
             let (id, _) = table.choose(Moment(now), &ids, &[], None, &mut random).unwrap();
-            table.sent(&id);
+            table.record_sent(&id);
             picked += u32::from(id == ids[0]);
             if u32::is_multiple_of(number, 7) {
-                table.ended(Moment(now), &id, true);
+                table.record_ended(Moment(now), &id, true);
             }
         }
         for id in &ids {
-            table.reported(Moment(now), id, true, report(0));
-            (0..1_000).for_each(|_| table.ended(Moment(now), id, true));
+            table.record_report(Moment(now), id, true, report(0));
+            (0..1_000).for_each(|_| table.record_ended(Moment(now), id, true));
         }
         picked
     };
@@ -289,8 +289,8 @@
 fn one_broken_connection_counts_as_one_failure() {
     let (mut table, ids) = table(2, RoutingSettings::default());
     let mut random = SmallRng::seed_from_u64(1);
-    (0..20).for_each(|_| table.sent(&ids[0]));
-    (0..20).for_each(|_| table.ended(Moment(10), &ids[0], false));
+    (0..20).for_each(|_| table.record_sent(&ids[0]));
+    (0..20).for_each(|_| table.record_ended(Moment(10), &ids[0], false));
     let mut choose = || table.choose(Moment(11), &ids, &[], None, &mut random).unwrap().0;
     assert!(
         (0..100).any(|_| choose() == ids[0]),
@@ -304,7 +304,7 @@
     let mut random = SmallRng::seed_from_u64(1);
     for (index, id) in ids.iter().enumerate() {
         for failure in 0..3 {
-            table.ended(Moment(10 + 100 * failure + index as u64), id, false);
+            table.record_ended(Moment(10 + 100 * failure + index as u64), id, false);
         }
     }
     let mut choose =
@@ -328,7 +328,7 @@
     let (first, reason) = choose(&table);
     assert_eq!(reason, RoutingReason::Affinity);
     assert_eq!(choose(&table).0, first);
-    (0..40).for_each(|_| table.sent(&first));
+    (0..40).for_each(|_| table.record_sent(&first));
     assert_ne!(choose(&table).0, first, "its load is far above the mean");
 }
 
@@ -336,9 +336,14 @@
 fn a_silent_or_draining_upstream_is_not_chosen() {
     let (mut table, ids) = table(2, RoutingSettings::default());
     let mut random = SmallRng::seed_from_u64(1);
-    table.reported(Moment(9_000), &ids[0], true, UpstreamReport { leaving: true, ..report(0) });
+    table.record_report(
+        Moment(9_000),
+        &ids[0],
+        true,
+        UpstreamReport { leaving: true, ..report(0) },
+    );
     assert!(table.choose(Moment(9_000), &ids, &[], None, &mut random).is_none());
-    table.reported(Moment(9_000), &ids[1], true, report(9));
+    table.record_report(Moment(9_000), &ids[1], true, report(9));
     let chosen = table.choose(Moment(9_000), &ids, &[], None, &mut random);
     assert_eq!(chosen, Some((ids[1].clone(), RoutingReason::Only)));
 }
--- a/mustardrill_core/tests/relays.rs
+++ b/mustardrill_core/tests/relays.rs
@@ -5,7 +5,7 @@
 
 use mustardrill_core::direct::PeerRecord;
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
-use mustardrill_core::relays::{OriginGate, RelayItem, RelayTable};
+use mustardrill_core::relays::{OriginBreaker, RelayItem, RelayTable};
 use mustardrill_core::transfer::{
     ChunkDraw, ChunkSource, DrawOutcome, TransferPeer, TransferPlan, TransferSettings,
 };
@@ -27,7 +27,7 @@
 
 fn table(relays: &[PeerRecord]) -> RelayTable {
     let mut table = RelayTable::default();
-    table.set(relays.to_vec());
+    table.set_relays(relays.to_vec());
     table
 }
 
@@ -49,11 +49,11 @@
     };
     let used: FastSet<_> = (0..TOTAL).filter_map(|index| nearest(&table, START, index)).collect();
     assert_eq!(used, ["e-1", "e-2"].map(String::from).into_iter().collect());
-    table.failed(START, &"e-1".parse().unwrap());
+    table.record_failure(START, &"e-1".parse().unwrap());
     assert!((0..TOTAL).all(|index| nearest(&table, START, index).as_deref() == Some("e-2")));
-    table.failed(START, &"e-2".parse().unwrap());
+    table.record_failure(START, &"e-2".parse().unwrap());
     assert_eq!(nearest(&table, START, 0).as_deref(), Some("e-3"));
-    table.failed(START, &"e-3".parse().unwrap());
+    table.record_failure(START, &"e-3".parse().unwrap());
     assert_eq!(nearest(&table, START, 0), None);
     assert!(nearest(&table, START + Millis(5_000), 0).is_some(), "the backoff has ended");
 }
@@ -69,7 +69,7 @@
         })
     };
     assert!(all_relayed_by(&table, "wide"));
-    table.failed(START, &"wide".parse().unwrap());
+    table.record_failure(START, &"wide".parse().unwrap());
     assert!(all_relayed_by(&table, "narrow"));
 }
 
@@ -81,9 +81,9 @@
     let (one, other) = (table(&relays), table(&reversed));
     let origin = centre("hall-b");
     for index in 0..TOTAL {
-        let seeders = one.drawers(START, "m:2", chunk(index), &origin);
+        let seeders = one.seeders(START, "m:2", chunk(index), &origin);
         assert_eq!(seeders[0].data_centre, origin);
-        assert_eq!(seeders, other.drawers(START, "m:2", chunk(index), &origin));
+        assert_eq!(seeders, other.seeders(START, "m:2", chunk(index), &origin));
         assert_eq!(seeders.len(), relays.len());
     }
 }
@@ -216,17 +216,17 @@
 
 #[test]
 fn an_unreachable_origin_gets_one_probe_per_backoff() {
-    let mut breaker = OriginGate::default();
+    let mut breaker = OriginBreaker::default();
     assert!(
-        breaker.pass(START) && breaker.pass(START),
+        breaker.allow_call(START) && breaker.allow_call(START),
         "calls to an origin that responds are not limited"
     );
-    breaker.failed(START);
-    let calls = (1..=50).filter(|step| breaker.pass(START + Millis(step * 20))).count();
+    breaker.record_failure(START);
+    let calls = (1..=50).filter(|step| breaker.allow_call(START + Millis(step * 20))).count();
     assert_eq!(calls, 5, "probes in 1 s");
-    breaker.answered();
+    breaker.record_response();
     assert!(
-        (0..10).all(|_| breaker.pass(START + Millis(1_001))),
+        (0..10).all(|_| breaker.allow_call(START + Millis(1_001))),
         "calls are unrestricted after a response"
     );
 }
--- a/mustardrill_core/tests/requests.rs
+++ b/mustardrill_core/tests/requests.rs
@@ -13,7 +13,7 @@
 use mustardrill_core::agent::{AgentEffect, AgentEvent, AgentReducer, AgentSettings, EngineReport};
 use mustardrill_core::budget::RetrySettings;
 use mustardrill_core::claim::{
-    ClaimAnswer, ClaimDocument, ClaimEffect, ClaimOutcome, ClaimSettings, ShardIndex,
+    ClaimDocument, ClaimEffect, ClaimOutcome, ClaimSettings, ShardIndex, ShardResponse,
 };
 use mustardrill_core::document::CatalogueDocument;
 use mustardrill_core::entry::{
@@ -73,7 +73,7 @@
     AskTimesOut { order: ClaimOrder, place: usize },
     Releases { order: ClaimOrder, place: usize },
     Claims { agent: usize, effect: ClaimEffect, life: u32 },
-    ClaimSaid { agent: usize, shard: ShardIndex, answer: ClaimAnswer, life: u32 },
+    ClaimSaid { agent: usize, shard: ShardIndex, answer: ShardResponse, life: u32 },
     ClaimTold { entry: usize, attempt: AttemptId, outcome: ClaimOutcome, life: u32 },
     Syncs { entry: usize, agent: usize },
     Ticks,
@@ -174,7 +174,7 @@
         claim: ClaimSettings {
             shards: 2,
             write_every: Millis(5),
-            patience: Millis(200),
+            claim_timeout: Millis(200),
             ..ClaimSettings::default()
         },
         owner: OwnerSettings::default(),
@@ -600,20 +600,20 @@
         let (shard, answer) = match effect {
             ClaimEffect::Read(shard) => {
                 let (revision, document) = self.claims.entry(shard).or_default().clone();
-                (shard, ClaimAnswer::Read(document, revision))
+                (shard, ShardResponse::Read(document, revision))
             }
             ClaimEffect::Write { shard, expect, document } => {
                 let key = self.claims.entry(shard).or_default();
                 if !is_down && key.0 == expect {
                     *key = (expect + 1, document);
-                    (shard, ClaimAnswer::Written(expect + 1))
+                    (shard, ShardResponse::Written(expect + 1))
                 } else {
-                    (shard, ClaimAnswer::Conflict)
+                    (shard, ShardResponse::Conflict)
                 }
             }
             ClaimEffect::Settle(..) => return,
         };
-        let answer = if is_down || is_losing { ClaimAnswer::Unknown } else { answer };
+        let answer = if is_down || is_losing { ShardResponse::Unknown } else { answer };
         let at = self.now + self.delay(6);
         self.push(at, Happening::ClaimSaid { agent, shard, answer, life });
     }
--- a/mustardrill_core/tests/transfers.rs
+++ b/mustardrill_core/tests/transfers.rs
@@ -133,7 +133,7 @@
 
     fn exchange(&mut self, agent: usize) {
         let now = Moment(self.now);
-        let stale = self.plans[agent].as_ref().unwrap().partners().stale(now, Millis(1));
+        let stale = self.plans[agent].as_ref().unwrap().partners().stale_partners(now, Millis(1));
         for id in stale {
             let place = self.peers.iter().position(|peer| peer.id == id).unwrap();
             let is_silent = self.stalled_until.get(&place).is_some_and(|until| *until > self.now);
--- a/mustardrill_entry/src/actor.rs
+++ b/mustardrill_entry/src/actor.rs
@@ -188,7 +188,7 @@
             customers: self.context.access.customers().cloned().collect(),
             operators: self.context.access.operators().map(Into::into).collect(),
             staging_limit: self.context.edits.staging_limit,
-            in_use: self.reducer.limits().in_use(),
+            in_use: self.reducer.limits().peak_in_flight(),
             ..FleetFacts::default()
         };
         for record in self.reducer.members().records().filter(|record| !record.leaving) {
--- a/mustardrill_entry/src/direct/relay.rs
+++ b/mustardrill_entry/src/direct/relay.rs
@@ -14,7 +14,7 @@
 use kameo::prelude::*;
 use log::{info, warn};
 use mustardrill_core::direct::{OriginProfile, PeerRecord};
-use mustardrill_core::relays::{OriginGate, RelayItem, RelayTable};
+use mustardrill_core::relays::{OriginBreaker, RelayItem, RelayTable};
 use mustardrill_core::stock::VersionId;
 use mustardrill_runtime::border::ChunkList;
 use mustardrill_runtime::fleet_digest::FleetDigest;
@@ -98,7 +98,7 @@
 #[derive(Debug, Default)]
 struct RelayState {
     table: RelayTable,
-    gate: OriginGate,
+    gate: OriginBreaker,
     fetches: FastMap<ItemKey, ItemFetch>,
     /// The items that are whole, the oldest first.
     whole: VecDeque<(ItemKey, usize)>,
@@ -237,10 +237,10 @@
     ) -> Vec<PeerRecord> {
         let now = self.context.clock.now();
         let mut state = self.state.lock().expect("no holder panics");
-        state.table.set(peers);
+        state.table.set_relays(peers);
         state.table.add(own_record(&self.context.config));
         let version = key.0.to_string();
-        let drawers = state.table.drawers(now, &version, key.1, &origin.data_centre);
+        let drawers = state.table.seeders(now, &version, key.1, &origin.data_centre);
         drawers.into_iter().take(DRAWERS_ASKED).cloned().collect()
     }
 
@@ -250,7 +250,7 @@
             key.0, key.1, relay.id
         );
         let now = self.context.clock.now();
-        self.state.lock().expect("no holder panics").table.failed(now, &relay.id);
+        self.state.lock().expect("no holder panics").table.record_failure(now, &relay.id);
     }
 
     /// Asks another entry for an item, for as long as that entry says that it draws it.
@@ -290,15 +290,15 @@
         origin: &OriginProfile,
     ) -> Result<Bytes, ItemMiss> {
         let now = self.context.clock.now();
-        if !self.state.lock().expect("no holder panics").gate.pass(now) {
+        if !self.state.lock().expect("no holder panics").gate.allow_call(now) {
             return Err(ItemMiss::NotNow);
         }
         let drawn = self.draw(key, origin).await;
         let now = self.context.clock.now();
         let gate = &mut self.state.lock().expect("no holder panics").gate;
         match &drawn {
-            Ok(_) => gate.answered(),
-            Err(_) => gate.failed(now),
+            Ok(_) => gate.record_response(),
+            Err(_) => gate.record_failure(now),
         }
         // What comes spoilt was sent by an origin that is there.
         drawn.and_then(|bytes| self.verified(key.1, list, bytes)).map_err(|reason| {
--- a/mustardrill_entry/src/effects.rs
+++ b/mustardrill_entry/src/effects.rs
@@ -6,10 +6,10 @@
 use kameo::prelude::*;
 use mustardrill_core::agent::WeightsProgress;
 use mustardrill_core::claim::ClaimOutcome;
+use mustardrill_core::coordinator::ClaimCoordinator;
 use mustardrill_core::demand::DemandRow;
 use mustardrill_core::document::CatalogueDocument;
 use mustardrill_core::entry::{AgentSync, AttemptEnd, ClaimOrder, EntryEvent, SendOrder};
-use mustardrill_core::keeper::ClaimKeeper;
 use mustardrill_core::quarantine::CrashWord;
 use mustardrill_core::routing::UpstreamReport;
 use mustardrill_proto as proto;
@@ -88,7 +88,7 @@
 async fn call_claim(
     context: &EntryContext,
     order: &ClaimOrder,
-    keeper: &ClaimKeeper,
+    keeper: &ClaimCoordinator,
     release: bool,
 ) -> Option<ClaimOutcome> {
     let mut client = context.agents.client(&keeper.address)?;
--- a/mustardrill_entry/src/status.rs
+++ b/mustardrill_entry/src/status.rs
@@ -80,7 +80,7 @@
                     data_centre: record
                         .map_or("".into(), |record| record.data_centre.as_str().into()),
                     generation: generation.0,
-                    silent_ms: view.map(|view| now.since(view.heard()).0),
+                    silent_ms: view.map(|view| now.since(view.reported_at()).0),
                     leaving: view.is_some_and(|view| view.report.leaving),
                     outstanding: view.map_or(0, |view| view.report.outstanding),
                     serving: view.map_or_else(Vec::new, |view| {
--- a/mustardrill_runtime/src/wire.rs
+++ b/mustardrill_runtime/src/wire.rs
@@ -34,13 +34,13 @@
 pub fn demand_message(row: &DemandRow) -> proto::Demand {
     let (customer, target) = &row.key;
     let (customer, target) = (customer.to_string(), target.to_string());
-    proto::Demand { customer, target, asked: row.asked }
+    proto::Demand { customer, target, asked: row.requests }
 }
 
 /// A message as a row of demand; nothing where its names are malformed.
 pub fn demand_row(row: &proto::Demand) -> Option<DemandRow> {
     let key = (row.customer.parse().ok()?, row.target.parse().ok()?);
-    Some(DemandRow { key, asked: row.asked })
+    Some(DemandRow { key, requests: row.asked })
 }
 
 /// A word on a crash as a message, told at `now`.
--- a/mustardrill_standins/examples/slopes.rs
+++ b/mustardrill_standins/examples/slopes.rs
@@ -12,7 +12,7 @@
 use mustardrill_core::agent::{AgentEvent, AgentReducer, AgentSettings, EngineReport};
 use mustardrill_core::budget::RetrySettings;
 use mustardrill_core::claim::{
-    ClaimAnswer, ClaimBatch, ClaimDocument, ClaimEffect, ClaimOutcome, ClaimSettings, ShardIndex,
+    ClaimBatch, ClaimDocument, ClaimEffect, ClaimOutcome, ClaimSettings, ShardIndex, ShardResponse,
 };
 use mustardrill_core::document::{
     CallerSet, CatalogueDocument, CatalogueEntry, CustomerLimits, ModelWeights, RequestClass,
@@ -279,7 +279,7 @@
             begun.insert(attempt, now);
             let key = RequestKey(random.random());
             // A batch for each shard, or two where half of the entries see another list.
-            let shard = mustardrill_core::keeper::shard_of(key, 8).0 as usize;
+            let shard = mustardrill_core::coordinator::shard_of(key, 8).0 as usize;
             let entry = shard * keepers + random.random_range(0..keepers);
             fresh.push((entry, batches[entry].claim(Moment(now), now / 1_000, key, attempt)));
         }
@@ -294,22 +294,25 @@
                 ClaimEffect::Read(shard) => {
                     reads += 1;
                     let (revision, document) = keys.entry(shard).or_default().clone();
-                    (shard, ClaimAnswer::Read(document, revision))
+                    (shard, ShardResponse::Read(document, revision))
                 }
                 ClaimEffect::Write { shard, expect, document } => {
                     writes += 1;
                     let key = keys.entry(shard).or_default();
                     if key.0 == expect {
                         *key = (expect + 1, document);
-                        (shard, ClaimAnswer::Written(expect + 1))
+                        (shard, ShardResponse::Written(expect + 1))
                     } else {
                         conflicts += 1;
-                        (shard, ClaimAnswer::Conflict)
+                        (shard, ShardResponse::Conflict)
                     }
                 }
                 ClaimEffect::Settle(..) => continue,
             };
-            fresh.push((entry, batches[entry].answered(Moment(now), now / 1_000, shard, answer)));
+            fresh.push((
+                entry,
+                batches[entry].handle_response(Moment(now), now / 1_000, shard, answer),
+            ));
         }
         for (entry, effects) in fresh {
             for effect in effects {
@@ -425,7 +428,7 @@
         while let Some(entry) = ends.first_entry().filter(|entry| entry.key().0 <= now) {
             let place = entry.remove();
             outstanding[place] -= 1;
-            table.ended(Moment(now), &ids[place], true);
+            table.record_ended(Moment(now), &ids[place], true);
         }
         if reported == u64::MAX || now - reported >= REPORT_MS {
             reported = now;
@@ -436,7 +439,7 @@
                     serving: Vec::new(),
                     leaving: false,
                 };
-                table.reported(Moment(now), id, true, report);
+                table.record_report(Moment(now), id, true, report);
             }
         }
         let work = (50.0 + random.random::<f64>() * 100.0) as u64;
@@ -444,7 +447,7 @@
             "two choices" => {
                 let (id, _) =
                     table.choose(Moment(now), &ids, &[], None, &mut choice).expect("an upstream");
-                table.sent(&id);
+                table.record_sent(&id);
                 ids.iter().position(|other| *other == id).expect("a known one")
             }
             "round robin" => number % upstreams,
