--- a/mustardrill_entry/src/actor.rs
+++ b/mustardrill_entry/src/actor.rs
@@ -18,9 +18,9 @@
 use mustardrill_types::{AttemptId, FastMap};
 use tokio_util::sync::CancellationToken;
 
+use crate::agent_clocks::ClockTable;
 use crate::attempt::RequestIo;
 use crate::callers::CallerHandler;
-use crate::clocks::ClockTable;
 use crate::config::EntryConfig;
 use crate::context::EntryContext;
 use crate::effects;
--- a/mustardrill_entry/src/context.rs
+++ b/mustardrill_entry/src/context.rs
@@ -8,7 +8,7 @@
 use mustardrill_types::InstanceId;
 use tokio_util::sync::CancellationToken;
 
-use crate::clocks::ClockTable;
+use crate::agent_clocks::ClockTable;
 use crate::config::{AccessConfig, CallerConfig, EditConfig};
 
 /// The key of the catalogue in the platform's service.
--- a/mustardrill_entry/src/direct/actor.rs
+++ b/mustardrill_entry/src/direct/actor.rs
@@ -25,10 +25,10 @@
 use crate::direct::config::DirectConfig;
 use crate::direct::connections::ConnectionPool;
 use crate::direct::metrics::METRICS;
-use crate::direct::records::RecordChange;
+use crate::direct::quarantine_records::RecordChange;
 use crate::direct::relay::ChunkRelay;
 use crate::direct::watch::own_record;
-use crate::direct::{gossip, records, watch};
+use crate::direct::{gossip, quarantine_records, watch};
 
 /// The platform, as the entry sees it.
 pub struct DirectBorders {
@@ -173,10 +173,14 @@
                     gossip::tell_agents(self.context.clone(), &model, version, machines);
                 }
                 DirectEffect::KeepQuarantine(digest, span) => {
-                    records::spawn(self.context.clone(), digest, RecordChange::Keep(span));
+                    quarantine_records::spawn(
+                        self.context.clone(),
+                        digest,
+                        RecordChange::Keep(span),
+                    );
                 }
                 DirectEffect::EndQuarantine(digest) => {
-                    records::spawn(self.context.clone(), digest, RecordChange::End);
+                    quarantine_records::spawn(self.context.clone(), digest, RecordChange::End);
                 }
                 DirectEffect::Wake(at) => wake(now, at, actor.clone()),
             }
--- a/mustardrill_entry/src/direct/attempt.rs
+++ b/mustardrill_entry/src/direct/attempt.rs
@@ -21,7 +21,7 @@
 use crate::direct::actor::{Begin, DirectActor, DirectContext, Event, Verdict};
 use crate::direct::answer::AnswerPart;
 use crate::direct::connections::{SendFailure, UpstreamConnection};
-use crate::direct::events::EventCutter;
+use crate::direct::event_splitter::EventCutter;
 
 /// The largest answer that is read whole before it is passed on.
 const WHOLE_LIMIT: usize = 8 << 20;
--- a/mustardrill_entry/src/direct/gossip.rs
+++ b/mustardrill_entry/src/direct/gossip.rs
@@ -14,7 +14,7 @@
 use mustardrill_types::{Millis, ModelName, Moment, WeightVersion};
 
 use crate::direct::actor::{DirectActor, DirectContext, Event, GossipQuery};
-use crate::direct::contact::{self, ContactAsker};
+use crate::direct::availability::{self, ContactAsker};
 
 /// How often the load is looked at: what other entries don't know of yet, they send as well.
 const LOOK_EVERY: Duration = Duration::from_millis(10);
@@ -77,11 +77,11 @@
         let Some(datagram) = Datagram::read(&buffer[..length]) else { continue };
         let now = context.clock.now();
         if let Some(asked) = datagram.contact_ask {
-            contact::answer(&actor, &context, from, asked).await;
+            availability::answer(&actor, &context, from, asked).await;
             continue;
         }
         if let Some(row) = &datagram.contact {
-            contact::take(&actor, now, row).await;
+            availability::take(&actor, now, row).await;
             continue;
         }
         for event in events_of(now, datagram) {
--- a/mustardrill_entry/src/direct/mod.rs
+++ b/mustardrill_entry/src/direct/mod.rs
@@ -3,15 +3,15 @@
 mod actor;
 mod answer;
 mod attempt;
+mod availability;
 mod callers;
 mod config;
 mod connections;
-mod contact;
-mod events;
+mod event_splitter;
 mod gated_stream;
 mod gossip;
 mod metrics;
-mod records;
+mod quarantine_records;
 mod relay;
 mod watch;
 
--- a/mustardrill_entry/src/lib.rs
+++ b/mustardrill_entry/src/lib.rs
@@ -2,10 +2,10 @@
 #![deny(missing_docs, unsafe_code, clippy::unwrap_used)]
 
 pub mod actor;
+mod agent_clocks;
 mod attempt;
 mod callers;
 pub mod cli;
-mod clocks;
 pub mod config;
 mod context;
 pub mod direct;
