--- a/mustardrill_entry/src/direct/actor.rs
+++ b/mustardrill_entry/src/direct/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the reducer of an entry that sends to upstreams itself.
+//! The actor that owns the reducer of an entry that sends requests directly to upstreams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-use crate::direct::callers::DirectHandler;
+use crate::direct::callers::CallerHandler;
 use crate::direct::config::DirectConfig;
 use crate::direct::connections::ConnectionPool;
 use crate::direct::metrics::METRICS;
@@ -30,44 +30,44 @@
 use crate::direct::watch::own_record;
 use crate::direct::{gossip, quarantine_records, watch};
 
-/// The platform, as the entry sees it.
-pub struct DirectBorders {
-    /// The store.
+/// The adapters through which the entry uses its platform.
+pub struct PlatformAdapters {
+    /// The platform's store: configuration, registrations and announced versions.
     pub source: Box<dyn FleetSource>,
-    /// How callers and upstreams write.
+    /// Reads and writes the HTTP heads of callers' requests and upstreams' answers.
     pub dialect: Box<dyn CallDialect>,
-    /// Where weights come from.
+    /// Fetches and verifies weights from their origin.
     pub origin: Box<dyn ChunkOrigin>,
 }
 
 /// A running entry.
 #[derive(Debug)]
 pub struct DirectHandle {
-    /// Where callers reach it.
+    /// Address at which callers are served, with the port that was bound.
     pub address: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// Address at which the load balancer probes readiness.
     pub ready_address: SocketAddr,
     context: Arc<DirectContext>,
-    callers: HttpServer,
+    caller_server: HttpServer,
     stop_callers: CancellationToken,
 }
 
-/// What the tasks of the entry share.
+/// State shared by the tasks of the entry.
 pub(crate) struct DirectContext {
     pub(crate) clock: ProcessClock,
     pub(crate) config: DirectConfig,
-    pub(crate) borders: DirectBorders,
+    pub(crate) adapters: PlatformAdapters,
     pub(crate) pool: ConnectionPool,
     pub(crate) metrics: StatsdClient,
-    /// For datagrams to and from other entries and agents.
+    /// Datagrams to and from peer entries and agents.
     pub(crate) socket: UdpSocket,
-    /// Whether a planned stop has begun.
-    pub(crate) leaving: AtomicBool,
+    /// Set when a planned stop has started.
+    pub(crate) is_draining: AtomicBool,
     pub(crate) halt: CancellationToken,
 }
 
 impl DirectContext {
-    /// Sends a datagram. One that can't be sent is as one that got lost.
+    /// Sends a datagram. A send error is only logged: datagrams may be lost at any time anyway.
     pub(crate) async fn send_datagram(&self, to: SocketAddr, bytes: &[u8]) {
         if let Err(error) = self.socket.send_to(bytes, to).await {
             log::debug!("datagram to={to} outcome=unsent reason=\"{error}\"");
@@ -75,34 +75,37 @@
     }
 }
 
-/// What a request's own task is told.
+/// What the reducer orders the task of one request to do.
 #[derive(Debug)]
-pub(crate) enum Verdict {
-    /// Send it to an upstream.
+pub(crate) enum RequestCommand {
+    /// Send the request to an upstream.
     Send(SendPlan),
-    /// Close the attempt under way unless its answer has begun.
+    /// Close the current attempt unless its answer has started.
     Withdraw,
-    /// Give the caller the failure that is at hand.
-    PassOn,
-    /// There is no answer.
+    /// Forward the failure that an upstream answered to the caller.
+    ForwardFailure,
+    /// Answer the caller with a refusal.
     Refuse(RefusalPlan),
 }
 
-/// Owns the reducer; all decisions are made here, one after the other.
+/// Owns the reducer, which makes all decisions one after the other.
 #[derive(Actor)]
 pub(crate) struct DirectActor {
     reducer: DirectReducer,
     context: Arc<DirectContext>,
-    verdicts: FastMap<RequestNumber, mpsc::UnboundedSender<Verdict>>,
+    command_senders: FastMap<RequestNumber, mpsc::UnboundedSender<RequestCommand>>,
 }
 
 /// An event for the reducer.
 pub(crate) struct Event(pub(crate) DirectEvent);
 
-/// A request with the way back to its task.
-pub(crate) struct Begin(pub(crate) DirectRequest, pub(crate) mpsc::UnboundedSender<Verdict>);
+/// A new request, with the channel for commands to its task.
+pub(crate) struct StartRequest(
+    pub(crate) DirectRequest,
+    pub(crate) mpsc::UnboundedSender<RequestCommand>,
+);
 
-/// Asks for what the other entries are told, and who they are.
+/// Asks for the peer entries and what is to be broadcast to them.
 pub(crate) struct GossipQuery;
 
 /// The answer to `GossipQuery`.
@@ -111,22 +114,24 @@
     pub(crate) peers: Vec<PeerRecord>,
     pub(crate) outstanding: LoadRows,
     pub(crate) waiting: WaitRows,
-    pub(crate) crash_words: Vec<CrashReport>,
-    pub(crate) doubts: Option<Millis>,
+    pub(crate) crash_reports: Vec<CrashReport>,
+    /// How often to ask peers for their availability; `None` while there is no need.
+    pub(crate) query_interval: Option<Millis>,
 }
 
-/// Asks since when the store has answered, which configuration is in force and when versions were named.
-pub(crate) struct ContactQuery;
+/// Asks since when the store has answered, which configuration is in force and when versions were
+/// announced.
+pub(crate) struct AvailabilityQuery;
 
-/// The answer to `ContactQuery`.
+/// The answer to `AvailabilityQuery`.
 #[derive(Debug, Reply)]
-pub(crate) struct ContactReply {
-    pub(crate) answer_span: Option<AvailabilitySpan>,
+pub(crate) struct AvailabilityReply {
+    pub(crate) availability_span: Option<AvailabilitySpan>,
     pub(crate) generation: Generation,
-    pub(crate) namings: Vec<AnnouncementReport>,
+    pub(crate) announcements: Vec<AnnouncementReport>,
 }
 
-/// Asks for what is needed to hand weights on.
+/// Asks for what the relay of weights needs.
 pub(crate) struct RelayQuery;
 
 /// The answer to `RelayQuery`.
@@ -136,24 +141,24 @@
     pub(crate) origin: Option<OriginProfile>,
 }
 
-/// Asks for what agents that start need of the fleet.
+/// Asks for the state of the fleet, for agents that are starting.
 pub(crate) struct FleetQuery;
 
 /// The answer to `FleetQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct FleetReply(pub(crate) FleetUpdate);
 
-/// Asks whether callers should be sent here.
+/// Asks whether the load balancer should send callers to this entry.
 pub(crate) struct ReadyQuery;
 
-/// Asks what callers may send.
+/// Asks for the limits on callers' requests.
 pub(crate) struct LimitsQuery;
 
 /// The answer to `LimitsQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct LimitsReply(pub(crate) CallerLimits);
 
-/// Asks where the entry stands.
+/// Asks for the figures that the gauges show.
 pub(crate) struct StatusQuery;
 
 /// The answer to `StatusQuery`.
@@ -165,12 +170,20 @@
         let now = self.context.clock.now();
         for effect in self.reducer.reduce(now, event) {
             match effect {
-                DirectEffect::Send(number, plan) => self.tell(number, Verdict::Send(plan)),
-                DirectEffect::Withdraw(number) => self.tell(number, Verdict::Withdraw),
-                DirectEffect::PassOn(number) => self.tell(number, Verdict::PassOn),
-                DirectEffect::Refuse(number, plan) => self.tell(number, Verdict::Refuse(plan)),
+                DirectEffect::Send(number, plan) => {
+                    self.send_command(number, RequestCommand::Send(plan))
+                }
+                DirectEffect::Withdraw(number) => {
+                    self.send_command(number, RequestCommand::Withdraw)
+                }
+                DirectEffect::PassOn(number) => {
+                    self.send_command(number, RequestCommand::ForwardFailure)
+                }
+                DirectEffect::Refuse(number, plan) => {
+                    self.send_command(number, RequestCommand::Refuse(plan))
+                }
                 DirectEffect::TellAgents(model, version, machines) => {
-                    gossip::tell_agents(self.context.clone(), &model, version, machines);
+                    gossip::notify_agents(self.context.clone(), &model, version, machines);
                 }
                 DirectEffect::KeepQuarantine(digest, span) => {
                     quarantine_records::spawn(
@@ -182,20 +195,20 @@
                 DirectEffect::EndQuarantine(digest) => {
                     quarantine_records::spawn(self.context.clone(), digest, RecordChange::End);
                 }
-                DirectEffect::Wake(at) => wake(now, at, actor.clone()),
+                DirectEffect::Wake(at) => schedule_wake(now, at, actor.clone()),
             }
         }
     }
 
-    fn tell(&self, number: RequestNumber, verdict: Verdict) {
-        if let Some(task) = self.verdicts.get(&number) {
-            // A task that is gone has told so, or is about to.
-            let _ = task.send(verdict);
+    fn send_command(&self, number: RequestNumber, command: RequestCommand) {
+        if let Some(task) = self.command_senders.get(&number) {
+            // A task that has ended has reported so, or is about to: `DirectEvent::Gone`.
+            let _ = task.send(command);
         }
     }
 }
 
-fn wake(now: Moment, at: Moment, actor: ActorRef<DirectActor>) {
+fn schedule_wake(now: Moment, at: Moment, actor: ActorRef<DirectActor>) {
     tokio::spawn(async move {
         tokio::time::sleep(at.since(now).to_std()).await;
         let _ = actor.tell(Event(DirectEvent::Woke)).await;
@@ -207,23 +220,27 @@
 
     async fn handle(&mut self, Event(event): Event, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
-        let ended = match &event {
+        let ended_request = match &event {
             DirectEvent::Gone(number) => Some(*number),
             _ => None,
         };
         self.reduce(event, &actor);
-        if let Some(number) = ended {
-            self.verdicts.remove(&number);
+        if let Some(number) = ended_request {
+            self.command_senders.remove(&number);
         }
     }
 }
 
-impl Message<Begin> for DirectActor {
+impl Message<StartRequest> for DirectActor {
     type Reply = ();
 
-    async fn handle(&mut self, Begin(request, task): Begin, context: &mut Context<Self, ()>) {
+    async fn handle(
+        &mut self,
+        StartRequest(request, task): StartRequest,
+        context: &mut Context<Self, ()>,
+    ) {
         let actor = context.actor_ref().clone();
-        self.verdicts.insert(request.number, task);
+        self.command_senders.insert(request.number, task);
         self.reduce(DirectEvent::Arrived(request), &actor);
     }
 }
@@ -236,25 +253,25 @@
             peers: self.reducer.peers().to_vec(),
             outstanding: self.reducer.outstanding(),
             waiting: self.reducer.waiting(),
-            crash_words: self.reducer.due_crash_reports(self.context.clock.now()),
-            doubts: self.reducer.doubts(self.context.clock.now()),
+            crash_reports: self.reducer.due_crash_reports(self.context.clock.now()),
+            query_interval: self.reducer.doubts(self.context.clock.now()),
         }
     }
 }
 
-impl Message<ContactQuery> for DirectActor {
-    type Reply = ContactReply;
+impl Message<AvailabilityQuery> for DirectActor {
+    type Reply = AvailabilityReply;
 
     async fn handle(
         &mut self,
-        _: ContactQuery,
-        _: &mut Context<Self, ContactReply>,
-    ) -> ContactReply {
+        _: AvailabilityQuery,
+        _: &mut Context<Self, AvailabilityReply>,
+    ) -> AvailabilityReply {
         let document = self.reducer.document();
-        ContactReply {
-            answer_span: self.reducer.answer_span(),
+        AvailabilityReply {
+            availability_span: self.reducer.answer_span(),
             generation: document.map_or(Generation::default(), |document| document.generation),
-            namings: self.reducer.namings(self.context.clock.now()),
+            announcements: self.reducer.namings(self.context.clock.now()),
         }
     }
 }
@@ -275,9 +292,9 @@
     type Reply = FleetReply;
 
     async fn handle(&mut self, _: FleetQuery, _: &mut Context<Self, FleetReply>) -> FleetReply {
-        let mut page = self.reducer.fleet();
-        page.changes.push(FleetChange::Peer(own_record(&self.context.config)));
-        FleetReply(page)
+        let mut update = self.reducer.fleet();
+        update.changes.push(FleetChange::Peer(own_record(&self.context.config)));
+        FleetReply(update)
     }
 }
 
@@ -285,8 +302,8 @@
     type Reply = bool;
 
     async fn handle(&mut self, _: ReadyQuery, _: &mut Context<Self, bool>) -> bool {
-        let leaving = self.context.leaving.load(Ordering::Relaxed);
-        !leaving && self.reducer.is_ready(self.context.clock.now())
+        let is_draining = self.context.is_draining.load(Ordering::Relaxed);
+        !is_draining && self.reducer.is_ready(self.context.clock.now())
     }
 }
 
@@ -307,13 +324,12 @@
     }
 }
 
-/// How often the gauges are set: as often as they are usually read.
-const SAMPLE_EVERY: std::time::Duration = std::time::Duration::from_secs(5);
+/// How often the gauges are set: the usual scrape interval.
+const GAUGE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// Sets the gauges from the reducer's state.
-async fn sample(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
+async fn update_gauges(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
     loop {
-        tokio::time::sleep(SAMPLE_EVERY).await;
+        tokio::time::sleep(GAUGE_INTERVAL).await;
         let Ok(StatusReply(status)) = actor.ask(StatusQuery).await else { return };
         let gauges = [
             ("generation", status.generation.map_or(0, |generation| generation.0)),
@@ -332,49 +348,56 @@
     }
 }
 
-/// Starts an entry and returns its handle once it listens.
-pub async fn spawn(config: DirectConfig, borders: DirectBorders) -> std::io::Result<DirectHandle> {
+/// Starts an entry and returns its handle once it listens. Fails if one of its addresses can't be
+/// bound.
+pub async fn spawn(
+    config: DirectConfig,
+    adapters: PlatformAdapters,
+) -> std::io::Result<DirectHandle> {
     let halt = CancellationToken::new();
     let stop_callers = halt.child_token();
-    let page = Arc::new(MetricPage::new(&METRICS));
+    let metric_page = Arc::new(MetricPage::new(&METRICS));
     let clock = ProcessClock::start();
     let context = Arc::new(DirectContext {
         clock,
         config: config.clone(),
-        borders,
+        adapters,
         pool: ConnectionPool::new(clock),
-        metrics: page.client(),
+        metrics: metric_page.client(),
         socket: UdpSocket::bind(config.peer_listen).await?,
-        leaving: AtomicBool::new(false),
+        is_draining: AtomicBool::new(false),
         halt: halt.clone(),
     });
     let reducer = DirectReducer::new(config.direct.clone(), rand::random());
-    let state = DirectActor { reducer, context: context.clone(), verdicts: FastMap::default() };
+    let state =
+        DirectActor { reducer, context: context.clone(), command_senders: FastMap::default() };
     let actor = DirectActor::spawn_with_mailbox(state, mailbox::unbounded());
-    let handler = DirectHandler::new(actor.clone(), context.clone());
+    let handler = CallerHandler::new(actor.clone(), context.clone());
     let ready =
         HttpServer::bind(config.ready_listen, Box::new(handler.clone()), halt.clone()).await?;
-    let callers = HttpServer::bind(config.listen, Box::new(handler), stop_callers.clone()).await?;
+    let caller_server =
+        HttpServer::bind(config.listen, Box::new(handler), stop_callers.clone()).await?;
     if let Some(address) = config.metrics {
-        HttpServer::bind(address, Box::new(MetricHandler(page)), halt.clone()).await?;
-        let sampling = sample(actor.clone(), context.clone());
-        tokio::spawn(halt.clone().run_until_cancelled_owned(sampling));
+        HttpServer::bind(address, Box::new(MetricHandler(metric_page)), halt.clone()).await?;
+        let gauge_updates = update_gauges(actor.clone(), context.clone());
+        tokio::spawn(halt.clone().run_until_cancelled_owned(gauge_updates));
     }
     gossip::spawn(actor.clone(), context.clone());
     let relay = ChunkRelay::new(actor.clone(), context.clone());
     HttpServer::bind(config.peer_listen, Box::new(relay), halt.clone()).await?;
     watch::spawn(actor.clone(), context.clone());
-    let (address, ready_address) = (callers.address, ready.address);
+    let (address, ready_address) = (caller_server.address, ready.address);
     log::info!("start instance={} address={address} store={}", config.direct.own, config.store);
-    Ok(DirectHandle { address, ready_address, context, callers, stop_callers })
+    Ok(DirectHandle { address, ready_address, context, caller_server, stop_callers })
 }
 
 impl DirectHandle {
-    /// Tells the balancer to send nobody, serves until it does, finishes what is in progress and
-    /// ends. Requests that come late are answered like all others as long as the time allows.
+    /// Fails the readiness probe, serves for `linger` until the load balancer sends no more
+    /// callers, finishes the requests in progress and ends. Requests that arrive late are served
+    /// like all others; what still runs shortly before `grace` is over is cut.
     pub async fn stop(&self) {
         let config = &self.context.config;
-        self.context.leaving.store(true, Ordering::Relaxed);
+        self.context.is_draining.store(true, Ordering::Relaxed);
         log::info!(
             "stop instance={} linger={} grace={}",
             config.direct.own,
@@ -383,17 +406,17 @@
         );
         tokio::time::sleep(config.linger.to_std()).await;
         self.stop_callers.cancel();
-        // A margin for the process's own end, so that the platform needs not kill it.
-        const END_MARGIN: mustardrill_types::Millis = mustardrill_types::Millis(300);
-        let left = mustardrill_types::Millis(
-            config.grace.0.saturating_sub(config.linger.0 + END_MARGIN.0),
+        // Left for the exit of the process, so that the platform does not have to kill it.
+        const EXIT_MARGIN: mustardrill_types::Millis = mustardrill_types::Millis(300);
+        let remaining = mustardrill_types::Millis(
+            config.grace.0.saturating_sub(config.linger.0 + EXIT_MARGIN.0),
         );
-        let drained = tokio::time::timeout(left.to_std(), self.callers.drained()).await;
+        let drained = tokio::time::timeout(remaining.to_std(), self.caller_server.drained()).await;
         log::info!("end instance={} drained={}", config.direct.own, drained.is_ok());
         self.halt();
     }
 
-    /// Ends at once.
+    /// Ends at once, cutting requests in progress.
     pub fn halt(&self) {
         self.context.halt.cancel();
     }
--- a/mustardrill_entry/src/direct/answer.rs
+++ b/mustardrill_entry/src/direct/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller gets, as parts from the request's task to its connection.
+//! The answer to a caller, passed in parts from the request's task to the caller's connection.
 
 use bytes::Bytes;
 use futures_util::stream;
@@ -13,25 +13,26 @@
 use mustardrill_types::{Millis, ResultCode};
 use tokio::sync::mpsc;
 
-/// Parts that may wait for a slow caller.
+/// Parts buffered for a slow caller before the request's task waits.
 pub(crate) const PART_BUFFER: usize = 4;
 
-/// One part of what a caller gets.
+/// One part of the answer to a caller.
 #[derive(Debug)]
 pub(crate) enum AnswerPart {
-    /// An upstream's whole answer.
-    Whole(StatusCode, HeaderMap, Bytes),
-    /// The head of an upstream's stream.
+    /// An upstream's complete answer.
+    Complete(StatusCode, HeaderMap, Bytes),
+    /// The head of an answer that is streamed.
     Head(StatusCode, HeaderMap),
-    /// Whole events of it.
+    /// Complete events of the stream.
     Events(Bytes),
-    /// The stream is whole.
+    /// The stream is complete.
     End,
-    /// There is no answer; after a head the stream is cut.
+    /// There is no answer; if the head was sent already, the stream is cut.
     Refused(RefusalPlan),
 }
 
-/// The response for the parts of one answer, and the result code that it has so far.
+/// Builds the response from the parts of one answer; returns it with the result code known when its
+/// head is sent.
 pub(crate) async fn respond(
     mut parts: mpsc::Receiver<AnswerPart>,
     dialect: &dyn CallDialect,
@@ -40,24 +41,27 @@
     let code = match &part {
         Some(AnswerPart::Refused(plan)) => plan.code,
         Some(_) => ResultCode::Answered,
-        None => ENDED.code,
+        None => TASK_ENDED_REFUSAL.code,
     };
     let response = match part {
-        Some(AnswerPart::Whole(status, headers, bytes)) => {
-            passed_on(status, &headers, whole_body(bytes))
+        Some(AnswerPart::Complete(status, headers, bytes)) => {
+            forwarded_response(status, &headers, whole_body(bytes))
         }
-        Some(AnswerPart::Head(status, headers)) => passed_on(status, &headers, events(parts)),
-        Some(AnswerPart::Refused(plan)) => refusal(&plan, dialect),
-        _ => refusal(&ENDED, dialect),
+        Some(AnswerPart::Head(status, headers)) => {
+            forwarded_response(status, &headers, event_body(parts))
+        }
+        Some(AnswerPart::Refused(plan)) => refusal_response(&plan, dialect),
+        _ => refusal_response(&TASK_ENDED_REFUSAL, dialect),
     };
     (code, response)
 }
 
-/// What a request is told whose task ended without a word, as the process ends.
-const ENDED: RefusalPlan = RefusalPlan { code: ResultCode::Unknown, retry_after: Millis(0) };
+/// Refusal of a request whose task ended without sending any part, which happens at process exit.
+const TASK_ENDED_REFUSAL: RefusalPlan =
+    RefusalPlan { code: ResultCode::Unknown, retry_after: Millis(0) };
 
-/// A response that says that there is no answer, whether the request ran, and when to come back.
-pub(crate) fn refusal(plan: &RefusalPlan, dialect: &dyn CallDialect) -> AnyResponse {
+/// Builds the response of a refusal: its code, whether the request ran, and when to retry.
+pub(crate) fn refusal_response(plan: &RefusalPlan, dialect: &dyn CallDialect) -> AnyResponse {
     let (status, headers) = dialect.write_refusal(plan.code, plan.retry_after);
     let body = serde_json::json!({
         "code": plan.code.number(),
@@ -71,18 +75,19 @@
     response
 }
 
-fn passed_on(status: StatusCode, headers: &HeaderMap, body: AnyBody) -> AnyResponse {
+fn forwarded_response(status: StatusCode, headers: &HeaderMap, body: AnyBody) -> AnyResponse {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     copy_end_to_end(headers, response.headers_mut());
-    // The length is set anew where the body is whole; a stream may be longer than its first
-    // upstream said, when another one goes on.
+    // hyper sets the length of a complete body. A stream may be longer than its first upstream
+    // said, if another upstream resumes it.
     response.headers_mut().remove(CONTENT_LENGTH);
     response
 }
 
-/// The events as they come; a cut is an error that the caller's HTTP library sees.
-fn events(parts: mpsc::Receiver<AnswerPart>) -> AnyBody {
+/// Streams the events as they arrive. A stream that is cut ends with an error, which the caller's
+/// HTTP library reports.
+fn event_body(parts: mpsc::Receiver<AnswerPart>) -> AnyBody {
     let frames = stream::unfold(Some(parts), |parts| async move {
         let mut parts = parts?;
         match parts.recv().await {
--- a/mustardrill_entry/src/direct/attempt.rs
+++ b/mustardrill_entry/src/direct/attempt.rs
@@ -1,4 +1,5 @@
-//! One request's task: sends it where the reducer says, and passes the answer on.
+//! The task of one request: sends it to the upstreams that the reducer chooses and forwards the
+//! answer.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,118 +19,119 @@
 use mustardrill_types::WeightVersion;
 use tokio::sync::mpsc;
 
-use crate::direct::actor::{Begin, DirectActor, DirectContext, Event, Verdict};
+use crate::direct::actor::{DirectActor, DirectContext, Event, RequestCommand, StartRequest};
 use crate::direct::answer::AnswerPart;
 use crate::direct::connections::{SendFailure, UpstreamConnection};
-use crate::direct::event_splitter::EventCutter;
+use crate::direct::event_splitter::EventSplitter;
 
-/// The largest answer that is read whole before it is passed on.
-const WHOLE_LIMIT: usize = 8 << 20;
+/// The largest answer that is buffered completely before it is forwarded.
+const BUFFERED_ANSWER_LIMIT: usize = 8 << 20;
 
-/// A request's content and the way back to its caller.
+/// A request's content, with the channel for the parts of its answer.
 pub(crate) struct RequestTask {
     pub(crate) context: Arc<DirectContext>,
     pub(crate) actor: ActorRef<DirectActor>,
     pub(crate) number: RequestNumber,
-    /// The caller's name for the request, by which log lines are found.
-    pub(crate) attempt: Box<str>,
+    /// The id that the caller gave the request; log lines carry it as `request=`.
+    pub(crate) caller_request_id: Box<str>,
     pub(crate) head: http::request::Parts,
     pub(crate) body: Bytes,
     pub(crate) parts: mpsc::Sender<AnswerPart>,
 }
 
-/// What the caller has of a stream, and the failure that may be passed on.
+/// What the caller has received of a stream, and a failure that may still be forwarded.
 #[derive(Debug, Default)]
-struct Progress {
-    cutter: EventCutter,
-    began: bool,
+struct AnswerProgress {
+    splitter: EventSplitter,
+    has_started: bool,
     failure: Option<(StatusCode, HeaderMap, Bytes)>,
 }
 
-/// How far an attempt has come.
+/// How far an attempt has got, shared with the wait for its withdrawal.
 #[derive(Debug, Default)]
 struct AttemptStage {
-    /// Whether the upstream may have had the request.
-    sent: AtomicBool,
-    /// Whether its wait for an answer is over, one way or another.
-    ended: AtomicBool,
+    /// Whether the upstream may have received the request.
+    is_sent: AtomicBool,
+    /// Whether the head of the answer has arrived, or the wait for it has failed.
+    is_wait_over: AtomicBool,
 }
 
-/// An upstream's answer whose head is good.
-struct GoodAnswer {
+/// An upstream's answer whose head was accepted.
+struct AcceptedAnswer {
     response: Response<Incoming>,
     connection: UpstreamConnection,
     success: bool,
 }
 
 impl RequestTask {
-    /// Runs the request to its end, or until its caller is gone.
+    /// Serves the request to its end, or until its caller disconnects.
     pub(crate) async fn run(self, request: DirectRequest) {
         let parts = self.parts.clone();
         tokio::select! {
             () = self.serve(request) => {}
             () = parts.closed() => {}
         }
-        // Told for ended requests too: the actor then lets go of what it keeps for the task.
+        // Sent for completed requests too: the actor then drops its state of the task.
         let _ = self.actor.tell(Event(DirectEvent::Gone(self.number))).await;
     }
 
     async fn serve(&self, request: DirectRequest) {
-        let (sender, mut verdicts) = mpsc::unbounded_channel();
-        let _ = self.actor.tell(Begin(request, sender)).await;
-        let mut progress = Progress::default();
-        while let Some(verdict) = verdicts.recv().await {
-            match verdict {
-                Verdict::Send(plan) => {
-                    let outcome = self.attempt(&plan, &mut progress, &mut verdicts).await;
-                    let name = outcome_name(outcome);
-                    let _ = self.context.metrics.count(&format!("attempts.{name}"), 1);
+        let (sender, mut commands) = mpsc::unbounded_channel();
+        let _ = self.actor.tell(StartRequest(request, sender)).await;
+        let mut progress = AnswerProgress::default();
+        while let Some(command) = commands.recv().await {
+            match command {
+                RequestCommand::Send(plan) => {
+                    let outcome = self.run_attempt(&plan, &mut progress, &mut commands).await;
+                    let label = outcome_label(outcome);
+                    let _ = self.context.metrics.count(&format!("attempts.{label}"), 1);
                     let event = DirectEvent::Ended(self.number, outcome);
                     let _ = self.actor.tell(Event(event)).await;
                     if outcome == AttemptOutcome::Whole {
                         return;
                     }
                 }
-                // The attempt that it was for has ended.
-                Verdict::Withdraw => {}
-                Verdict::PassOn => {
+                // The attempt that was to be withdrawn has ended already.
+                RequestCommand::Withdraw => {}
+                RequestCommand::ForwardFailure => {
                     if let Some((status, headers, bytes)) = progress.failure.take() {
-                        self.pass(AnswerPart::Whole(status, headers, bytes)).await;
+                        self.send_part(AnswerPart::Complete(status, headers, bytes)).await;
                     }
                     return;
                 }
-                Verdict::Refuse(plan) => {
-                    self.pass(AnswerPart::Refused(plan)).await;
+                RequestCommand::Refuse(plan) => {
+                    self.send_part(AnswerPart::Refused(plan)).await;
                     return;
                 }
             }
         }
     }
 
-    /// Passes a part on; the task ends with the caller, so a caller that is gone is no error.
-    async fn pass(&self, part: AnswerPart) {
+    /// Sends a part to the caller. Errors are ignored, as `run` ends the task when the caller
+    /// disconnects.
+    async fn send_part(&self, part: AnswerPart) {
         let _ = self.parts.send(part).await;
     }
 
-    /// One attempt, bounded by the caller's time, and taken back where the reducer says so.
-    async fn attempt(
+    /// Runs one attempt until it ends, the caller's deadline passes or the reducer withdraws it.
+    async fn run_attempt(
         &self,
         plan: &SendPlan,
-        progress: &mut Progress,
-        verdicts: &mut mpsc::UnboundedReceiver<Verdict>,
+        progress: &mut AnswerProgress,
+        commands: &mut mpsc::UnboundedReceiver<RequestCommand>,
     ) -> AttemptOutcome {
-        let left = plan.deadline.since(self.context.clock.now());
+        let remaining = plan.deadline.since(self.context.clock.now());
         let stage = AttemptStage::default();
-        let tried = self.try_upstream(plan, progress, &stage);
+        let attempt = self.try_upstream(plan, progress, &stage);
         let outcome = tokio::select! {
-            outcome = tokio::time::timeout(left.to_std(), tried) => outcome,
-            () = withdrawn(verdicts, &stage) => {
-                return AttemptOutcome::Withdrawn { sent: stage.sent.load(Ordering::Relaxed) };
+            outcome = tokio::time::timeout(remaining.to_std(), attempt) => outcome,
+            () = wait_for_withdrawal(commands, &stage) => {
+                return AttemptOutcome::Withdrawn { sent: stage.is_sent.load(Ordering::Relaxed) };
             }
         };
         match outcome {
             Ok(outcome) => outcome,
-            Err(_) if stage.sent.load(Ordering::Relaxed) => lost(progress.began),
+            Err(_) if stage.is_sent.load(Ordering::Relaxed) => lost_attempt(progress.has_started),
             Err(_) => AttemptOutcome::NotSent,
         }
     }
@@ -137,50 +139,52 @@
     async fn try_upstream(
         &self,
         plan: &SendPlan,
-        progress: &mut Progress,
+        progress: &mut AnswerProgress,
         stage: &AttemptStage,
     ) -> AttemptOutcome {
-        progress.cutter.drop_partial();
-        let once = !plan.repeat.is_repeatable();
+        progress.splitter.drop_partial();
+        let runs_once = !plan.repeat.is_repeatable();
         let pool = &self.context.pool;
         let now = self.context.clock.now();
-        let Some(connection) = pool.take(now, &plan.upstream, plan.address, once).await else {
+        let Some(connection) = pool.take(now, &plan.upstream, plan.address, runs_once).await else {
             return AttemptOutcome::NotSent;
         };
-        stage.sent.store(true, Ordering::Relaxed);
-        let answer = match self.ask(plan, connection, progress, stage).await {
+        stage.is_sent.store(true, Ordering::Relaxed);
+        let answer = match self.send_request(plan, connection, progress, stage).await {
             Ok(answer) => answer,
             Err(outcome) => return outcome,
         };
         if plan.repeat.is_stream() && answer.response.status() == StatusCode::OK {
-            return self.stream(plan, answer, progress).await;
+            return self.forward_stream(plan, answer, progress).await;
         }
-        if progress.began {
-            // The failure of another upstream can't be told after events of a first one.
-            return lost(true);
+        if progress.has_started {
+            // The caller already has events of an earlier attempt's stream, so another upstream's
+            // failure can't be forwarded any more.
+            return lost_attempt(true);
         }
-        self.whole(plan, answer, progress).await
+        self.forward_buffered(plan, answer, progress).await
     }
 
-    /// Sends the request and judges the head of the answer.
-    async fn ask(
+    /// Sends the request and checks the head of the answer.
+    async fn send_request(
         &self,
         plan: &SendPlan,
         mut connection: UpstreamConnection,
-        progress: &Progress,
+        progress: &AnswerProgress,
         stage: &AttemptStage,
-    ) -> Result<GoodAnswer, AttemptOutcome> {
-        let lost = lost(progress.began);
+    ) -> Result<AcceptedAnswer, AttemptOutcome> {
+        let lost = lost_attempt(progress.has_started);
         let remaining = plan.deadline.since(self.context.clock.now());
-        let dialect = &self.context.borders.dialect;
-        let request = dialect.write_request(&self.head, plan, remaining, progress.cutter.last());
+        let dialect = &self.context.adapters.dialect;
+        let request =
+            dialect.write_request(&self.head, plan, remaining, progress.splitter.last_id());
         let request = request.map(|()| Full::new(self.body.clone()));
         let reused = connection.is_reused();
-        let sent = self.context.clock.now();
+        let sent_at = self.context.clock.now();
         let response =
             tokio::time::timeout(plan.silence.to_std(), connection.send(request, plan.begin_by))
                 .await;
-        stage.ended.store(true, Ordering::Relaxed);
+        stage.is_wait_over.store(true, Ordering::Relaxed);
         let response = match response {
             Ok(Ok(response)) => response,
             Ok(Err(SendFailure::NotSent)) => return Err(AttemptOutcome::NotSent),
@@ -188,15 +192,15 @@
             Ok(Err(SendFailure::Broken(error))) => {
                 log::info!(
                     "request={} instance={} reused={reused} outcome=broken reason=\"{error}\"",
-                    self.attempt,
+                    self.caller_request_id,
                     plan.upstream
                 );
-                return Err(self.broken(plan, progress.began).await);
+                return Err(self.classify_broken(plan, progress.has_started).await);
             }
             Err(_) => {
                 log::info!(
                     "request={} instance={} outcome=silent after={}",
-                    self.attempt,
+                    self.caller_request_id,
                     plan.upstream,
                     plan.silence
                 );
@@ -206,99 +210,104 @@
         let kind = dialect.read_answer(&self.head, response.status(), response.headers());
         match kind {
             AnswerKind::Answer { success, load, version } => {
-                let took = self.context.clock.now().since(sent).0;
+                let took = self.context.clock.now().since(sent_at).0;
                 let _ = self.context.metrics.time("first_ms", took);
-                self.tell_answering(load, version).await;
-                Ok(GoodAnswer { response, connection, success })
+                self.report_answer_start(load, version).await;
+                Ok(AcceptedAnswer { response, connection, success })
             }
             AnswerKind::Foreign => {
                 log::warn!(
                     "request={} instance={} outcome=foreign status={}",
-                    self.attempt,
+                    self.caller_request_id,
                     plan.upstream,
                     response.status()
                 );
                 Err(lost)
             }
             AnswerKind::Full | AnswerKind::Misdirected => {
-                self.recycle(plan, response, connection).await;
-                let full = kind == AnswerKind::Full;
-                Err(if full { AttemptOutcome::Full } else { AttemptOutcome::Misdirected })
+                self.drain_refusal(plan, response, connection).await;
+                let is_full = kind == AnswerKind::Full;
+                Err(if is_full { AttemptOutcome::Full } else { AttemptOutcome::Misdirected })
             }
         }
     }
 
-    async fn tell_answering(&self, load: Option<LoadReport>, version: Option<WeightVersion>) {
+    async fn report_answer_start(&self, load: Option<LoadReport>, version: Option<WeightVersion>) {
         let event = DirectEvent::Answering(self.number, load, version);
         let _ = self.actor.tell(Event(event)).await;
     }
 
-    /// Reads a refusal to its end, so that its connection can be used again.
-    async fn recycle(
+    /// Reads a refusal to its end, so that its connection can be reused.
+    async fn drain_refusal(
         &self,
         plan: &SendPlan,
         response: Response<Incoming>,
         connection: UpstreamConnection,
     ) {
-        const RECYCLE_TIMEOUT: Duration = Duration::from_millis(50);
+        const DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
         let (head, body) = response.into_parts();
-        let read = Limited::new(body, WHOLE_LIMIT).collect();
-        if matches!(tokio::time::timeout(RECYCLE_TIMEOUT, read).await, Ok(Ok(_))) {
-            self.keep(plan, connection, &head.headers).await;
+        let draining = Limited::new(body, BUFFERED_ANSWER_LIMIT).collect();
+        if matches!(tokio::time::timeout(DRAIN_TIMEOUT, draining).await, Ok(Ok(_))) {
+            self.return_connection(plan, connection, &head.headers).await;
         }
     }
 
-    async fn keep(&self, plan: &SendPlan, mut connection: UpstreamConnection, headers: &HeaderMap) {
-        if connection.settle().await {
+    async fn return_connection(
+        &self,
+        plan: &SendPlan,
+        mut connection: UpstreamConnection,
+        headers: &HeaderMap,
+    ) {
+        if connection.wait_for_answer_end().await {
             let now = self.context.clock.now();
             self.context.pool.keep(now, &plan.upstream, connection, headers, plan.connections);
         }
     }
 
-    /// Reads an answer whole before any of it is passed on.
-    async fn whole(
+    /// Buffers an answer completely and forwards it only then.
+    async fn forward_buffered(
         &self,
         plan: &SendPlan,
-        answer: GoodAnswer,
-        progress: &mut Progress,
+        answer: AcceptedAnswer,
+        progress: &mut AnswerProgress,
     ) -> AttemptOutcome {
         let (head, body) = answer.response.into_parts();
-        let body = match Limited::new(body, WHOLE_LIMIT).collect().await {
+        let body = match Limited::new(body, BUFFERED_ANSWER_LIMIT).collect().await {
             Ok(body) => body,
             Err(error) => {
                 log::info!(
                     "request={} instance={} outcome=broken part=body reason=\"{error}\"",
-                    self.attempt,
+                    self.caller_request_id,
                     plan.upstream
                 );
-                return self.broken(plan, false).await;
+                return self.classify_broken(plan, false).await;
             }
         };
         let bytes = body.to_bytes();
         let headers = head.headers.clone();
         if !answer.success {
             progress.failure = Some((head.status, head.headers, bytes));
-            self.keep(plan, answer.connection, &headers).await;
+            self.return_connection(plan, answer.connection, &headers).await;
             return AttemptOutcome::Failed;
         }
-        self.pass(AnswerPart::Whole(head.status, head.headers, bytes)).await;
-        self.keep(plan, answer.connection, &headers).await;
+        self.send_part(AnswerPart::Complete(head.status, head.headers, bytes)).await;
+        self.return_connection(plan, answer.connection, &headers).await;
         AttemptOutcome::Whole
     }
 
-    /// What became of an attempt whose connection broke: an upstream that takes no other one has
-    /// ended, perhaps by this very request.
-    async fn broken(&self, plan: &SendPlan, delivered: bool) -> AttemptOutcome {
+    /// Classifies an attempt whose connection broke: an upstream that accepts no new connection has
+    /// crashed, perhaps because of this very request.
+    async fn classify_broken(&self, plan: &SendPlan, delivered: bool) -> AttemptOutcome {
         let crashed = has_ended(plan.address).await;
         AttemptOutcome::Lost { delivered, crashed }
     }
 
-    /// Passes events on as they come.
-    async fn stream(
+    /// Forwards the events of a stream as they arrive.
+    async fn forward_stream(
         &self,
         plan: &SendPlan,
-        answer: GoodAnswer,
-        progress: &mut Progress,
+        answer: AcceptedAnswer,
+        progress: &mut AnswerProgress,
     ) -> AttemptOutcome {
         let (head, mut body) = answer.response.into_parts();
         loop {
@@ -306,11 +315,11 @@
             let Ok(frame) = frame else {
                 log::info!(
                     "request={} instance={} outcome=silent last={:?}",
-                    self.attempt,
+                    self.caller_request_id,
                     plan.upstream,
-                    progress.cutter.last()
+                    progress.splitter.last_id()
                 );
-                return lost(progress.began);
+                return lost_attempt(progress.has_started);
             };
             let data = match frame {
                 None => break,
@@ -318,60 +327,65 @@
                 Some(Err(error)) => {
                     log::info!(
                         "request={} instance={} outcome=broken last={:?} reason=\"{error}\"",
-                        self.attempt,
+                        self.caller_request_id,
                         plan.upstream,
-                        progress.cutter.last()
+                        progress.splitter.last_id()
                     );
-                    return self.broken(plan, progress.began).await;
+                    return self.classify_broken(plan, progress.has_started).await;
                 }
             };
-            match progress.cutter.push(&data) {
+            match progress.splitter.push(&data) {
                 Ok(Some(events)) => {
-                    if !progress.began {
-                        progress.began = true;
-                        self.pass(AnswerPart::Head(head.status, head.headers.clone())).await;
+                    if !progress.has_started {
+                        progress.has_started = true;
+                        self.send_part(AnswerPart::Head(head.status, head.headers.clone())).await;
                     }
-                    self.pass(AnswerPart::Events(events)).await;
+                    self.send_part(AnswerPart::Events(events)).await;
                 }
                 Ok(None) => {}
                 Err(_) => {
                     log::warn!(
                         "request={} instance={} outcome=disordered last={:?}",
-                        self.attempt,
+                        self.caller_request_id,
                         plan.upstream,
-                        progress.cutter.last()
+                        progress.splitter.last_id()
                     );
-                    return lost(progress.began);
+                    return lost_attempt(progress.has_started);
                 }
             }
         }
-        if !progress.cutter.is_whole() || !progress.began {
-            return self.broken(plan, progress.began).await;
+        if !progress.splitter.is_complete() || !progress.has_started {
+            return self.classify_broken(plan, progress.has_started).await;
         }
-        self.pass(AnswerPart::End).await;
-        self.keep(plan, answer.connection, &head.headers).await;
+        self.send_part(AnswerPart::End).await;
+        self.return_connection(plan, answer.connection, &head.headers).await;
         AttemptOutcome::Whole
     }
 }
 
-/// Waits until an attempt is to be taken back whose answer has not begun. The next verdict of another
-/// kind comes only after the attempt's end has been told.
-async fn withdrawn(verdicts: &mut mpsc::UnboundedReceiver<Verdict>, stage: &AttemptStage) {
-    while let Some(verdict) = verdicts.recv().await {
-        if matches!(verdict, Verdict::Withdraw) && !stage.ended.load(Ordering::Relaxed) {
+/// Waits for the command to withdraw an attempt whose answer has not started. Commands of other
+/// kinds come only after the attempt's end was reported, so that none is lost here.
+async fn wait_for_withdrawal(
+    commands: &mut mpsc::UnboundedReceiver<RequestCommand>,
+    stage: &AttemptStage,
+) {
+    while let Some(command) = commands.recv().await {
+        if matches!(command, RequestCommand::Withdraw)
+            && !stage.is_wait_over.load(Ordering::Relaxed)
+        {
             return;
         }
     }
     std::future::pending().await
 }
 
-/// An attempt that ended without a word on whether its upstream is still there.
-fn lost(delivered: bool) -> AttemptOutcome {
+/// An attempt that was lost without evidence that its upstream crashed.
+fn lost_attempt(delivered: bool) -> AttemptOutcome {
     AttemptOutcome::Lost { delivered, crashed: false }
 }
 
-/// The outcome as a label of a metric.
-fn outcome_name(outcome: AttemptOutcome) -> &'static str {
+/// The value of the `outcome` label of the metric `attempts`.
+fn outcome_label(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Whole => "whole",
         AttemptOutcome::Failed => "failed",
--- a/mustardrill_entry/src/direct/availability.rs
+++ b/mustardrill_entry/src/direct/availability.rs
@@ -1,8 +1,9 @@
-//! Asks the other entries since when the store has answered them, which configuration they have and
-//! when versions were named, and answers them.
+//! Queries peer entries by datagram, and answers their queries: since when the store has answered,
+//! which configuration is in force and when versions were announced.
 //!
-//! Ages that come by datagram may have waited in the socket of a process that stood still. An answer
-//! therefore counts only where the asker knows by its own clock that it came at once.
+//! Answers carry ages, and a datagram may have waited in the socket of a suspended process. An age
+//! therefore counts only if the querying entry's own clock shows that the answer came without
+//! delay.
 
 use std::net::SocketAddr;
 
@@ -12,67 +13,67 @@
 use mustardrill_types::{Generation, Millis, Moment};
 use rand::Rng;
 
-use crate::direct::actor::{ContactQuery, DirectActor, DirectContext, Event};
+use crate::direct::actor::{AvailabilityQuery, DirectActor, DirectContext, Event};
 
-/// How many are asked each time; one that was in touch with the store all the while is enough.
-const ASKED_AT_ONCE: usize = 8;
+/// Peers queried at a time. One that had contact with the store all the time is enough.
+const PEERS_PER_QUERY: usize = 8;
 
-/// When the others were asked last.
+/// Queries peers at a limited rate.
 #[derive(Debug, Default)]
-pub(crate) struct ContactAsker {
-    asked_at: Moment,
+pub(crate) struct AvailabilityQuerier {
+    last_query_at: Moment,
 }
 
-impl ContactAsker {
-    /// Asks some of the other entries, unless they were asked less than `every` ago.
-    pub(crate) async fn ask(
+impl AvailabilityQuerier {
+    /// Queries up to `PEERS_PER_QUERY` peers, unless the last query was less than `interval` ago.
+    pub(crate) async fn query_peers(
         &mut self,
         context: &DirectContext,
         peers: &[PeerRecord],
-        every: Millis,
+        interval: Millis,
     ) {
         let now = context.clock.now();
-        if now.since(self.asked_at) < every || peers.is_empty() {
+        if now.since(self.last_query_at) < interval || peers.is_empty() {
             return;
         }
-        self.asked_at = now;
+        self.last_query_at = now;
         let mut datagram = Datagram::new(&context.config.direct.own);
         datagram.contact_ask = Some(now.0);
         let bytes = datagram.to_bytes();
         let first = rand::rng().random_range(0..peers.len());
-        let asked = peers.iter().cycle().skip(first).take(peers.len().min(ASKED_AT_ONCE));
-        for peer in asked {
+        let queried = peers.iter().cycle().skip(first).take(peers.len().min(PEERS_PER_QUERY));
+        for peer in queried {
             context.send_datagram(peer.address, &bytes).await;
         }
     }
 }
 
-/// Answers an entry that asked at `asked` by its own clock.
-pub(crate) async fn answer(
+/// Answers a peer whose query carries `asked`, its own clock's time in milliseconds when it asked.
+pub(crate) async fn send_answer(
     actor: &ActorRef<DirectActor>,
     context: &DirectContext,
     to: SocketAddr,
     asked: u64,
 ) {
-    let Ok(reply) = actor.ask(ContactQuery).await else { return };
-    let Some(span) = reply.answer_span else { return };
+    let Ok(reply) = actor.ask(AvailabilityQuery).await else { return };
+    let Some(span) = reply.availability_span else { return };
     let mut datagram = Datagram::new(&context.config.direct.own);
     let now = context.clock.now();
     let row = ContactRow::new(now, span, reply.generation, asked);
-    datagram.contact = Some(row.with_namings(now, reply.namings));
+    datagram.contact = Some(row.with_namings(now, reply.announcements));
     context.send_datagram(to, &datagram.to_bytes()).await;
 }
 
-/// Takes an answer over; its ages only where it came at once.
-pub(crate) async fn take(actor: &ActorRef<DirectActor>, now: Moment, row: &ContactRow) {
+/// Passes a peer's answer to the reducer; its ages only if it came without delay.
+pub(crate) async fn process_answer(actor: &ActorRef<DirectActor>, now: Moment, row: &ContactRow) {
     if let Some(span) = row.span(now) {
         let _ = actor.tell(Event(DirectEvent::ContactHeard(span))).await;
     }
-    let namings = row.namings(now);
-    if !namings.is_empty() {
-        let _ = actor.tell(Event(DirectEvent::NamingsHeard(namings))).await;
+    let announcements = row.namings(now);
+    if !announcements.is_empty() {
+        let _ = actor.tell(Event(DirectEvent::NamingsHeard(announcements))).await;
     }
-    // A generation only rises, so that it counts however long it took.
+    // Generations only increase, so this one counts however long the answer took.
     let generation = Generation(row.generation);
     let _ = actor.tell(Event(DirectEvent::GenerationHeard(generation))).await;
 }
--- a/mustardrill_entry/src/direct/callers.rs
+++ b/mustardrill_entry/src/direct/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' side: reads a request, starts its task, and answers.
+//! Serves callers: reads a request, starts its task and returns the answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,48 +16,48 @@
 use tokio::sync::mpsc;
 
 use crate::direct::actor::{DirectActor, DirectContext, LimitsQuery, ReadyQuery};
-use crate::direct::answer::{PART_BUFFER, refusal, respond};
+use crate::direct::answer::{PART_BUFFER, refusal_response, respond};
 use crate::direct::attempt::RequestTask;
 
-/// Answers callers and the balancer's questions.
+/// Answers callers' requests and the load balancer's readiness probes.
 #[derive(Clone)]
-pub(crate) struct DirectHandler {
+pub(crate) struct CallerHandler {
     actor: ActorRef<DirectActor>,
     context: Arc<DirectContext>,
-    next: Arc<AtomicU64>,
+    next_number: Arc<AtomicU64>,
 }
 
-impl DirectHandler {
+impl CallerHandler {
     pub(crate) fn new(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) -> Self {
-        Self { actor, context, next: Arc::new(AtomicU64::new(1)) }
+        Self { actor, context, next_number: Arc::new(AtomicU64::new(1)) }
     }
 
     async fn answer(&self, request: Request<Incoming>) -> AnyResponse {
-        let dialect = &*self.context.borders.dialect;
+        let dialect = &*self.context.adapters.dialect;
         if dialect.is_readiness(request.uri()) {
             let ready = self.actor.ask(ReadyQuery).await.unwrap_or(false);
             let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             return text_response(status, "");
         }
         let arrived = self.context.clock.now();
-        let number = RequestNumber(self.next.fetch_add(1, Ordering::Relaxed));
+        let number = RequestNumber(self.next_number.fetch_add(1, Ordering::Relaxed));
         let (head, body) = request.into_parts();
         let mut call = match dialect.read_request(number, arrived, &head) {
             Ok(call) => call,
             Err(reason) => {
                 log::info!("request={number} decision=refuse reason=\"{reason}\"");
-                return bad_request(dialect);
+                return bad_request_response(dialect);
             }
         };
         let limits = self.actor.ask(LimitsQuery).await.map(|reply| reply.0).unwrap_or_default();
         let body = Limited::new(body, limits.body.0 as usize).collect().await;
         let Ok(body) = body else {
             log::info!(
-                "request={} decision=refuse reason=\"the body was cut or is above {}\"",
+                "request={} decision=refuse reason=\"the request body is incomplete or larger than {}\"",
                 call.attempt,
                 limits.body
             );
-            return bad_request(dialect);
+            return bad_request_response(dialect);
         };
         let body = body.to_bytes();
         call.content = content_digest(&head, &body);
@@ -66,7 +66,7 @@
             context: self.context.clone(),
             actor: self.actor.clone(),
             number,
-            attempt: call.attempt.clone(),
+            caller_request_id: call.attempt.clone(),
             head,
             body,
             parts: sender,
@@ -76,12 +76,13 @@
         let took = self.context.clock.now().since(arrived).0;
         let _ = self.context.metrics.count(&format!("requests.{code}"), 1);
         let _ = self.context.metrics.time("request_ms", took);
-        self.mark_leaving(response)
+        self.close_if_draining(response)
     }
 
-    /// Asks the caller to come over another connection once a planned stop has begun.
-    fn mark_leaving(&self, mut response: AnyResponse) -> AnyResponse {
-        if self.context.leaving.load(Ordering::Relaxed) {
+    /// Asks the caller to close its connection if this entry is draining, so that its next request
+    /// goes to another entry.
+    fn close_if_draining(&self, mut response: AnyResponse) -> AnyResponse {
+        if self.context.is_draining.load(Ordering::Relaxed) {
             let close = hyper::header::HeaderValue::from_static("close");
             response.headers_mut().insert(hyper::header::CONNECTION, close);
         }
@@ -89,7 +90,7 @@
     }
 }
 
-impl HttpHandler for DirectHandler {
+impl HttpHandler for CallerHandler {
     fn handle(&self, request: Request<Incoming>, _: SocketAddr) -> BoxFuture<'static, AnyResponse> {
         let handler = self.clone();
         Box::pin(async move { handler.answer(request).await })
@@ -101,6 +102,6 @@
     RequestDigest::of(&[head.method.as_str().as_bytes(), path.as_bytes(), body])
 }
 
-fn bad_request(dialect: &dyn mustardrill_runtime::border::CallDialect) -> AnyResponse {
-    refusal(&RefusalPlan { code: ResultCode::BadRequest, retry_after: Millis(0) }, dialect)
+fn bad_request_response(dialect: &dyn mustardrill_runtime::border::CallDialect) -> AnyResponse {
+    refusal_response(&RefusalPlan { code: ResultCode::BadRequest, retry_after: Millis(0) }, dialect)
 }
--- a/mustardrill_entry/src/direct/config.rs
+++ b/mustardrill_entry/src/direct/config.rs
@@ -1,4 +1,5 @@
-//! The settings of an entry that sends requests to upstreams itself.
+//! Settings of an entry that sends requests directly to upstreams; `docs/SETTINGS.md` lists every
+//! key.
 
 use std::net::SocketAddr;
 
@@ -8,55 +9,58 @@
 use mustardrill_runtime::settings::{PlatformKind, SettingsOutcome, SettingsReader};
 use mustardrill_types::{ByteSize, Millis};
 
-/// All settings of such an entry.
+/// All settings of an entry that sends requests directly to upstreams.
 #[derive(Debug, Clone)]
 pub struct DirectConfig {
-    /// Where callers reach it.
+    /// Address that serves callers.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// Address that answers the load balancer's readiness probes.
     pub ready_listen: SocketAddr,
-    /// Where it takes datagrams of other entries and of agents.
+    /// Address for peers and agents: UDP for datagrams, TCP for the relay of weights.
     pub peer_listen: SocketAddr,
-    /// The port at which agents take datagrams; nothing where they are told nothing.
+    /// UDP port of the agents; `None` if agents are not notified of announced versions.
     pub agent_port: Option<u16>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Where metrics are served, if anywhere.
+    /// Address that serves metrics; `None` for no metrics.
     pub metrics: Option<SocketAddr>,
-    /// Which lines are logged.
+    /// The least severe level that is logged.
     pub log: LevelFilter,
-    /// How long one watch of the store waits.
+    /// How long one watch of the store waits for changes.
     pub watch: Millis,
-    /// How long a planned stop may take.
+    /// How long a planned stop may take, `linger` included.
     pub grace: Millis,
-    /// How long a stopping entry still takes new work, until the balancer sends it none.
+    /// How long a stopping entry accepts new requests, until the load balancer has noticed the
+    /// stop.
     pub linger: Millis,
-    /// What the machine's link carries, in Mbit/s.
+    /// Bandwidth of the machine's network link, in Mbit/s.
     pub link_mbps: f64,
-    /// How much of the weights that it hands on an entry keeps.
+    /// How much memory an entry uses to cache the weights that it relays.
     pub relay_memory: ByteSize,
-    /// What the reducer is told.
+    /// Settings of the reducer.
     pub direct: DirectSettings,
 }
 
-/// The share of the revocation bound for which a proof is good, in percent. The rest is for the
-/// way of the request that is checked.
-const PROOF_PERCENT: u64 = 90;
+/// The share of the revocation bound for which a freshness check is valid, in percent. The rest
+/// covers the time that a checked request is under way.
+const FRESHNESS_PERCENT: u64 = 90;
 
-/// The share of the retry ratio that one entry uses, as windows of entries don't begin together.
-const RATIO_SHARE: f64 = 0.6;
+/// The share of the retry ratio that one entry uses, because the windows of the entries don't start
+/// together.
+const RETRY_RATIO_SHARE: f64 = 0.6;
 
-/// The share of the allowance of repeats that all entries spend together. A restart forgets what
-/// was spent, so that a fifth of all entries may restart within a window.
-const ALLOWANCE_SHARE: f64 = 0.8;
+/// The share of the retry allowance that all entries spend together. A restarted entry has
+/// forgotten what it spent; the reserve allows a fifth of all entries to restart within a window.
+const RETRY_ALLOWANCE_SHARE: f64 = 0.8;
 
-/// The heartbeats that a registration outlives for certain: it ends with the third that is missing,
-/// and the last one may have come just before the store went away.
-const HEARTBEATS_KEPT: u64 = 2;
+/// The number of heartbeat intervals that a registration is certain to survive: it expires with the
+/// third missing heartbeat, and the last one may have come just before the store became
+/// unavailable.
+const SURVIVED_HEARTBEATS: u64 = 2;
 
 /// Reads and checks all settings.
 pub fn read(mut reader: SettingsReader) -> SettingsOutcome<DirectConfig> {
-    // Read before, to choose among the kinds of settings; named here as a known key.
+    // Its value was read before, to choose this kind of settings; this marks the key as known.
     let _: Option<PlatformKind> = reader.optional("entry", "platform");
     let revocation = reader.value("bounds", "revocation", Millis(5_000));
     let version = reader.value("bounds", "version", Millis(8_000));
@@ -77,7 +81,7 @@
         direct: DirectSettings {
             own: name(&mut reader, "entry", "instance"),
             data_centre: name(&mut reader, "entry", "data_centre"),
-            proof_limit: Millis(revocation.0 * PROOF_PERCENT / 100),
+            proof_limit: Millis(revocation.0 * FRESHNESS_PERCENT / 100),
             version_bound: version,
             retry: retry(&mut reader),
             ahead: reader.bounded("admission", "ahead", 1, 0, 1_000),
@@ -86,7 +90,7 @@
             late_percent: reader.bounded("admission", "late_percent", 75, 0, 100),
             late_wait: reader.value("admission", "late_wait", Millis(1_000)),
             silence: reader.value("upstream", "silence", Millis(1_200)),
-            forgetting: Millis(heartbeat.0 * HEARTBEATS_KEPT),
+            forgetting: Millis(heartbeat.0 * SURVIVED_HEARTBEATS),
             lapse_grace: reader.value("platform", "lapse_grace", Millis(2_000)),
             peer_patience: reader.value("entry", "peer_patience", Millis(1_500)),
             ejection: reader.value("upstream", "ejection", Millis(500)),
@@ -97,11 +101,11 @@
 
 fn retry(reader: &mut SettingsReader) -> RetryShare {
     let ratio: f64 = reader.bounded("bounds", "retry_ratio", 0.2, 0.0, 10.0);
-    // The platform scales it with the installation and may write a fraction.
+    // The platform scales it with the size of the installation, which may give a fraction.
     let allowance: f64 = reader.bounded("bounds", "retry_allowance", 100.0, 0.0, 1_000_000.0);
     RetryShare {
-        ratio: ratio * RATIO_SHARE,
-        allowance: allowance * ALLOWANCE_SHARE,
+        ratio: ratio * RETRY_RATIO_SHARE,
+        allowance: allowance * RETRY_ALLOWANCE_SHARE,
         window: reader.value("bounds", "retry_window", Millis(10_000)),
     }
 }
--- a/mustardrill_entry/src/direct/connections.rs
+++ b/mustardrill_entry/src/direct/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, each with one request at a time.
+//! A pool of HTTP/1 connections to upstreams, each used for one request at a time.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -19,38 +19,38 @@
 
 use crate::direct::gated_stream::{GatedStream, SendGate};
 
-/// How long a connection may take to be made. The way there and back is a few milliseconds; what
-/// takes longer is a lost packet, which the kernel sends again only after a second.
+/// Timeout for connecting. A round trip takes a few milliseconds; what takes longer is a lost
+/// packet, which the kernel retransmits only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How often making a connection is tried before the upstream counts as unreachable.
-const CONNECT_TRIES: u32 = 2;
+/// Attempts to connect before the upstream counts as unreachable.
+const CONNECT_ATTEMPTS: u32 = 2;
 
-/// How long sent bytes may stay unacknowledged, in milliseconds. An upstream that lost power or
-/// was cut off says nothing, and the kernel alone would wait for minutes.
-const UNACKNOWLEDGED_MS: u32 = 1_200;
+/// How long sent bytes may stay unacknowledged before the connection is closed. An upstream that
+/// lost power or its network sends nothing more, and the kernel's default would wait for minutes.
+const UNACKNOWLEDGED_TIMEOUT_MS: u32 = 1_200;
 
-/// How long an idle connection is used again where the upstream tells no time of its own.
-const IDLE_LIMIT: Millis = Millis(3_000);
+/// How long an idle connection may be reused if the upstream sends no `keep-alive` timeout.
+const MAX_IDLE_TIME: Millis = Millis(3_000);
 
-/// The time before an upstream's own limit at which a connection is no longer used.
-const IDLE_MARGIN: Millis = Millis(700);
+/// How long before the upstream's `keep-alive` timeout a connection is no longer reused.
+const KEEP_ALIVE_MARGIN: Millis = Millis(700);
 
-/// The idle time up to which a connection is used for a request that may run once only: a close
-/// that crosses such a request leaves its outcome unknown.
-const ONCE_IDLE_LIMIT: Millis = Millis(500);
+/// How long an idle connection may be reused for a request that may run at most once: if the
+/// upstream closes the connection while such a request is under way, its outcome is unknown.
+const MAX_IDLE_TIME_RUNS_ONCE: Millis = Millis(500);
 
 /// A connection to an upstream.
 #[derive(Debug)]
 pub(crate) struct UpstreamConnection {
     sender: http1::SendRequest<Full<Bytes>>,
     gate: Arc<SendGate>,
-    /// Ends the connection when the last user lets go of it.
+    /// Drives the connection; dropping it closes the connection.
     _driver: AbortOnDropHandle<()>,
     reused: bool,
 }
 
-/// The idle connections.
+/// Idle connections by upstream.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool {
     clock: ProcessClock,
@@ -60,39 +60,39 @@
 #[derive(Debug)]
 struct IdleConnection {
     connection: UpstreamConnection,
-    since: Moment,
-    until: Moment,
+    idle_since: Moment,
+    reusable_until: Moment,
 }
 
-/// Why there is no answer's head.
+/// Why no head of an answer was received.
 #[derive(Debug)]
 pub(crate) enum SendFailure {
-    /// Nothing was sent.
+    /// Nothing of the request was sent.
     NotSent,
-    /// Its time was over before it was sent whole.
+    /// Its write deadline passed before it was sent completely.
     TooLate,
-    /// The request, or a part of it, was sent.
+    /// The connection broke after the request, or a part of it, was sent.
     Broken(hyper::Error),
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
     pub(crate) fn new(clock: ProcessClock) -> Self {
         Self { clock, idle: Mutex::default() }
     }
 
-    /// An idle connection to the upstream, or a new one; nothing where none can be made.
+    /// Returns an idle connection to the upstream or a new one; `None` if connecting fails. Set
+    /// `runs_once` for a request that may run at most once.
     pub(crate) async fn take(
         &self,
         now: Moment,
         upstream: &InstanceId,
         address: SocketAddr,
-        once: bool,
+        runs_once: bool,
     ) -> Option<UpstreamConnection> {
-        if let Some(connection) = self.take_idle(now, upstream, once) {
+        if let Some(connection) = self.take_idle(now, upstream, runs_once) {
             return Some(connection);
         }
-        for _ in 0..CONNECT_TRIES {
+        for _ in 0..CONNECT_ATTEMPTS {
             match tokio::time::timeout(CONNECT_TIMEOUT, connect(address, self.clock)).await {
                 Ok(Ok(connection)) => return Some(connection),
                 Ok(Err(error)) => {
@@ -109,16 +109,19 @@
         &self,
         now: Moment,
         upstream: &InstanceId,
-        once: bool,
+        runs_once: bool,
     ) -> Option<UpstreamConnection> {
-        let mut idle = self.idle.lock().expect("no holder panics");
+        let mut idle = self.idle.lock().expect("no lock holder panics");
         let kept = idle.get_mut(upstream)?;
-        kept.retain(|it| it.until > now && !it.connection.sender.is_closed());
-        let place = kept.iter().rposition(|it| !once || now.since(it.since) < ONCE_IDLE_LIMIT)?;
-        Some(kept.swap_remove(place).connection)
+        kept.retain(|it| it.reusable_until > now && !it.connection.sender.is_closed());
+        let index = kept
+            .iter()
+            .rposition(|it| !runs_once || now.since(it.idle_since) < MAX_IDLE_TIME_RUNS_ONCE)?;
+        Some(kept.swap_remove(index).connection)
     }
 
-    /// Keeps a connection whose last answer has ended, up to `limit` for one upstream.
+    /// Returns a connection whose last answer has ended to the pool, which holds at most `limit`
+    /// idle connections per upstream.
     pub(crate) fn keep(
         &self,
         now: Moment,
@@ -127,23 +130,23 @@
         headers: &HeaderMap,
         limit: u32,
     ) {
-        let Some(span) = idle_span(headers) else { return };
+        let Some(span) = max_idle_time(headers) else { return };
         if connection.sender.is_closed() {
             return;
         }
         connection.reused = true;
-        let mut idle = self.idle.lock().expect("no holder panics");
+        let mut idle = self.idle.lock().expect("no lock holder panics");
         let kept = idle.entry(upstream.clone()).or_default();
-        kept.retain(|it| it.until > now && !it.connection.sender.is_closed());
+        kept.retain(|it| it.reusable_until > now && !it.connection.sender.is_closed());
         if kept.len() < limit.max(1) as usize {
-            kept.push(IdleConnection { connection, since: now, until: now + span });
+            kept.push(IdleConnection { connection, idle_since: now, reusable_until: now + span });
         }
         idle.retain(|_, kept| !kept.is_empty());
     }
 }
 
 impl UpstreamConnection {
-    /// Sends a request, before `write_by` or not at all, and waits for the head of its answer.
+    /// Sends a request and waits for the head of its answer. Nothing is written after `write_by`.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -152,34 +155,35 @@
         if self.sender.ready().await.is_err() {
             return Err(SendFailure::NotSent);
         }
-        self.gate.begin(write_by);
+        self.gate.start_request(write_by);
         let sent = self.sender.try_send_request(request).await;
         if self.gate.has_refused() {
             return Err(SendFailure::TooLate);
         }
-        self.gate.answered();
+        self.gate.record_answer_start();
         sent.map_err(|mut failure| match failure.take_message() {
             Some(_) => SendFailure::NotSent,
             None => SendFailure::Broken(failure.into_error()),
         })
     }
 
-    /// Whether it had a request before.
+    /// Whether it carried an earlier request.
     pub(crate) fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// Waits until the last answer has ended on the connection; says whether it can be used again.
-    pub(crate) async fn settle(&mut self) -> bool {
-        const SETTLE_TIMEOUT: Duration = Duration::from_millis(20);
-        matches!(tokio::time::timeout(SETTLE_TIMEOUT, self.sender.ready()).await, Ok(Ok(())))
+    /// Waits up to 20 ms for the end of the last answer; returns whether the connection can be
+    /// reused.
+    pub(crate) async fn wait_for_answer_end(&mut self) -> bool {
+        const ANSWER_END_TIMEOUT: Duration = Duration::from_millis(20);
+        matches!(tokio::time::timeout(ANSWER_END_TIMEOUT, self.sender.ready()).await, Ok(Ok(())))
     }
 }
 
 async fn connect(address: SocketAddr, clock: ProcessClock) -> std::io::Result<UpstreamConnection> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    watch_for_silence(&stream)?;
+    detect_dead_peer(&stream)?;
     let (stream, gate) = GatedStream::new(stream, clock);
     let (sender, driver) = http1::Builder::new()
         .max_buf_size(64 * 1024)
@@ -195,26 +199,27 @@
     Ok(UpstreamConnection { sender, gate, _driver: driver, reused: false })
 }
 
-/// Lets the kernel end a connection whose other side is gone without a word.
-fn watch_for_silence(stream: &TcpStream) -> std::io::Result<()> {
+/// Makes the kernel close a connection whose peer has vanished without closing it.
+fn detect_dead_peer(stream: &TcpStream) -> std::io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, PROBE_EVERY)?;
     sockopt::set_tcp_keepintvl(stream, PROBE_EVERY)?;
     sockopt::set_tcp_keepcnt(stream, PROBES)?;
-    sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED_MS)?;
+    sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED_TIMEOUT_MS)?;
     Ok(())
 }
 
-/// How long a connection may be used again after an answer with these headers.
-fn idle_span(headers: &HeaderMap) -> Option<Millis> {
+/// How long a connection may stay idle for reuse after an answer with these headers; `None` if it
+/// can't be reused.
+fn max_idle_time(headers: &HeaderMap) -> Option<Millis> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     if text("connection").is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
         return None;
     }
-    let told = text("keep-alive").and_then(|value| value.split("timeout=").nth(1));
-    let seconds = told.and_then(|told| told.split(',').next()?.trim().parse::<u64>().ok());
-    let span = seconds.map_or(IDLE_LIMIT, |seconds| {
-        Millis((seconds * 1_000).saturating_sub(IDLE_MARGIN.0)).min(IDLE_LIMIT)
+    let timeout = text("keep-alive").and_then(|value| value.split("timeout=").nth(1));
+    let seconds = timeout.and_then(|timeout| timeout.split(',').next()?.trim().parse::<u64>().ok());
+    let span = seconds.map_or(MAX_IDLE_TIME, |seconds| {
+        Millis((seconds * 1_000).saturating_sub(KEEP_ALIVE_MARGIN.0)).min(MAX_IDLE_TIME)
     });
     (span.0 > 0).then_some(span)
 }
--- a/mustardrill_entry/src/direct/event_splitter.rs
+++ b/mustardrill_entry/src/direct/event_splitter.rs
@@ -1,64 +1,65 @@
-//! Cuts an answer into whole events, so that nobody is sent half of one.
+//! Splits a streamed answer into complete server-sent events, so that no caller is sent part of
+//! one.
 
 use bytes::{Bytes, BytesMut};
 
-/// The end of an event.
+/// The blank line that ends an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// The bytes of an answer that are not yet a whole event, and the last event that is.
+/// Holds the bytes of an event that is not complete yet and the id of the last complete event.
 #[derive(Debug, Default)]
-pub(crate) struct EventCutter {
+pub(crate) struct EventSplitter {
     pending: BytesMut,
-    last: Option<Box<str>>,
+    last_id: Option<Box<str>>,
 }
 
-/// The events' ids don't follow each other: one is missing or came twice.
+/// The events' ids are not consecutive: an event is missing or was sent twice.
 #[derive(Debug)]
-pub(crate) struct BrokenOrder;
+pub(crate) struct EventOrderError;
 
-impl EventCutter {
-    /// Takes bytes and returns the whole events among them, if any.
-    pub(crate) fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, BrokenOrder> {
+impl EventSplitter {
+    /// Adds bytes; returns the events that are complete now, if any.
+    pub(crate) fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, EventOrderError> {
         self.pending.extend_from_slice(bytes);
-        let Some(end) = last_end(&self.pending) else { return Ok(None) };
-        let whole = self.pending.split_to(end).freeze();
-        for id in ids(&whole) {
-            if !follows(self.last.as_deref(), id) {
-                return Err(BrokenOrder);
+        let Some(end) = last_event_end(&self.pending) else { return Ok(None) };
+        let events = self.pending.split_to(end).freeze();
+        for id in event_ids(&events) {
+            if !may_follow(self.last_id.as_deref(), id) {
+                return Err(EventOrderError);
             }
-            self.last = Some(id.into());
+            self.last_id = Some(id.into());
         }
-        Ok(Some(whole))
+        Ok(Some(events))
     }
 
-    /// The last whole event.
-    pub(crate) fn last(&self) -> Option<&str> {
-        self.last.as_deref()
+    /// The id of the last complete event.
+    pub(crate) fn last_id(&self) -> Option<&str> {
+        self.last_id.as_deref()
     }
 
-    /// Whether nothing of an event is left over.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// Whether the bytes so far end with a complete event.
+    pub(crate) fn is_complete(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Drops what an upstream that broke off left of an event.
+    /// Drops the part of an event that a broken stream left behind.
     pub(crate) fn drop_partial(&mut self) {
         self.pending.clear();
     }
 }
 
-fn last_end(bytes: &[u8]) -> Option<usize> {
-    let place = bytes.windows(EVENT_END.len()).rposition(|window| window == EVENT_END)?;
-    Some(place + EVENT_END.len())
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    let start = bytes.windows(EVENT_END.len()).rposition(|window| window == EVENT_END)?;
+    Some(start + EVENT_END.len())
 }
 
-fn ids(events: &[u8]) -> impl Iterator<Item = &str> {
+fn event_ids(events: &[u8]) -> impl Iterator<Item = &str> {
     let text = std::str::from_utf8(events).unwrap_or_default();
     text.lines().filter_map(|line| line.strip_prefix("id:")).map(str::trim)
 }
 
-/// Whether an event may come after another; ids that are no numbers can't tell.
-fn follows(last: Option<&str>, next: &str) -> bool {
+/// Whether the event `next` may follow the event `last`. Ids that are not numbers are not checked.
+fn may_follow(last: Option<&str>, next: &str) -> bool {
     let last = last.and_then(|last| last.parse::<u64>().ok());
     match (last, next.parse::<u64>()) {
         (Some(last), Ok(next)) => next == last + 1,
--- a/mustardrill_entry/src/direct/gated_stream.rs
+++ b/mustardrill_entry/src/direct/gated_stream.rs
@@ -1,7 +1,7 @@
-//! A connection's bytes, which leave only while the request that they carry may still begin.
+//! A TCP stream that refuses to write a request after its write deadline.
 //!
-//! Load pattern: a process stands still between the decision to send and the writing. What was decided
-//! in time would reach the upstream after its time.
+//! A process may be suspended between the decision to send a request and the write to the socket. A
+//! request that was sent in time by that decision would then reach the upstream too late.
 
 use std::io;
 use std::pin::Pin;
@@ -14,17 +14,18 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Stands for a request that may be written at any time.
-const NO_LIMIT: u64 = u64::MAX;
+/// Value of `write_by` for a request that may be written at any time.
+const NO_DEADLINE: u64 = u64::MAX;
 
-/// What holds for the request under way on a connection.
+/// The write deadline of the request that a connection currently carries.
 #[derive(Debug)]
 pub(crate) struct SendGate {
+    /// In milliseconds of the process clock.
     write_by: AtomicU64,
     has_refused: AtomicBool,
 }
 
-/// A connection whose writing ends with its gate.
+/// A connection whose writes fail once the deadline of its gate has passed.
 #[derive(Debug)]
 pub(crate) struct GatedStream {
     stream: TcpStream,
@@ -34,39 +35,42 @@
 
 impl SendGate {
     fn new() -> Self {
-        Self { write_by: AtomicU64::new(NO_LIMIT), has_refused: AtomicBool::new(false) }
+        Self { write_by: AtomicU64::new(NO_DEADLINE), has_refused: AtomicBool::new(false) }
     }
 
-    /// Begins a request that is written before `write_by` or not at all.
-    pub(crate) fn begin(&self, write_by: Option<Moment>) {
-        self.write_by.store(write_by.map_or(NO_LIMIT, |moment| moment.0), Ordering::Relaxed);
+    /// Starts a request. Nothing of it is written after `write_by`.
+    pub(crate) fn start_request(&self, write_by: Option<Moment>) {
+        self.write_by.store(write_by.map_or(NO_DEADLINE, |moment| moment.0), Ordering::Relaxed);
     }
 
-    /// Notes that the request's answer has begun; the rest of a long request may follow at any time.
-    pub(crate) fn answered(&self) {
-        self.write_by.store(NO_LIMIT, Ordering::Relaxed);
+    /// Records that the answer has started; the rest of a long request may be written at any time.
+    pub(crate) fn record_answer_start(&self) {
+        self.write_by.store(NO_DEADLINE, Ordering::Relaxed);
     }
 
-    /// Whether the request was not written whole, as its time was over.
+    /// Whether a write was refused because the deadline had passed.
     pub(crate) fn has_refused(&self) -> bool {
         self.has_refused.load(Ordering::Relaxed)
     }
 }
 
 impl GatedStream {
-    /// The stream with its gate.
+    /// Wraps a stream; returns it with the gate that controls it.
     pub(crate) fn new(stream: TcpStream, clock: ProcessClock) -> (Self, Arc<SendGate>) {
         let gate = Arc::new(SendGate::new());
         (Self { stream, clock, gate: gate.clone() }, gate)
     }
 
-    fn check(&self) -> io::Result<()> {
+    fn check_deadline(&self) -> io::Result<()> {
         let write_by = self.gate.write_by.load(Ordering::Relaxed);
-        if write_by == NO_LIMIT || self.clock.now().0 < write_by {
+        if write_by == NO_DEADLINE || self.clock.now().0 < write_by {
             return Ok(());
         }
         self.gate.has_refused.store(true, Ordering::Relaxed);
-        Err(io::Error::new(io::ErrorKind::TimedOut, "the request's time to be sent is over"))
+        Err(io::Error::new(
+            io::ErrorKind::TimedOut,
+            "write deadline of the request passed before it was sent completely",
+        ))
     }
 }
 
@@ -86,7 +90,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if let Err(error) = self.check() {
+        if let Err(error) = self.check_deadline() {
             return Poll::Ready(Err(error));
         }
         Pin::new(&mut self.stream).poll_write(context, bytes)
@@ -97,7 +101,7 @@
         context: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        if let Err(error) = self.check() {
+        if let Err(error) = self.check_deadline() {
             return Poll::Ready(Err(error));
         }
         Pin::new(&mut self.stream).poll_write_vectored(context, parts)
--- a/mustardrill_entry/src/direct/gossip.rs
+++ b/mustardrill_entry/src/direct/gossip.rs
@@ -1,4 +1,5 @@
-//! Tells the other entries what this one has at upstreams, and hears them and the agents.
+//! Broadcasts this entry's load and crash reports to peer entries by datagram, and receives the
+//! datagrams of peers and agents.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -14,33 +15,35 @@
 use mustardrill_types::{Millis, ModelName, Moment, WeightVersion};
 
 use crate::direct::actor::{DirectActor, DirectContext, Event, GossipQuery};
-use crate::direct::availability::{self, ContactAsker};
+use crate::direct::availability::{self, AvailabilityQuerier};
 
-/// How often the load is looked at: what other entries don't know of yet, they send as well.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// How often the load is checked for changes to broadcast. Until peers know of this entry's
+/// requests at an upstream, they send theirs there as well.
+const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The upstreams of one datagram. A row takes 20 to 25 bytes, so that these pass every link whole.
-const ROWS_LIMIT: usize = 50;
+/// Upstreams per datagram. A row takes 20 to 25 bytes, so that such a datagram passes every link
+/// without fragmentation.
+const LOAD_ROWS_PER_DATAGRAM: usize = 50;
 
-/// The crashes of one datagram: a row takes 50 bytes, or 90 with the longest names.
-const CRASHES_LIMIT: usize = 14;
+/// Crash reports per datagram: a row takes 50 bytes, or 90 with the longest names.
+const CRASH_ROWS_PER_DATAGRAM: usize = 14;
 
-/// How long nothing is heard after an error.
-const HEAR_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a receive error.
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(50);
 
-/// When a word to agents is told once more, as datagrams get lost.
-const TELL_AGAIN: Duration = Duration::from_millis(60);
+/// Time until a notification to agents is sent a second time, as datagrams may be lost.
+const RESEND_AFTER: Duration = Duration::from_millis(60);
 
-/// Starts to listen and to tell.
+/// Starts the receiving and the broadcasting task.
 pub(crate) fn spawn(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
     let halt = context.halt.clone();
-    let hearing = hear(actor.clone(), context.clone());
-    tokio::spawn(halt.clone().run_until_cancelled_owned(hearing));
-    tokio::spawn(halt.run_until_cancelled_owned(tell(actor, context)));
+    let receiving = receive_datagrams(actor.clone(), context.clone());
+    tokio::spawn(halt.clone().run_until_cancelled_owned(receiving));
+    tokio::spawn(halt.run_until_cancelled_owned(broadcast(actor, context)));
 }
 
-/// Tells the agents on these machines that a version was named.
-pub(crate) fn tell_agents(
+/// Notifies the agents on these machines that a version was announced.
+pub(crate) fn notify_agents(
     context: Arc<DirectContext>,
     model: &ModelName,
     version: WeightVersion,
@@ -53,7 +56,7 @@
         let bytes = datagram.to_bytes();
         for round in 0..2 {
             if round > 0 {
-                tokio::time::sleep(TELL_AGAIN).await;
+                tokio::time::sleep(RESEND_AFTER).await;
             }
             for machine in &machines {
                 context.send_datagram(SocketAddr::new(*machine, port), &bytes).await;
@@ -62,26 +65,26 @@
     });
 }
 
-async fn hear(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
+async fn receive_datagrams(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
     let mut buffer = vec![0; DATAGRAM_LIMIT];
     loop {
         let (length, from) = match context.socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                // An earlier datagram met a closed port: its receiver is gone.
+                // An earlier datagram was sent to a port that is closed, as its receiver has ended.
                 warn!("datagram outcome=unheard reason=\"{error}\"");
-                tokio::time::sleep(HEAR_PAUSE).await;
+                tokio::time::sleep(RECEIVE_ERROR_PAUSE).await;
                 continue;
             }
         };
         let Some(datagram) = Datagram::read(&buffer[..length]) else { continue };
         let now = context.clock.now();
         if let Some(asked) = datagram.contact_ask {
-            availability::answer(&actor, &context, from, asked).await;
+            availability::send_answer(&actor, &context, from, asked).await;
             continue;
         }
         if let Some(row) = &datagram.contact {
-            availability::take(&actor, now, row).await;
+            availability::process_answer(&actor, now, row).await;
             continue;
         }
         for event in events_of(now, datagram) {
@@ -94,8 +97,8 @@
     if datagram.crashes.is_empty() {
         return event_of(datagram).into_iter().collect();
     }
-    let words = datagram.crashes.iter().filter_map(|row| crash_word(now, row));
-    words.map(DirectEvent::CrashHeard).collect()
+    let reports = datagram.crashes.iter().filter_map(|row| crash_word(now, row));
+    reports.map(DirectEvent::CrashHeard).collect()
 }
 
 fn event_of(datagram: Datagram) -> Option<DirectEvent> {
@@ -123,45 +126,46 @@
     UpstreamLoad { requests: row.outstanding, reading: Millis(u64::from(row.reading_ms)) }
 }
 
-async fn tell(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
-    let (mut teller, mut asker) = (LoadBroadcaster::default(), ContactAsker::default());
+async fn broadcast(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
+    let (mut broadcaster, mut querier) =
+        (LoadBroadcaster::default(), AvailabilityQuerier::default());
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(LOAD_CHECK_INTERVAL).await;
         let Ok(reply) = actor.ask(GossipQuery).await else { return };
-        if let Some(every) = reply.doubts {
-            asker.ask(&context, &reply.peers, every).await;
+        if let Some(interval) = reply.query_interval {
+            querier.query_peers(&context, &reply.peers, interval).await;
         }
         let now = context.clock.now();
-        for words in reply.crash_words.chunks(CRASHES_LIMIT) {
+        for reports in reply.crash_reports.chunks(CRASH_ROWS_PER_DATAGRAM) {
             let mut datagram = Datagram::new(&context.config.direct.own);
-            datagram.crashes = words.iter().map(|word| crash_message(now, word)).collect();
-            send(&context, &reply.peers, &datagram.to_bytes()).await;
+            datagram.crashes = reports.iter().map(|report| crash_message(now, report)).collect();
+            send_to_all(&context, &reply.peers, &datagram.to_bytes()).await;
         }
-        let Some(news) = teller.next_update(now, reply.outstanding, reply.waiting) else {
+        let Some(update) = broadcaster.next_update(now, reply.outstanding, reply.waiting) else {
             continue;
         };
-        for part in news.split(ROWS_LIMIT) {
-            send(&context, &reply.peers, &load_datagram(&context, &part).to_bytes()).await;
+        for part in update.split(LOAD_ROWS_PER_DATAGRAM) {
+            send_to_all(&context, &reply.peers, &load_datagram(&context, &part).to_bytes()).await;
         }
     }
 }
 
-async fn send(context: &DirectContext, peers: &[PeerRecord], bytes: &[u8]) {
+async fn send_to_all(context: &DirectContext, peers: &[PeerRecord], bytes: &[u8]) {
     for peer in peers {
         context.send_datagram(peer.address, bytes).await;
     }
 }
 
-fn load_datagram(context: &DirectContext, news: &LoadUpdate) -> Datagram {
+fn load_datagram(context: &DirectContext, update: &LoadUpdate) -> Datagram {
     let mut datagram = Datagram::new(&context.config.direct.own);
-    datagram.partial = !news.is_snapshot;
-    let rows = news.rows.iter().map(|(id, load)| LoadRow {
+    datagram.partial = !update.is_snapshot;
+    let rows = update.rows.iter().map(|(id, load)| LoadRow {
         upstream: id.to_string(),
         outstanding: load.requests,
         reading_ms: load.reading.0 as u32,
     });
     datagram.loads = rows.collect();
-    let waiting = news.waiting.iter();
+    let waiting = update.waiting.iter();
     let waiting =
         waiting.map(|(service, count)| WaitRow { service: service.to_string(), count: *count });
     datagram.waiting = waiting.collect();
--- a/mustardrill_entry/src/direct/metrics.rs
+++ b/mustardrill_entry/src/direct/metrics.rs
@@ -1,8 +1,9 @@
-//! The metrics of an entry that sends to upstreams itself; `docs/OPERATIONS.md` lists the same.
+//! The metrics of an entry that sends requests directly to upstreams; `docs/OPERATIONS.md` lists
+//! them.
 
 use mustardrill_runtime::exposition::{MetricKind, MetricRow};
 
-/// Every metric and what it counts.
+/// Every metric with its kind and the help text that is exported with it.
 pub const METRICS: [MetricRow; 14] = [
     MetricRow::new("requests", MetricKind::Counter("code"), "Requests answered, by result code."),
     MetricRow::new(
--- a/mustardrill_entry/src/direct/mod.rs
+++ b/mustardrill_entry/src/direct/mod.rs
@@ -1,4 +1,5 @@
-//! The entry on a platform where it sends requests to upstreams itself.
+//! The entry for platforms on which it sends requests directly to upstreams, without agents in
+//! between.
 
 mod actor;
 mod answer;
@@ -15,6 +16,6 @@
 mod relay;
 mod watch;
 
-pub use actor::{DirectBorders, DirectHandle, spawn};
+pub use actor::{DirectHandle, PlatformAdapters, spawn};
 pub use config::{DirectConfig, read};
 pub use metrics::METRICS;
--- a/mustardrill_entry/src/direct/quarantine_records.rs
+++ b/mustardrill_entry/src/direct/quarantine_records.rs
@@ -1,4 +1,4 @@
-//! Writes to the store which requests are run no more, for entries that start.
+//! Writes quarantined requests to the store, from which entries read them when they start.
 
 use std::sync::Arc;
 
@@ -9,32 +9,37 @@
 
 use crate::direct::actor::DirectContext;
 
-/// The longest pause after a first write that failed.
-const FIRST_PAUSE: Millis = Millis(500);
+/// The longest backoff after the first failed write.
+const FIRST_BACKOFF: Millis = Millis(500);
 
-/// The longest pause after any.
-const LONGEST_PAUSE: Millis = Millis(4_000);
+/// The longest backoff after any number of failed writes.
+const MAX_BACKOFF: Millis = Millis(4_000);
 
-/// What is written of a request.
+/// A change to the quarantine record of a request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum RecordChange {
-    /// It is run no more for so long.
+    /// The request is quarantined for this time.
     Keep(Millis),
-    /// It is run again.
+    /// The quarantine is over.
     End,
 }
 
-/// Writes a change, again and again while the store does not take it and the change is of use.
+/// Writes a change in a task of its own, with retries until the store accepts it or the time of a
+/// quarantine has passed.
 pub(crate) fn spawn(context: Arc<DirectContext>, digest: RequestDigest, change: RecordChange) {
     let halt = context.halt.clone();
-    tokio::spawn(halt.run_until_cancelled_owned(write(context, digest, change)));
+    tokio::spawn(halt.run_until_cancelled_owned(write_with_retries(context, digest, change)));
 }
 
-async fn write(context: Arc<DirectContext>, digest: RequestDigest, change: RecordChange) {
-    let source = &context.borders.source;
-    let mut backoff = RetryBackoff::new(FIRST_PAUSE, LONGEST_PAUSE);
-    let begun = context.clock.now();
-    while context.clock.now().since(begun) < QUARANTINE_SPAN {
+async fn write_with_retries(
+    context: Arc<DirectContext>,
+    digest: RequestDigest,
+    change: RecordChange,
+) {
+    let source = &context.adapters.source;
+    let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MAX_BACKOFF);
+    let started_at = context.clock.now();
+    while context.clock.now().since(started_at) < QUARANTINE_SPAN {
         let written = match change {
             RecordChange::Keep(span) => source.keep_quarantine(digest, span).await,
             RecordChange::End => source.end_quarantine(digest).await,
--- a/mustardrill_entry/src/direct/relay.rs
+++ b/mustardrill_entry/src/direct/relay.rs
@@ -1,4 +1,5 @@
-//! Hands lists and chunks of weights on to agents and other entries, each drawn once.
+//! Relays chunk lists and chunks of weights to agents and peer entries. Each item is fetched from
+//! the origin once, by the entry that is its seeder, and cached.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -28,82 +29,85 @@
 use crate::direct::actor::{DirectActor, DirectContext, FleetQuery, RelayQuery};
 use crate::direct::watch::own_record;
 
-/// How long a connection to another entry may take to be made.
+/// Timeout for connecting to a peer entry.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a call waits for an item that is being drawn before it is told so: whoever asks can
-/// tell an entry that draws from one that is gone within a fraction of a second.
+/// How long a call waits for an item that is being fetched before it is answered "not yet". The
+/// caller can so tell an entry that is fetching from one that is gone within a fraction of a
+/// second.
 const HOLD_TIME: Duration = Duration::from_millis(300);
 
-/// How long another entry may take for an answer of any kind: `HOLD_TIME` and a chunk's time on a
-/// link that is shared.
-const HAND_TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout of one call to a peer entry: `HOLD_TIME` and the transfer of a chunk over a shared link.
+const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long an entry that draws an item is waited for. Drawing it a second time instead slows the
-/// first, and several copies go over the origin's link.
-const LONGEST_HAND: Duration = Duration::from_millis(4_000);
+/// How long to keep asking a peer that is fetching an item. Fetching it a second time instead would
+/// slow the first fetch, and several copies would go over the origin's link.
+const PEER_FETCH_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// The entries that are asked to draw an item: some may have lost their way to the origin.
-const DRAWERS_ASKED: usize = 3;
+/// Seeders tried for an item, as some may have no route to the origin.
+const SEEDERS_TRIED: usize = 3;
 
-/// Chunks drawn from the origin at once by one entry: enough to keep its link busy, and few enough
-/// that the list of the next version doesn't wait long behind them.
-const ORIGIN_DRAWS: usize = 3;
+/// Chunks that one entry fetches from the origin at a time: enough to keep its link busy, and few
+/// enough that the chunk list of the next version does not wait long behind them.
+const MAX_ORIGIN_FETCHES: usize = 3;
 
-/// The share of an entry's link that chunks may take, in percent; the rest is for answers.
+/// The share of an entry's link for uploads of chunks, in percent. The rest is for callers'
+/// answers.
 const UPLOAD_PERCENT: u32 = 50;
 
-/// How long a chunk may wait for the link before another entry is the better choice.
-const LONGEST_QUEUE: Millis = Millis(500);
+/// The longest wait for the link before the upload is refused, as another entry is then the better
+/// choice.
+const MAX_UPLOAD_WAIT: Millis = Millis(500);
 
-/// The largest list or chunk taken.
-const ITEM_LIMIT: usize = 4 << 20;
+/// The largest chunk list or chunk accepted from a peer, in bytes.
+const MAX_ITEM_BYTES: usize = 4 << 20;
 
-/// What is handed on, of which version.
+/// An item and the version that it belongs to.
 type ItemKey = (VersionId, RelayItem);
 
-/// The bytes of an item that is drawn or kept.
-type ItemFetch = Shared<BoxFuture<'static, Result<Bytes, ItemMiss>>>;
+/// A fetch of an item in progress, or its cached result.
+type ItemFetch = Shared<BoxFuture<'static, Result<Bytes, ItemUnavailable>>>;
 
-/// Why an item can't be handed on.
+/// Why an item can't be relayed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ItemMiss {
-    /// This entry does not know the origin yet; another one may.
+enum ItemUnavailable {
+    /// This entry does not know the origin yet; a peer may.
     Unconfigured,
-    /// Whoever draws it can't have it now; asking others would be in vain.
+    /// Its seeder can't get it now, so that asking other entries is no use.
     NotNow,
 }
 
-/// Why another entry did not hand an item on.
+/// Why a peer entry did not relay an item.
 #[derive(Debug)]
-enum HandError {
-    /// It can't have it now.
+enum PeerFetchError {
+    /// The peer can't get it now.
     NotNow,
-    /// It does not answer, or not as it should.
+    /// The peer did not answer, or its answer is invalid.
     Failed(Box<str>),
 }
 
-/// Answers calls for lists and chunks.
+/// Answers calls for chunk lists, chunks and the state of the fleet.
 #[derive(Clone)]
 pub(crate) struct ChunkRelay {
     actor: ActorRef<DirectActor>,
     context: Arc<DirectContext>,
     client: HttpClient,
     state: Arc<Mutex<RelayState>>,
-    origin_draws: Arc<Semaphore>,
+    origin_permits: Arc<Semaphore>,
     uploads: Arc<UploadQueue>,
 }
 
-/// What an entry keeps of the versions that it hands on.
+/// Fetches and cached items of the versions that this entry relays.
 #[derive(Debug, Default)]
 struct RelayState {
     table: RelayTable,
-    gate: OriginBreaker,
+    origin_breaker: OriginBreaker,
     fetches: FastMap<ItemKey, ItemFetch>,
-    /// The items that are whole, the oldest first.
-    whole: VecDeque<(ItemKey, usize)>,
-    lists: FastMap<VersionId, Arc<ChunkList>>,
-    bytes: usize,
+    /// Items fetched completely with their length in bytes, the oldest first.
+    completed: VecDeque<(ItemKey, usize)>,
+    chunk_lists: FastMap<VersionId, Arc<ChunkList>>,
+    /// Total length of `completed`.
+    cached_bytes: usize,
 }
 
 impl ChunkRelay {
@@ -115,34 +119,34 @@
             context,
             client: HttpClient::open(CONNECT_TIMEOUT),
             state: Arc::default(),
-            origin_draws: Arc::new(Semaphore::new(ORIGIN_DRAWS)),
+            origin_permits: Arc::new(Semaphore::new(MAX_ORIGIN_FETCHES)),
         }
     }
 
     async fn answer(&self, call: PeerCall) -> AnyResponse {
-        let (key, drawn) = match call {
-            PeerCall::Fleet(service) => return self.tell_fleet(&service).await,
+        let (key, from_origin) = match call {
+            PeerCall::Fleet(service) => return self.fleet_response(&service).await,
             PeerCall::List(version) => ((version, RelayItem::List), false),
             PeerCall::Chunk(version, index) => ((version, RelayItem::Chunk(index)), false),
             PeerCall::DrawnList(version) => ((version, RelayItem::List), true),
             PeerCall::DrawnChunk(version, index) => ((version, RelayItem::Chunk(index)), true),
         };
-        match tokio::time::timeout(HOLD_TIME, self.item(key, drawn)).await {
-            Ok(Ok(bytes)) => self.hand(bytes).await,
-            Ok(Err(ItemMiss::Unconfigured)) => {
+        match tokio::time::timeout(HOLD_TIME, self.shared_fetch(key, from_origin)).await {
+            Ok(Ok(bytes)) => self.send_bytes(bytes).await,
+            Ok(Err(ItemUnavailable::Unconfigured)) => {
                 text_response(StatusCode::NOT_FOUND, "no configuration yet\n")
             }
-            Ok(Err(ItemMiss::NotNow)) => {
+            Ok(Err(ItemUnavailable::NotNow)) => {
                 text_response(StatusCode::SERVICE_UNAVAILABLE, "not to be had now\n")
             }
             Err(_) => text_response(StatusCode::ACCEPTED, "being drawn\n"),
         }
     }
 
-    /// Gives the bytes once the link has room for them.
-    async fn hand(&self, bytes: Bytes) -> AnyResponse {
+    /// Sends the bytes once the share of the link for uploads has room for them.
+    async fn send_bytes(&self, bytes: Bytes) -> AnyResponse {
         let now = self.context.clock.now();
-        let Some(wait) = self.uploads.accept(now, bytes.len(), LONGEST_QUEUE) else {
+        let Some(wait) = self.uploads.accept(now, bytes.len(), MAX_UPLOAD_WAIT) else {
             tokio::time::sleep(HOLD_TIME).await;
             return text_response(StatusCode::ACCEPTED, "others go first\n");
         };
@@ -151,177 +155,185 @@
         Response::new(whole_body(bytes))
     }
 
-    /// What agents of a service need of the fleet.
-    async fn tell_fleet(&self, service: &ServiceName) -> AnyResponse {
-        let page = self.actor.ask(FleetQuery).await.ok();
-        match page.and_then(|reply| FleetDigest::of(&reply.0, service)) {
+    /// Answers with the part of the fleet's state that the agents of a service need.
+    async fn fleet_response(&self, service: &ServiceName) -> AnyResponse {
+        let reply = self.actor.ask(FleetQuery).await.ok();
+        match reply.and_then(|reply| FleetDigest::of(&reply.0, service)) {
             Some(digest) => Response::new(whole_body(digest.to_bytes())),
             None => text_response(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet\n"),
         }
     }
 
-    /// An item that is kept, is being fetched, or is fetched now.
-    fn item(&self, key: ItemKey, drawn: bool) -> ItemFetch {
-        let mut state = self.state.lock().expect("no holder panics");
+    /// Returns the cached item or its fetch in progress; starts a fetch if there is neither. With
+    /// `from_origin`, that fetch goes to the origin and asks no peer.
+    fn shared_fetch(&self, key: ItemKey, from_origin: bool) -> ItemFetch {
+        let mut state = self.state.lock().expect("no lock holder panics");
         if let Some(fetch) = state.fetches.get(&key) {
             return fetch.clone();
         }
         let relay = self.clone();
         let wanted = key.clone();
-        // A task of its own: whoever asked first may be gone before the others have it.
+        // In a task of its own, so that the fetch goes on for other callers when the first
+        // disconnects.
         let task = tokio::spawn(async move {
-            let bytes = relay.fetch(&wanted, drawn).await;
-            relay.state.lock().expect("no holder panics").ended(
+            let bytes = relay.fetch(&wanted, from_origin).await;
+            relay.state.lock().expect("no lock holder panics").record_end(
                 wanted,
                 bytes.as_ref().ok().map(Bytes::len),
                 relay.context.config.relay_memory,
             );
             bytes
         });
-        let fetch = task.map(|ended| ended.unwrap_or(Err(ItemMiss::NotNow))).boxed().shared();
+        let fetch =
+            task.map(|joined| joined.unwrap_or(Err(ItemUnavailable::NotNow))).boxed().shared();
         state.fetches.insert(key, fetch.clone());
         fetch
     }
 
-    async fn fetch(&self, key: &ItemKey, drawn: bool) -> Result<Bytes, ItemMiss> {
-        let reply = self.actor.ask(RelayQuery).await.map_err(|_| ItemMiss::Unconfigured)?;
-        let origin = reply.origin.ok_or(ItemMiss::Unconfigured)?;
-        let list = match key.1 {
+    async fn fetch(&self, key: &ItemKey, from_origin: bool) -> Result<Bytes, ItemUnavailable> {
+        let reply = self.actor.ask(RelayQuery).await.map_err(|_| ItemUnavailable::Unconfigured)?;
+        let origin = reply.origin.ok_or(ItemUnavailable::Unconfigured)?;
+        let chunk_list = match key.1 {
             RelayItem::List => None,
-            RelayItem::Chunk(_) => Some(self.list(&key.0).await?),
+            RelayItem::Chunk(_) => Some(self.chunk_list(&key.0).await?),
         };
-        let mut is_mine = true;
-        let drawers = if drawn { Vec::new() } else { self.drawers(key, &origin, reply.peers) };
-        for relay in drawers {
-            is_mine = relay.id == self.context.config.direct.own;
-            if is_mine {
+        let mut is_seeder = true;
+        let seeders =
+            if from_origin { Vec::new() } else { self.seeders(key, &origin, reply.peers) };
+        for relay in seeders {
+            is_seeder = relay.id == self.context.config.direct.own;
+            if is_seeder {
                 break;
             }
-            match self.ask_relay(key, list.as_deref(), &relay).await {
+            match self.fetch_from_peer(key, chunk_list.as_deref(), &relay).await {
                 Ok(bytes) => return Ok(bytes),
-                Err(HandError::NotNow) => {}
-                Err(HandError::Failed(reason)) => {
-                    self.note_failure(key, &relay, &reason);
-                    is_mine = true;
+                Err(PeerFetchError::NotNow) => {}
+                Err(PeerFetchError::Failed(reason)) => {
+                    self.record_peer_failure(key, &relay, &reason);
+                    is_seeder = true;
                 }
             }
         }
-        if !is_mine {
-            return Err(ItemMiss::NotNow);
+        if !is_seeder {
+            return Err(ItemUnavailable::NotNow);
         }
-        self.ask_origin(key, list.as_deref(), &origin).await
+        self.fetch_from_origin(key, chunk_list.as_deref(), &origin).await
     }
 
-    /// The list by which chunks are verified.
-    async fn list(&self, version: &VersionId) -> Result<Arc<ChunkList>, ItemMiss> {
-        if let Some(list) = self.state.lock().expect("no holder panics").lists.get(version) {
+    /// Returns the version's chunk list, by which chunks are verified.
+    async fn chunk_list(&self, version: &VersionId) -> Result<Arc<ChunkList>, ItemUnavailable> {
+        if let Some(list) =
+            self.state.lock().expect("no lock holder panics").chunk_lists.get(version)
+        {
             return Ok(list.clone());
         }
-        let published = self.item((version.clone(), RelayItem::List), false).await?;
-        let list = self.context.borders.origin.read_list(published).map_err(|reason| {
+        let published = self.shared_fetch((version.clone(), RelayItem::List), false).await?;
+        let list = self.context.adapters.origin.read_list(published).map_err(|reason| {
             warn!("list version={version} outcome=unreadable reason=\"{reason}\"");
-            ItemMiss::NotNow
+            ItemUnavailable::NotNow
         })?;
         let list = Arc::new(list);
-        let mut state = self.state.lock().expect("no holder panics");
-        state.lists.insert(version.clone(), list.clone());
+        let mut state = self.state.lock().expect("no lock holder panics");
+        state.chunk_lists.insert(version.clone(), list.clone());
         Ok(list)
     }
 
-    /// Who draws an item, the first in rank first, this entry among them.
-    fn drawers(
+    /// Returns the first seeders of an item in order of rank; this entry may be one of them.
+    fn seeders(
         &self,
         key: &ItemKey,
         origin: &OriginProfile,
         peers: Vec<PeerRecord>,
     ) -> Vec<PeerRecord> {
         let now = self.context.clock.now();
-        let mut state = self.state.lock().expect("no holder panics");
+        let mut state = self.state.lock().expect("no lock holder panics");
         state.table.set_relays(peers);
         state.table.add(own_record(&self.context.config));
         let version = key.0.to_string();
-        let drawers = state.table.seeders(now, &version, key.1, &origin.data_centre);
-        drawers.into_iter().take(DRAWERS_ASKED).cloned().collect()
+        let seeders = state.table.seeders(now, &version, key.1, &origin.data_centre);
+        seeders.into_iter().take(SEEDERS_TRIED).cloned().collect()
     }
 
-    fn note_failure(&self, key: &ItemKey, relay: &PeerRecord, reason: &str) {
+    fn record_peer_failure(&self, key: &ItemKey, relay: &PeerRecord, reason: &str) {
         info!(
             "relay version={} item={:?} source={} outcome=failed reason=\"{reason}\"",
             key.0, key.1, relay.id
         );
         let now = self.context.clock.now();
-        self.state.lock().expect("no holder panics").table.record_failure(now, &relay.id);
+        self.state.lock().expect("no lock holder panics").table.record_failure(now, &relay.id);
     }
 
-    /// Asks another entry for an item, for as long as that entry says that it draws it.
-    async fn ask_relay(
+    /// Fetches an item from a peer, asking again while the peer answers that it is fetching it.
+    async fn fetch_from_peer(
         &self,
         (version, item): &ItemKey,
-        list: Option<&ChunkList>,
+        chunk_list: Option<&ChunkList>,
         relay: &PeerRecord,
-    ) -> Result<Bytes, HandError> {
+    ) -> Result<Bytes, PeerFetchError> {
         let call = match item {
             RelayItem::List => PeerCall::DrawnList(version.clone()),
             RelayItem::Chunk(index) => PeerCall::DrawnChunk(version.clone(), *index),
         };
         let uri = format!("http://{}{call}", relay.address);
-        let failed = |reason: String| HandError::Failed(reason.into());
-        let until = tokio::time::Instant::now() + LONGEST_HAND;
-        while tokio::time::Instant::now() < until {
+        let peer_failure = |reason: String| PeerFetchError::Failed(reason.into());
+        let give_up_at = tokio::time::Instant::now() + PEER_FETCH_TIMEOUT;
+        while tokio::time::Instant::now() < give_up_at {
             let call = request("GET", &uri, Bytes::new());
-            let answer = self.client.call(call, HAND_TIMEOUT, ITEM_LIMIT).await;
-            let answer = answer.map_err(|error| failed(error.to_string()))?;
+            let answer = self.client.call(call, PEER_CALL_TIMEOUT, MAX_ITEM_BYTES).await;
+            let answer = answer.map_err(|error| peer_failure(error.to_string()))?;
             match answer.status {
                 StatusCode::OK => {
-                    return self.verified(*item, list, answer.body).map_err(HandError::Failed);
+                    return self
+                        .verify(*item, chunk_list, answer.body)
+                        .map_err(PeerFetchError::Failed);
                 }
                 StatusCode::ACCEPTED => {}
-                StatusCode::SERVICE_UNAVAILABLE => return Err(HandError::NotNow),
-                status => return Err(failed(format!("status {status}"))),
+                StatusCode::SERVICE_UNAVAILABLE => return Err(PeerFetchError::NotNow),
+                status => return Err(peer_failure(format!("status {status}"))),
             }
         }
-        Err(HandError::NotNow)
+        Err(PeerFetchError::NotNow)
     }
 
-    async fn ask_origin(
+    async fn fetch_from_origin(
         &self,
         key: &ItemKey,
-        list: Option<&ChunkList>,
+        chunk_list: Option<&ChunkList>,
         origin: &OriginProfile,
-    ) -> Result<Bytes, ItemMiss> {
+    ) -> Result<Bytes, ItemUnavailable> {
         let now = self.context.clock.now();
-        if !self.state.lock().expect("no holder panics").gate.allow_call(now) {
-            return Err(ItemMiss::NotNow);
+        if !self.state.lock().expect("no lock holder panics").origin_breaker.allow_call(now) {
+            return Err(ItemUnavailable::NotNow);
         }
-        let drawn = self.draw(key, origin).await;
+        let fetched = self.request_from_origin(key, origin).await;
         let now = self.context.clock.now();
-        let gate = &mut self.state.lock().expect("no holder panics").gate;
-        match &drawn {
-            Ok(_) => gate.record_response(),
-            Err(_) => gate.record_failure(now),
+        let origin_breaker = &mut self.state.lock().expect("no lock holder panics").origin_breaker;
+        match &fetched {
+            Ok(_) => origin_breaker.record_response(),
+            Err(_) => origin_breaker.record_failure(now),
         }
-        // What comes spoilt was sent by an origin that is there.
-        drawn.and_then(|bytes| self.verified(key.1, list, bytes)).map_err(|reason| {
+        // Verified after that: an origin that sends corrupt bytes is reachable.
+        fetched.and_then(|bytes| self.verify(key.1, chunk_list, bytes)).map_err(|reason| {
             info!(
                 "relay version={} item={:?} source=origin outcome=failed reason=\"{reason}\"",
                 key.0, key.1
             );
-            ItemMiss::NotNow
+            ItemUnavailable::NotNow
         })
     }
 
-    /// Draws an item from the origin.
-    async fn draw(
+    /// Requests an item from the origin; its bytes are not verified yet.
+    async fn request_from_origin(
         &self,
         (version, item): &ItemKey,
         origin: &OriginProfile,
     ) -> Result<Bytes, Box<str>> {
-        let source = &self.context.borders.origin;
+        let source = &self.context.adapters.origin;
         let VersionId { model, version } = version;
         let bytes = match item {
             RelayItem::List => source.list(origin.address, model, *version).await?.published,
             RelayItem::Chunk(index) => {
-                let _permit = self.origin_draws.acquire().await.map_err(|it| it.to_string())?;
+                let _permit = self.origin_permits.acquire().await.map_err(|it| it.to_string())?;
                 source.chunk(origin.address, model, *version, *index).await?
             }
         };
@@ -329,17 +341,17 @@
         Ok(bytes)
     }
 
-    /// Hands nothing on that is not what the origin published.
-    fn verified(
+    /// Returns the bytes if they are what the origin published: a chunk must match the chunk list.
+    fn verify(
         &self,
         item: RelayItem,
-        list: Option<&ChunkList>,
+        chunk_list: Option<&ChunkList>,
         bytes: Bytes,
     ) -> Result<Bytes, Box<str>> {
-        let origin = &self.context.borders.origin;
-        match (item, list) {
+        let origin = &self.context.adapters.origin;
+        match (item, chunk_list) {
             (RelayItem::Chunk(index), Some(list)) if !origin.verifies(list, index, &bytes) => {
-                Err("the chunk's digest differs".into())
+                Err("chunk digest does not match the chunk list".into())
             }
             _ => Ok(bytes),
         }
@@ -347,20 +359,21 @@
 }
 
 impl RelayState {
-    /// Lets go of what is older than the version before `version`, which some engines still load.
-    fn forget_before(&mut self, version: &VersionId) {
+    /// Evicts the versions older than the one before `version`, which some engines still load.
+    fn evict_before(&mut self, version: &VersionId) {
         let older = self.fetches.keys().map(|(other, _)| other);
         let older = older.filter(|it| it.model == version.model && it.version < version.version);
         let Some(before) = older.map(|it| it.version).max() else { return };
         let is_older = |other: &VersionId| other.model == version.model && other.version < before;
         self.fetches.retain(|(other, _), _| !is_older(other));
-        self.lists.retain(|other, _| !is_older(other));
-        self.whole.retain(|((other, _), _)| !is_older(other));
-        self.bytes = self.whole.iter().map(|(_, length)| length).sum();
+        self.chunk_lists.retain(|other, _| !is_older(other));
+        self.completed.retain(|((other, _), _)| !is_older(other));
+        self.cached_bytes = self.completed.iter().map(|(_, length)| length).sum();
     }
 
-    /// Keeps an item that came; one that did not is fetched anew by whoever asks next.
-    fn ended(&mut self, key: ItemKey, length: Option<usize>, limit: ByteSize) {
+    /// Caches an item that was fetched, evicting the oldest ones above `limit`. A failed fetch is
+    /// forgotten, so that the next call starts a new one.
+    fn record_end(&mut self, key: ItemKey, length: Option<usize>, limit: ByteSize) {
         let Some(length) = length else {
             self.fetches.remove(&key);
             return;
@@ -368,17 +381,17 @@
         if !self.fetches.contains_key(&key) {
             return;
         }
-        // Until the newer version's list can be had, its drawing can't begin, and the older one
-        // is still wanted.
+        // Until the chunk list of the newer version is available, its chunks can't be fetched, and
+        // the older version is still needed.
         if key.1 == RelayItem::List {
-            self.forget_before(&key.0);
+            self.evict_before(&key.0);
         }
-        self.whole.push_back((key, length));
-        self.bytes += length;
-        while self.bytes as u64 > limit.0 {
-            let Some((oldest, length)) = self.whole.pop_front() else { break };
+        self.completed.push_back((key, length));
+        self.cached_bytes += length;
+        while self.cached_bytes as u64 > limit.0 {
+            let Some((oldest, length)) = self.completed.pop_front() else { break };
             self.fetches.remove(&oldest);
-            self.bytes -= length;
+            self.cached_bytes -= length;
         }
     }
 }
--- a/mustardrill_entry/src/direct/watch.rs
+++ b/mustardrill_entry/src/direct/watch.rs
@@ -1,4 +1,5 @@
-//! Follows the store: configuration, upstreams, versions, and the entries' own registrations.
+//! Watches the store for changes of the configuration, upstreams, versions and entries, and keeps
+//! this entry registered in it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,53 +17,59 @@
 use crate::direct::actor::{DirectActor, DirectContext, Event};
 use crate::direct::config::DirectConfig;
 
-/// The longest pause after a first call that failed. Refused calls are billed like others.
-const FIRST_PAUSE: Millis = Millis(300);
+/// The longest backoff after the first failed call. Refused calls are billed like others.
+const FIRST_BACKOFF: Millis = Millis(300);
 
-/// The longest pause after any. An entry without a proof of its configuration serves nobody, so it
-/// is back within this of the store's return.
-const LONGEST_PAUSE: Millis = Millis(600);
+/// The longest backoff after any number of failed calls. An entry that can't confirm its
+/// configuration as current serves nobody, so it must recover within this time once the store is
+/// available again.
+const MAX_BACKOFF: Millis = Millis(600);
 
-/// The pause after an answer of another history than was read: two stores behind one address that
-/// answer in turn are not asked without an end.
-const VOID_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after an answer from another history of the store than the one read so far. Without it,
+/// two stores that answer in turn behind one address would be called in a tight loop.
+const STALE_HISTORY_PAUSE: Duration = Duration::from_millis(20);
 
-/// How long a registration outlives its entry.
-const LEASE_SPAN: Millis = Millis(10_000);
+/// Lease of the entry's registration: how long it stays listed after the entry has ended.
+const REGISTRATION_LEASE: Millis = Millis(10_000);
 
-/// How often it is renewed: a renewal may fail twice.
-const RENEW_EVERY: Millis = Millis(3_000);
+/// Interval between renewals of the lease: two in a row may fail.
+const RENEW_INTERVAL: Millis = Millis(3_000);
 
-/// Starts following the store, and registers the entry.
+/// Starts the tasks that watch the store and keep the entry registered.
 pub(crate) fn spawn(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
     let halt = context.halt.clone();
-    let regained = Arc::new(Notify::new());
-    let following = follow(actor, context.clone(), regained.clone());
+    let store_recovered = Arc::new(Notify::new());
+    let following = follow_store(actor, context.clone(), store_recovered.clone());
     tokio::spawn(halt.clone().run_until_cancelled_owned(following));
-    tokio::spawn(halt.run_until_cancelled_owned(register(context, regained)));
+    tokio::spawn(halt.run_until_cancelled_owned(keep_registered(context, store_recovered)));
 }
 
-async fn follow(actor: ActorRef<DirectActor>, context: Arc<DirectContext>, regained: Arc<Notify>) {
+async fn follow_store(
+    actor: ActorRef<DirectActor>,
+    context: Arc<DirectContext>,
+    store_recovered: Arc<Notify>,
+) {
     let mut reader = StoreReader::default();
-    let mut backoff = RetryBackoff::new(FIRST_PAUSE, LONGEST_PAUSE);
-    let mut gathering = ChangeCoalescer::default();
+    let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MAX_BACKOFF);
+    let mut coalescer = ChangeCoalescer::default();
     loop {
-        let sent = context.clock.now();
-        let span = reader.next_watch(sent, context.config.watch, context.config.direct.lapse_grace);
-        match read(&context, reader.revision(), span).await {
-            Ok(page) => {
+        let sent_at = context.clock.now();
+        let timing =
+            reader.next_watch(sent_at, context.config.watch, context.config.direct.lapse_grace);
+        match read_store(&context, reader.revision(), timing).await {
+            Ok(update) => {
                 backoff.answered();
                 let now = context.clock.now();
-                let Some(outcome) = reader.record_answer(now, sent, span, &page) else {
-                    info!("store outcome=void era={} at={}", page.era, page.revision);
-                    tokio::time::sleep(VOID_PAUSE).await;
+                let Some(outcome) = reader.record_answer(now, sent_at, timing, &update) else {
+                    info!("store outcome=void era={} at={}", update.era, update.revision);
+                    tokio::time::sleep(STALE_HISTORY_PAUSE).await;
                     continue;
                 };
                 if outcome.is_recovered {
-                    regained.notify_one();
+                    store_recovered.notify_one();
                 }
-                let next = gathering.next_read(now, &page);
-                let _ = actor.tell(Event(DirectEvent::Fleet(page, outcome.confirmed_at))).await;
+                let next = coalescer.next_read(now, &update);
+                let _ = actor.tell(Event(DirectEvent::Fleet(update, outcome.confirmed_at))).await;
                 tokio::time::sleep(next.pause.to_std()).await;
                 if next.is_snapshot {
                     reader.reset();
@@ -74,34 +81,34 @@
                     reader.revision().unwrap_or_default()
                 );
                 reader.reset();
-                tokio::time::sleep(VOID_PAUSE).await;
+                tokio::time::sleep(STALE_HISTORY_PAUSE).await;
             }
             Err(error) => {
                 warn!("store outcome=failed reason=\"{error}\"");
                 let _ = actor.tell(Event(DirectEvent::StoreFailed)).await;
                 reader.record_failure();
-                // A call that hung has paused enough.
-                let spent = context.clock.now().since(sent);
+                // The time that a hanging call took counts towards the pause.
+                let elapsed = context.clock.now().since(sent_at);
                 let pause = backoff.failed(&mut rand::rng());
-                tokio::time::sleep(Millis(pause.0.saturating_sub(spent.0)).to_std()).await;
+                tokio::time::sleep(Millis(pause.0.saturating_sub(elapsed.0)).to_std()).await;
             }
         }
     }
 }
 
-async fn read(
+async fn read_store(
     context: &DirectContext,
     revision: Option<StoreRevision>,
-    span: WatchTiming,
+    timing: WatchTiming,
 ) -> Result<FleetUpdate, StoreError> {
-    let source = &context.borders.source;
+    let source = &context.adapters.source;
     match revision {
-        Some(revision) => source.read_changes(FleetScope::Whole, revision, span).await,
+        Some(revision) => source.read_changes(FleetScope::Whole, revision, timing).await,
         None => source.read_all().await,
     }
 }
 
-/// The entry as the others and the agents know it.
+/// The record under which peers and agents know this entry.
 pub(crate) fn own_record(config: &DirectConfig) -> PeerRecord {
     PeerRecord {
         id: config.direct.own.clone(),
@@ -111,25 +118,26 @@
     }
 }
 
-/// Keeps the entry registered. The registration may have run out while the store was away, and who
-/// is not registered is told nothing by the others, so it is renewed as soon as the store is back.
-async fn register(context: Arc<DirectContext>, regained: Arc<Notify>) {
+/// Keeps the entry registered. Peers send nothing to an entry that is not registered, and its lease
+/// may have expired while the store was unavailable, so it is renewed as soon as the store is
+/// available again.
+async fn keep_registered(context: Arc<DirectContext>, store_recovered: Arc<Notify>) {
     let peer = own_record(&context.config);
-    let source = &context.borders.source;
-    let mut backoff = RetryBackoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let source = &context.adapters.source;
+    let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MAX_BACKOFF);
     loop {
-        let lease = match source.announce(&peer, LEASE_SPAN).await {
+        let lease = match source.announce(&peer, REGISTRATION_LEASE).await {
             Ok(lease) => lease,
             Err(error) => {
                 warn!("registration outcome=failed reason=\"{error}\"");
-                pause(&mut backoff).await;
+                wait_backoff(&mut backoff).await;
                 continue;
             }
         };
         backoff.answered();
         info!("registration lease={lease} outcome=made");
         loop {
-            let _ = tokio::time::timeout(RENEW_EVERY.to_std(), regained.notified()).await;
+            let _ = tokio::time::timeout(RENEW_INTERVAL.to_std(), store_recovered.notified()).await;
             match source.renew(lease).await {
                 Ok(()) => {}
                 Err(StoreError::LeaseGone) => break,
@@ -139,7 +147,7 @@
     }
 }
 
-async fn pause(backoff: &mut RetryBackoff) {
+async fn wait_backoff(backoff: &mut RetryBackoff) {
     let pause = backoff.failed(&mut rand::rng());
     tokio::time::sleep(pause.to_std()).await;
 }
--- a/mustardrill_entry/src/main.rs
+++ b/mustardrill_entry/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use mustardrill_entry::cli::{self, EntryCommand};
-use mustardrill_entry::direct::{self, DirectBorders, DirectConfig};
+use mustardrill_entry::direct::{self, DirectConfig, PlatformAdapters};
 use mustardrill_entry::{EntryConfig, config, explain, operator_client};
 use mustardrill_platform::{PlatformDialect, PlatformOrigin, PlatformStore};
 use mustardrill_runtime::http::HttpClient;
@@ -131,13 +131,13 @@
     let (stop, halt) = (CancellationToken::new(), CancellationToken::new());
     signal::spawn(stop.clone(), halt.clone()).expect("signals can be watched");
     let client = HttpClient::open(STORE_CONNECT);
-    let borders = DirectBorders {
+    let adapters = PlatformAdapters {
         source: Box::new(PlatformStore::open(client, config.store)),
         dialect: Box::new(PlatformDialect),
         origin: Box::new(PlatformOrigin::open(STORE_CONNECT)),
     };
     let listen = config.listen;
-    let handle = match direct::spawn(config, borders).await {
+    let handle = match direct::spawn(config, adapters).await {
         Ok(handle) => handle,
         Err(error) => {
             eprintln!(
