--- a/mustardrill_entry/src/actor.rs
+++ b/mustardrill_entry/src/actor.rs
@@ -1,4 +1,5 @@
-//! The actor that owns the entry's reducer: events come in, effects go out.
+//! The actor that owns the entry's reducer: it feeds events to the reducer and executes the
+//! effects.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 use mustardrill_types::{AttemptId, FastMap};
 use tokio_util::sync::CancellationToken;
 
-use crate::agent_clocks::ClockTable;
+use crate::agent_clocks::AgentClocks;
 use crate::attempt::RequestIo;
 use crate::callers::CallerHandler;
 use crate::config::EntryConfig;
@@ -31,17 +32,17 @@
 /// A running entry.
 #[derive(Debug)]
 pub struct EntryHandle {
-    /// Where callers reach it.
+    /// Address at which callers are served, with the port that was bound.
     pub address: SocketAddr,
-    /// Where operators reach it.
+    /// Address at which operators are served, with the port that was bound.
     pub operator_address: SocketAddr,
     actor: ActorRef<EntryActor>,
-    callers: HttpServer,
+    caller_server: HttpServer,
     stop_callers: CancellationToken,
     halt: CancellationToken,
 }
 
-/// Owns the reducer; all of an entry's decisions are made here, one after the other.
+/// Owns the reducer, which makes all decisions of the entry one after the other.
 #[derive(Actor)]
 pub(crate) struct EntryActor {
     pub(crate) reducer: EntryReducer,
@@ -53,27 +54,27 @@
 /// An event for the reducer.
 pub(crate) struct Event(pub(crate) EntryEvent);
 
-/// A request with the way back to its caller.
-pub(crate) struct Begin(pub(crate) IncomingRequest, pub(crate) Arc<RequestIo>);
+/// A new request, with its content and the channel to its caller.
+pub(crate) struct StartRequest(pub(crate) IncomingRequest, pub(crate) Arc<RequestIo>);
 
 /// Asks for the catalogue in force.
 pub(crate) struct DocumentQuery;
 
-/// Asks for what an edit is checked against.
+/// Asks for the state of the fleet against which an edit is checked.
 pub(crate) struct FactsQuery;
 
-/// Asks who has which generation, and how far weights are.
+/// Asks for each agent's generation and progress with weights.
 pub(crate) struct StatusQuery;
 
-/// Asks whether nothing is in progress.
+/// Asks whether no request is in progress any more.
 pub(crate) struct DrainedQuery;
 
-/// What ends an attempt early.
+/// Tokens that end an attempt early.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct AttemptTokens {
-    /// Nobody awaits it any more.
+    /// The answer is no longer needed.
     pub(crate) cancel: CancellationToken,
-    /// Its agent is silent: it counts as lost.
+    /// Its agent no longer responds, so the attempt counts as lost.
     pub(crate) abandon: CancellationToken,
 }
 
@@ -82,32 +83,32 @@
         if let EntryEvent::AttemptEnded(attempt, ..) = &event {
             self.attempts.remove(attempt);
         }
-        let finished = match &event {
+        let gone_request = match &event {
             EntryEvent::CallerGone(id) => Some(*id),
             _ => None,
         };
         let now = self.context.clock.now();
-        let before = self.reducer.document().generation;
+        let previous_generation = self.reducer.document().generation;
         let effects = self.reducer.reduce(now, event);
         let generation = self.reducer.document().generation;
-        if generation != before {
+        if generation != previous_generation {
             let _ = self.context.metrics.gauge("generation", generation.0);
         }
         for effect in effects {
-            self.carry_out(effect, actor);
+            self.execute(effect, actor);
         }
-        if let Some(id) = finished {
+        if let Some(id) = gone_request {
             self.requests.remove(&id);
         }
     }
 
-    fn carry_out(&mut self, effect: EntryEffect, actor: &ActorRef<Self>) {
+    fn execute(&mut self, effect: EntryEffect, actor: &ActorRef<Self>) {
         match effect {
             EntryEffect::Send(order) => {
                 let Some(io) = self.requests.get(&order.id).cloned() else { return };
                 let tokens = AttemptTokens::default();
                 self.attempts.insert(order.attempt, tokens.clone());
-                effects::send(self.context.clone(), actor.clone(), io, order, tokens);
+                effects::send_attempt(self.context.clone(), actor.clone(), io, order, tokens);
             }
             EntryEffect::Cancel(attempt) => {
                 if let Some(tokens) = self.attempts.remove(&attempt) {
@@ -125,13 +126,13 @@
                 }
             }
             EntryEffect::AskClaim(order) => {
-                effects::ask_claim(self.context.clone(), actor.clone(), order);
+                effects::request_claim(self.context.clone(), actor.clone(), order);
             }
             EntryEffect::ReleaseClaim(order) => {
                 effects::release_claim(self.context.clone(), order);
             }
             EntryEffect::Sync { id, address, with_catalogue, with_demand, crashes } => {
-                let call = effects::SyncCall {
+                let heartbeat = effects::Heartbeat {
                     id,
                     address,
                     document: self.reducer.document().clone(),
@@ -139,7 +140,7 @@
                     demand: with_demand.then(|| self.reducer.demand().to_vec()),
                     crashes,
                 };
-                effects::sync(self.context.clone(), actor.clone(), call);
+                effects::send_heartbeat(self.context.clone(), actor.clone(), heartbeat);
             }
         }
     }
@@ -154,10 +155,14 @@
     }
 }
 
-impl Message<Begin> for EntryActor {
+impl Message<StartRequest> for EntryActor {
     type Reply = ();
 
-    async fn handle(&mut self, Begin(incoming, io): Begin, context: &mut Context<Self, ()>) {
+    async fn handle(
+        &mut self,
+        StartRequest(incoming, io): StartRequest,
+        context: &mut Context<Self, ()>,
+    ) {
         let actor = context.actor_ref().clone();
         self.requests.insert(incoming.id, io);
         self.reduce(EntryEvent::RequestArrived(incoming), &actor);
@@ -214,7 +219,8 @@
     }
 }
 
-/// Starts an entry and returns its handle once it listens.
+/// Starts an entry and returns its handle once it listens. Fails if one of its addresses can't be
+/// bound.
 pub async fn spawn(config: EntryConfig) -> std::io::Result<EntryHandle> {
     let halt = CancellationToken::new();
     let stop_callers = halt.child_token();
@@ -225,52 +231,52 @@
     let actor = EntryActor::spawn_with_mailbox(state, mailbox::unbounded());
 
     let handler = Box::new(CallerHandler::new(actor.clone(), context.clone()));
-    let callers = HttpServer::bind(config.listen, handler, stop_callers.clone()).await?;
+    let caller_server = HttpServer::bind(config.listen, handler, stop_callers.clone()).await?;
     let handler = Box::new(OperatorHandler::new(actor.clone(), context.clone()));
-    let operators = HttpServer::bind(config.operator_listen, handler, halt.clone()).await?;
-    let ticked = actor.clone();
+    let operator_server = HttpServer::bind(config.operator_listen, handler, halt.clone()).await?;
+    let tick_actor = actor.clone();
     spawn_ticks(config.tick, halt.clone(), move || {
-        let actor = ticked.clone();
+        let actor = tick_actor.clone();
         async move {
             let _ = actor.tell(Event(EntryEvent::Tick)).await;
         }
     });
     watch::spawn_catalogue(actor.clone(), context.clone());
     watch::spawn_instances(actor.clone(), context, config.platform.list_every);
-    let (address, operator_address) = (callers.address, operators.address);
+    let (address, operator_address) = (caller_server.address, operator_server.address);
     log::info!(
         "start instance={} address={address} operators={operator_address}",
         config.entry.own
     );
-    Ok(EntryHandle { address, operator_address, actor, callers, stop_callers, halt })
+    Ok(EntryHandle { address, operator_address, actor, caller_server, stop_callers, halt })
 }
 
 impl EntryHandle {
-    /// Takes no new work, finishes what is in progress within `patience` and ends.
-    pub async fn stop(&self, patience: Duration) {
-        const LOOK_EVERY: Duration = Duration::from_millis(20);
+    /// Refuses new requests, waits up to `timeout` for those in progress and ends.
+    pub async fn stop(&self, timeout: Duration) {
+        const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
         let _ = self.actor.tell(Event(EntryEvent::Stop)).await;
         let drained = async {
             while !self.actor.ask(DrainedQuery).await.unwrap_or(true) {
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
             }
-            // The last bytes are still on their way to the callers.
+            // The last bytes may still be on their way to the callers.
             self.stop_callers.cancel();
-            self.callers.drained().await;
+            self.caller_server.drained().await;
         };
-        let _ = tokio::time::timeout(patience, drained).await;
+        let _ = tokio::time::timeout(timeout, drained).await;
         self.halt();
     }
 
-    /// Ends at once.
+    /// Ends at once, cutting requests in progress.
     pub fn halt(&self) {
         self.halt.cancel();
     }
 }
 
 fn open_context(config: &EntryConfig, halt: CancellationToken) -> std::io::Result<EntryContext> {
-    const CONNECT: Duration = Duration::from_secs(1);
-    let client = HttpClient::open(CONNECT);
+    const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+    let client = HttpClient::open(CONNECT_TIMEOUT);
     let (platform, timeout) = (&config.platform, config.platform.timeout);
     Ok(EntryContext {
         own: config.entry.own.clone(),
@@ -279,7 +285,7 @@
         instances: Box::new(HttpInstanceList::open(client.clone(), &platform.instances, timeout)),
         origin: Box::new(HttpOrigin::open(client, &platform.origins)),
         agents: AgentPool::default(),
-        clocks: ClockTable::default(),
+        agent_clocks: AgentClocks::default(),
         access: config.access.clone(),
         callers: config.callers.clone(),
         edits: config.edits.clone(),
--- a/mustardrill_entry/src/attempt.rs
+++ b/mustardrill_entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: sends a request to an agent and passes the answer on to the caller.
+//! Runs one attempt: sends a request to an agent and forwards the answer to the caller.
 
 use std::error::Error;
 use std::sync::Arc;
@@ -18,23 +18,23 @@
 
 use crate::context::EntryContext;
 
-/// How many parts of an answer may wait for a slow caller.
+/// Parts of an answer that are buffered for a slow caller.
 pub(crate) const PART_BUFFER: usize = 16;
 
-/// One part of what a caller gets.
+/// One part of the answer to a caller.
 #[derive(Debug)]
 pub(crate) enum CallerPart {
     /// Status and headers, followed by the first bytes.
     Head(proto::ExecuteHead),
     /// Bytes of the answer.
     Data(Bytes),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
-    /// There is no answer; after a head the answer is cut.
+    /// There is no answer; if the head was sent already, the answer is cut.
     Reject(ResultCode, Millis),
 }
 
-/// A request's content and the way back to its caller.
+/// A request's content, with the channel to its caller.
 #[derive(Debug)]
 pub(crate) struct RequestIo {
     pub(crate) model: Box<str>,
@@ -45,28 +45,29 @@
     pub(crate) is_idempotent: bool,
     pub(crate) deadline: Moment,
     pub(crate) parts: mpsc::Sender<CallerPart>,
+    /// Bytes of the answer's body sent to the caller.
     pub(crate) delivered: AtomicU64,
 }
 
-/// Why an attempt ended without a whole answer.
-struct Broken(AttemptEnd);
+/// How an attempt ended that has no complete answer.
+struct AttemptFailure(AttemptEnd);
 
 impl RequestIo {
-    /// Tells the caller that there is no answer.
+    /// Answers the caller that there is no answer, in a task of its own.
     pub(crate) fn reject(self: Arc<Self>, code: ResultCode, retry_after: Millis) {
-        // A full buffer belongs to a slow caller: the task waits for it, the actor does not.
+        // The buffer of a slow caller may be full: this task waits for it, so that the actor does
+        // not.
         tokio::spawn(async move {
             let _ = self.parts.send(CallerPart::Reject(code, retry_after)).await;
         });
     }
 
-    /// How many bytes of the answer went to the caller.
     pub(crate) fn delivered(&self) -> u64 {
         self.delivered.load(Ordering::Acquire)
     }
 }
 
-/// Runs one attempt to its end; returns how it ended and how many bytes the caller has.
+/// Runs one attempt to its end; returns how it ended and the bytes delivered to the caller.
 pub(crate) async fn run(
     context: &EntryContext,
     io: &RequestIo,
@@ -75,24 +76,30 @@
     let _ = context.metrics.count("attempts", 1);
     let end = match stream(context, io, order).await {
         Ok(()) => AttemptEnd::Whole,
-        Err(Broken(end)) => end,
+        Err(AttemptFailure(end)) => end,
     };
     (end, io.delivered())
 }
 
-async fn stream(context: &EntryContext, io: &RequestIo, order: &SendOrder) -> Result<(), Broken> {
+async fn stream(
+    context: &EntryContext,
+    io: &RequestIo,
+    order: &SendOrder,
+) -> Result<(), AttemptFailure> {
     let Some(mut client) = context.agents.client(&order.address) else {
-        return Err(Broken(AttemptEnd::NotSent));
+        return Err(AttemptFailure(AttemptEnd::NotSent));
     };
-    let request = message(context, io, order);
-    let answer = client.execute(request).await.map_err(|status| Broken(end_of(&status)))?;
+    let request = execute_request(context, io, order);
+    let answer =
+        client.execute(request).await.map_err(|status| AttemptFailure(end_of_status(&status)))?;
     let mut frames = answer.into_inner();
     let mut head = None;
     let mut hasher = blake3::Hasher::new();
     loop {
-        let frame = frames.message().await.map_err(|status| Broken(end_of(&status)))?;
-        // A stream that ends without an end frame was cut.
-        let Some(frame) = frame else { return Err(Broken(AttemptEnd::Lost)) };
+        let frame =
+            frames.message().await.map_err(|status| AttemptFailure(end_of_status(&status)))?;
+        // A stream that ends without an end frame was cut off.
+        let Some(frame) = frame else { return Err(AttemptFailure(AttemptEnd::Lost)) };
         if frame.attempt != attempt_bytes(order.attempt) {
             let _ = context.metrics.count("late_frames", 1);
             continue;
@@ -110,52 +117,59 @@
                 let is_whole =
                     end.length == io.delivered() && end.digest == hasher.finalize().as_bytes()[..];
                 if !is_whole {
-                    return Err(Broken(AttemptEnd::Lost));
+                    return Err(AttemptFailure(AttemptEnd::Lost));
                 }
                 deliver_head(io, head.take()).await?;
                 deliver(io, CallerPart::End).await?;
-                finish(&mut frames).await;
+                read_stream_end(&mut frames).await;
                 return Ok(());
             }
             Some(Part::Refusal(refusal)) => {
-                finish(&mut frames).await;
-                return Err(Broken(refused(&refusal)));
+                read_stream_end(&mut frames).await;
+                return Err(AttemptFailure(end_of_refusal(&refusal)));
             }
             Some(Part::Ended(end)) => {
-                finish(&mut frames).await;
-                return Err(Broken(AttemptEnd::UpstreamEnded(StartStamp(end.start))));
+                read_stream_end(&mut frames).await;
+                return Err(AttemptFailure(AttemptEnd::UpstreamEnded(StartStamp(end.start))));
             }
             None => {}
         }
     }
 }
 
-/// Reads the stream's end, which follows the last frame.
+/// Reads the end of the stream, which follows the last frame.
 ///
-/// A stream that is dropped before is reset, and HTTP/2 servers take many resets for an attack:
+/// Dropping the stream before its end resets it, and HTTP/2 servers treat many resets as an attack:
 /// they close the connection, and with it all other attempts on it.
-async fn finish(frames: &mut tonic::Streaming<proto::ExecuteFrame>) {
+async fn read_stream_end(frames: &mut tonic::Streaming<proto::ExecuteFrame>) {
     const END_TIMEOUT: Duration = Duration::from_secs(1);
     let _ = tokio::time::timeout(END_TIMEOUT, frames.message()).await;
 }
 
-/// The head goes to the caller with the first bytes, so that until then another upstream may
-/// answer. A resumed answer's head went out with the first attempt.
-async fn deliver_head(io: &RequestIo, head: Option<proto::ExecuteHead>) -> Result<(), Broken> {
+/// Sends the head of an answer. It goes out only with the first bytes, so that another upstream may
+/// answer until then. The head of a resumed answer was sent by the first attempt.
+async fn deliver_head(
+    io: &RequestIo,
+    head: Option<proto::ExecuteHead>,
+) -> Result<(), AttemptFailure> {
     match head {
         Some(head) if io.delivered() == 0 => deliver(io, CallerPart::Head(head)).await,
         _ => Ok(()),
     }
 }
 
-async fn deliver(io: &RequestIo, part: CallerPart) -> Result<(), Broken> {
-    // The caller is gone; its own task tells the reducer so.
-    io.parts.send(part).await.map_err(|_| Broken(AttemptEnd::Lost))
+async fn deliver(io: &RequestIo, part: CallerPart) -> Result<(), AttemptFailure> {
+    // A send fails if the caller is gone, which `CallerGuard` reports to the reducer.
+    io.parts.send(part).await.map_err(|_| AttemptFailure(AttemptEnd::Lost))
 }
 
-fn message(context: &EntryContext, io: &RequestIo, order: &SendOrder) -> proto::ExecuteRequest {
+fn execute_request(
+    context: &EntryContext,
+    io: &RequestIo,
+    order: &SendOrder,
+) -> proto::ExecuteRequest {
     let now = context.clock.now();
-    let agent_now = context.clocks.agent_ms_at(now, &order.instance);
+    let agent_now = context.agent_clocks.agent_ms_at(now, &order.instance);
     let remaining = io.deadline.since(now);
     let agent_deadline = if agent_now == 0 { 0 } else { agent_now + remaining.0 };
     proto::ExecuteRequest {
@@ -174,11 +188,11 @@
     }
 }
 
-fn refused(refusal: &proto::Refusal) -> AttemptEnd {
+fn end_of_refusal(refusal: &proto::Refusal) -> AttemptEnd {
     let code = u16::try_from(refusal.code).ok().and_then(ResultCode::from_number);
     match code {
         Some(ResultCode::WrongWeights) => AttemptEnd::WrongWeights,
-        // The agent had this very attempt before, and may have run it.
+        // The agent received this very attempt before, and may have run it.
         Some(ResultCode::AlreadyClaimed) => AttemptEnd::Lost,
         Some(code) if code.is_not_run() => {
             let serving = refusal.serving.iter().filter_map(|bytes| digest_of(bytes)).collect();
@@ -189,8 +203,8 @@
     }
 }
 
-/// Only an error of making the connection proves that nothing was sent.
-fn end_of(status: &Status) -> AttemptEnd {
+/// Classifies a failed call. Only a connect error proves that nothing was sent.
+fn end_of_status(status: &Status) -> AttemptEnd {
     let mut source = status.source();
     while let Some(error) = source {
         if error.is::<tonic::ConnectError>() {
--- a/mustardrill_entry/src/callers.rs
+++ b/mustardrill_entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' side: HTTP in, a checked request to the reducer, the answer back.
+//! Serves callers over HTTP: checks a request, passes it to the reducer and returns the answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,31 +24,32 @@
 };
 use tokio::sync::mpsc;
 
-use crate::actor::{Begin, EntryActor, Event};
+use crate::actor::{EntryActor, Event, StartRequest};
 use crate::attempt::{CallerPart, PART_BUFFER, RequestIo};
 use crate::context::EntryContext;
 
-/// The header that names the result code of every answer.
+/// Response header with the result code of every answer.
 const CODE_HEADER: &str = "mustardrill-code";
 
-/// The header in which a caller names its time limit in milliseconds.
+/// Request header with the caller's time limit in milliseconds.
 const TIMEOUT_HEADER: &str = "mustardrill-timeout-ms";
 
-/// The header that marks a request to be run at most once, with the caller's key for it.
-const KEY_HEADER: &str = "idempotency-key";
+/// Request header for a request that must run at most once, with the key that the caller chose for
+/// it.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// The header that names what requests with a common prefix share.
+/// Request header with a name that requests with a common prefix share; it is their affinity key.
 const PREFIX_HEADER: &str = "mustardrill-prefix";
 
-/// The milliseconds after which a caller may come back, finer than `Retry-After`.
-const RETRY_HEADER: &str = "mustardrill-retry-after-ms";
+/// Response header with the time after which to retry in milliseconds, finer than `Retry-After`.
+const RETRY_AFTER_MS_HEADER: &str = "mustardrill-retry-after-ms";
 
-/// Answers callers.
+/// Answers callers' requests and health checks.
 pub(crate) struct CallerHandler {
-    inner: Arc<CallerSide>,
+    service: Arc<CallerService>,
 }
 
-struct CallerSide {
+struct CallerService {
     actor: ActorRef<EntryActor>,
     context: Arc<EntryContext>,
     next_id: AtomicU64,
@@ -60,8 +61,8 @@
     message: Box<str>,
 }
 
-/// What a request asks for, read from its head.
-struct Call {
+/// The parameters of a request, read from its head.
+struct CallHead {
     customer: CustomerName,
     target: ModelName,
     is_model: bool,
@@ -70,7 +71,8 @@
     deadline: Moment,
 }
 
-/// Tells the reducer when a caller goes away before its answer ended.
+/// Reports the end of a request when it is dropped: with the answer's end, or before it if the
+/// caller disconnects.
 struct CallerGuard {
     actor: ActorRef<EntryActor>,
     context: Arc<EntryContext>,
@@ -81,36 +83,36 @@
 
 impl CallerHandler {
     pub(crate) fn new(actor: ActorRef<EntryActor>, context: Arc<EntryContext>) -> Self {
-        Self { inner: Arc::new(CallerSide { actor, context, next_id: AtomicU64::new(1) }) }
+        Self { service: Arc::new(CallerService { actor, context, next_id: AtomicU64::new(1) }) }
     }
 }
 
 impl HttpHandler for CallerHandler {
     fn handle(&self, request: Request<Incoming>, _: SocketAddr) -> BoxFuture<'static, AnyResponse> {
-        let side = self.inner.clone();
+        let service = self.service.clone();
         Box::pin(async move {
             if request.uri().path() == "/health" {
                 return text_response(StatusCode::OK, "ready\n");
             }
-            match side.answer(request).await {
+            match service.answer(request).await {
                 Ok(response) => response,
                 Err(refusal) => {
-                    let _ = side.context.metrics.count("requests", 1);
-                    rejection(refusal.code, &refusal.message, Millis(0))
+                    let _ = service.context.metrics.count("requests", 1);
+                    rejection_response(refusal.code, &refusal.message, Millis(0))
                 }
             }
         })
     }
 }
 
-impl CallerSide {
+impl CallerService {
     async fn answer(&self, request: Request<Incoming>) -> Result<AnyResponse, Refusal> {
         let arrived = self.context.clock.now();
         let (head, body) = request.into_parts();
         let call = self.read_call(arrived, &head.uri, &head.headers)?;
         let limit = self.context.callers.body_limit.0 as usize;
         let body = Limited::new(body, limit).collect().await.map_err(|_| {
-            refuse(ResultCode::BadRequest, format!("the body was cut or is above {limit} bytes"))
+            refusal(ResultCode::BadRequest, format!("the body was cut or is above {limit} bytes"))
         })?;
         let body = body.to_bytes();
         let affinity = self.affinity(&call, &head.headers, &body);
@@ -126,7 +128,7 @@
             model: if call.is_model { call.target.as_str().into() } else { "".into() },
             method: head.method.as_str().into(),
             path: call.path,
-            headers: passed_on(&head.headers),
+            headers: forwarded_headers(&head.headers),
             body,
             is_idempotent: call.key.is_none(),
             deadline: call.deadline,
@@ -145,7 +147,7 @@
         };
         let (actor, context) = (self.actor.clone(), self.context.clone());
         let guard = CallerGuard { actor, context, id, arrived, code: None };
-        let _ = self.actor.tell(Begin(incoming, Arc::new(io))).await;
+        let _ = self.actor.tell(StartRequest(incoming, Arc::new(io))).await;
         Ok(respond(parts, guard).await)
     }
 
@@ -154,45 +156,46 @@
         arrived: Moment,
         uri: &hyper::Uri,
         headers: &HeaderMap,
-    ) -> Result<Call, Refusal> {
+    ) -> Result<CallHead, Refusal> {
         let customer = self.customer(headers)?;
-        let (is_model, target, path) = target(uri)?;
-        let key = match text(headers, KEY_HEADER) {
+        let (is_model, target, path) = parse_target(uri)?;
+        let key = match header_text(headers, IDEMPOTENCY_KEY_HEADER) {
             Some("") => {
-                let message =
-                    format!("{KEY_HEADER} is empty; send a key of your own for each request");
-                return Err(refuse(ResultCode::BadRequest, message));
+                let message = format!(
+                    "{IDEMPOTENCY_KEY_HEADER} is empty; send a key of your own for each request"
+                );
+                return Err(refusal(ResultCode::BadRequest, message));
             }
             Some(key) => Some(RequestKey::of(&customer, key)),
             None => None,
         };
         let timeout = self.timeout(headers)?;
         let deadline = arrived + timeout;
-        Ok(Call { customer, target, is_model, path, key, deadline })
+        Ok(CallHead { customer, target, is_model, path, key, deadline })
     }
 
     fn customer(&self, headers: &HeaderMap) -> Result<CustomerName, Refusal> {
         let token = bearer(headers);
         let customer = token.and_then(|token| self.context.access.customer(token));
         let message = "send authorization: Bearer TOKEN with your customer's token";
-        customer.cloned().ok_or(refuse(ResultCode::UnknownCustomer, message))
+        customer.cloned().ok_or(refusal(ResultCode::UnknownCustomer, message))
     }
 
     fn timeout(&self, headers: &HeaderMap) -> Result<Millis, Refusal> {
         let config = &self.context.callers;
-        let Some(named) = text(headers, TIMEOUT_HEADER) else { return Ok(config.timeout) };
+        let Some(named) = header_text(headers, TIMEOUT_HEADER) else { return Ok(config.timeout) };
         let longest = config.longest_timeout.0;
         let parsed = named.parse().ok().filter(|named| (1..=longest).contains(named));
         let message = format!("{TIMEOUT_HEADER}: {named}: write 1 to {longest}");
-        parsed.map(Millis).ok_or(refuse(ResultCode::BadRequest, message))
+        parsed.map(Millis).ok_or(refusal(ResultCode::BadRequest, message))
     }
 
-    fn affinity(&self, call: &Call, headers: &HeaderMap, body: &Bytes) -> Option<Box<str>> {
-        if let Some(named) = text(headers, PREFIX_HEADER) {
+    fn affinity(&self, call: &CallHead, headers: &HeaderMap, body: &Bytes) -> Option<Box<str>> {
+        if let Some(named) = header_text(headers, PREFIX_HEADER) {
             return Some(named.into());
         }
         let prefix = self.context.callers.prefix.0 as usize;
-        // A shorter body has no prefix that is worth keeping together.
+        // A shorter body has no prefix for which using the same upstream is worth it.
         let is_long = call.is_model && prefix > 0 && body.len() >= prefix;
         is_long.then(|| blake3::hash(&body[..prefix]).to_hex().as_str().into())
     }
@@ -206,11 +209,11 @@
 async fn respond(mut parts: mpsc::Receiver<CallerPart>, mut guard: CallerGuard) -> AnyResponse {
     match parts.recv().await {
         Some(CallerPart::Head(head)) => {
-            let mut response = Response::new(body_of(parts, guard));
+            let mut response = Response::new(streamed_body(parts, guard));
             let status = u16::try_from(head.status).unwrap_or(502);
             *response.status_mut() =
                 StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-            for header in head.headers.iter().filter(|header| is_passed_on(&header.name)) {
+            for header in head.headers.iter().filter(|header| is_forwarded(&header.name)) {
                 let name = hyper::header::HeaderName::try_from(header.name.as_str());
                 let value = HeaderValue::from_str(&header.value);
                 if let (Ok(name), Ok(value)) = (name, value) {
@@ -223,17 +226,18 @@
         }
         Some(CallerPart::Reject(code, retry_after)) => {
             guard.code = Some(code);
-            rejection(code, "", retry_after)
+            rejection_response(code, "", retry_after)
         }
         _ => {
             guard.code = Some(ResultCode::Unknown);
-            rejection(ResultCode::Unknown, "the entry is ending", Millis(0))
+            rejection_response(ResultCode::Unknown, "the entry is ending", Millis(0))
         }
     }
 }
 
-/// The answer as it comes; a cut is an error that the caller's HTTP library sees.
-fn body_of(parts: mpsc::Receiver<CallerPart>, guard: CallerGuard) -> AnyBody {
+/// Streams the answer as it arrives. An answer that is cut ends with an error, which the caller's
+/// HTTP library reports.
+fn streamed_body(parts: mpsc::Receiver<CallerPart>, guard: CallerGuard) -> AnyBody {
     let frames = stream::unfold(Some((parts, guard)), |state| async move {
         let (mut parts, mut guard) = state?;
         match parts.recv().await {
@@ -257,7 +261,7 @@
         let took = self.context.clock.now().since(self.arrived).0;
         let _ = self.context.metrics.count(&format!("requests.{code}"), 1);
         let _ = self.context.metrics.time("request_ms", took);
-        // Told for ended requests too: the actor then lets go of what it keeps for the caller.
+        // Sent for completed requests too: the actor then drops its state of the request.
         let (actor, id) = (self.actor.clone(), self.id);
         tokio::spawn(async move {
             let _ = actor.tell(Event(EntryEvent::CallerGone(id))).await;
@@ -265,8 +269,8 @@
     }
 }
 
-/// An answer that says what became of the request, and when it is worth coming back.
-fn rejection(code: ResultCode, message: &str, retry_after: Millis) -> AnyResponse {
+/// Builds the answer of a rejected request: its code, whether it ran, and when to retry.
+fn rejection_response(code: ResultCode, message: &str, retry_after: Millis) -> AnyResponse {
     let body = serde_json::json!({
         "code": code.number(),
         "name": format!("{code:?}"),
@@ -280,15 +284,16 @@
     headers.insert(CODE_HEADER, HeaderValue::from(code.number()));
     if retry_after.0 > 0 {
         headers.insert(RETRY_AFTER, HeaderValue::from(retry_after.0.div_ceil(1_000)));
-        headers.insert(RETRY_HEADER, HeaderValue::from(retry_after.0));
+        headers.insert(RETRY_AFTER_MS_HEADER, HeaderValue::from(retry_after.0));
     }
     response
 }
 
-/// Splits `/v1/models/NAME/PATH` or `/v1/services/NAME/PATH`.
-fn target(uri: &hyper::Uri) -> Result<(bool, ModelName, Box<str>), Refusal> {
+/// Splits `/v1/models/NAME/PATH` or `/v1/services/NAME/PATH` into whether it is a model, the name
+/// and the path with its query.
+fn parse_target(uri: &hyper::Uri) -> Result<(bool, ModelName, Box<str>), Refusal> {
     let message = "call /v1/models/NAME/PATH or /v1/services/NAME/PATH";
-    let unknown = || refuse(ResultCode::BadRequest, message);
+    let unknown = || refusal(ResultCode::BadRequest, message);
     let rest = uri.path().strip_prefix("/v1/").ok_or_else(unknown)?;
     let (kind, rest) = rest.split_once('/').ok_or_else(unknown)?;
     let is_model = match kind {
@@ -299,16 +304,16 @@
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let name = name.parse().map_err(|error| {
         let error: mustardrill_types::id::ParseIdError = error;
-        refuse(ResultCode::BadRequest, error.to_string())
+        refusal(ResultCode::BadRequest, error.to_string())
     })?;
     let query = uri.query().map_or(String::new(), |query| format!("?{query}"));
     Ok((is_model, name, format!("/{path}{query}").into()))
 }
 
-fn passed_on(headers: &HeaderMap) -> Vec<proto::Header> {
+fn forwarded_headers(headers: &HeaderMap) -> Vec<proto::Header> {
     let kept = headers.iter().filter(|(name, _)| {
-        // The token stays here, and the body's length is set anew.
-        is_passed_on(name.as_str()) && *name != AUTHORIZATION && name.as_str() != "content-length"
+        // The token is not passed on, and the HTTP library sets the length of the body.
+        is_forwarded(name.as_str()) && *name != AUTHORIZATION && name.as_str() != "content-length"
     });
     kept.filter_map(|(name, value)| {
         let value = value.to_str().ok()?.to_owned();
@@ -317,14 +322,14 @@
     .collect()
 }
 
-fn is_passed_on(name: &str) -> bool {
+fn is_forwarded(name: &str) -> bool {
     !headers::is_hop(name) && name != HOST.as_str()
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn refuse(code: ResultCode, message: impl Into<Box<str>>) -> Refusal {
+fn refusal(code: ResultCode, message: impl Into<Box<str>>) -> Refusal {
     Refusal { code, message: message.into() }
 }
--- a/mustardrill_entry/src/cli.rs
+++ b/mustardrill_entry/src/cli.rs
@@ -6,39 +6,39 @@
 
 use lexopt::prelude::*;
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Debug, PartialEq, Eq)]
 pub enum EntryCommand {
-    /// Run with these settings.
+    /// Run the entry with this settings file.
     Run(PathBuf),
-    /// Check these settings and end.
+    /// Check this settings file and exit.
     CheckSettings(PathBuf),
-    /// Print a text and end.
+    /// Print this text and exit.
     Print(&'static str),
-    /// Print a request's life from these logs.
+    /// Print the lines that explain the request with this id, from these log files.
     Explain(Box<str>, Vec<PathBuf>),
-    /// Ask an entry's operator port.
+    /// Run a catalogue command against an entry's operator port.
     Catalogue(CatalogueCommand, OperatorAccess),
 }
 
-/// What an operator asks for.
+/// A catalogue command of an operator.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CatalogueCommand {
-    /// Print the catalogue.
+    /// Print the catalogue as a file that can be edited and applied.
     Show,
-    /// Check a file and say what it would change.
+    /// Check whether a file would be accepted, and print what it would change.
     Check(PathBuf),
-    /// Say what a file would change.
+    /// Print what a file would change.
     Diff(PathBuf),
-    /// Make an edit.
+    /// Make the edit in a file, with an id of the operator's choice for retries.
     Apply(PathBuf, Option<Box<str>>),
-    /// Look up what became of an edit.
+    /// Look up the outcome of the edit with this id.
     Settle(Box<str>),
-    /// Make the reverse of an edit.
+    /// Make the reverse of the edit with this id.
     Undo(Box<str>),
     /// Print the last edits.
     History,
-    /// Print who has which generation and how far weights are.
+    /// Print each agent's generation and progress with weights.
     Status,
 }
 
@@ -54,13 +54,13 @@
 }
 
 impl std::fmt::Debug for OperatorAccess {
-    /// Without the token.
+    /// Omits the token.
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "OperatorAccess {{ address: {}, json: {} }}", self.address, self.json)
     }
 }
 
-/// The text of `--help`.
+/// The text that `--help` prints.
 pub const HELP: &str = "\
 mustardrill-entry: takes requests and edits, and sends work to agents
 
@@ -99,10 +99,10 @@
   3 not yet known (ask again with settle), 4 no answer from the entry
 ";
 
-/// The text of `--version`.
+/// The text that `--version` prints.
 pub const VERSION: &str = concat!("mustardrill-entry ", env!("CARGO_PKG_VERSION"), "\n");
 
-/// Reads the command line, without the program's name. `token` is the environment's.
+/// Parses the arguments after the program's name. `token` is the value of `MUSTARDRILL_TOKEN`.
 pub fn parse(
     args: impl IntoIterator<Item = OsString>,
     token: Option<String>,
@@ -110,7 +110,7 @@
     let mut parser = lexopt::Parser::from_args(args);
     let (mut settings, mut operator, mut edit_id) = (None, None, None);
     let mut json = false;
-    let mut words: Vec<String> = Vec::new();
+    let mut arguments: Vec<String> = Vec::new();
     while let Some(arg) = parser.next()? {
         match arg {
             Short('h') | Long("help") => return Ok(EntryCommand::Print(HELP)),
@@ -119,12 +119,12 @@
             Long("operator") => operator = Some(parser.value()?.parse()?),
             Long("edit-id") => edit_id = Some(parser.value()?.string()?.into()),
             Long("json") => json = true,
-            Value(word) => words.push(word.string()?),
+            Value(argument) => arguments.push(argument.string()?),
             other => return Err(other.unexpected()),
         }
     }
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    match words.as_slice() {
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    match arguments.as_slice() {
         [] => Ok(EntryCommand::Run(settings.ok_or("--settings FILE is missing; see --help")?)),
         ["check-settings"] => {
             let settings = settings.ok_or("--settings FILE is missing; see --help")?;
@@ -140,15 +140,15 @@
             let token = token.ok_or("set MUSTARDRILL_TOKEN to your operator's token")?.into();
             Ok(EntryCommand::Catalogue(command, OperatorAccess { address, token, json }))
         }
-        [word, ..] => Err(format!("no command {word}; see --help").into()),
+        [command, ..] => Err(format!("no command {command}; see --help").into()),
     }
 }
 
 fn catalogue_command(
-    words: &[&str],
+    arguments: &[&str],
     edit_id: Option<Box<str>>,
 ) -> Result<CatalogueCommand, lexopt::Error> {
-    match words {
+    match arguments {
         ["show"] => Ok(CatalogueCommand::Show),
         ["check", file] => Ok(CatalogueCommand::Check(file.into())),
         ["diff", file] => Ok(CatalogueCommand::Diff(file.into())),
@@ -157,6 +157,6 @@
         ["undo", id] => Ok(CatalogueCommand::Undo((*id).into())),
         ["history"] => Ok(CatalogueCommand::History),
         ["status"] => Ok(CatalogueCommand::Status),
-        _ => Err(format!("no command catalogue {}; see --help", words.join(" ")).into()),
+        _ => Err(format!("no command catalogue {}; see --help", arguments.join(" ")).into()),
     }
 }
--- a/mustardrill_entry/src/config.rs
+++ b/mustardrill_entry/src/config.rs
@@ -1,4 +1,4 @@
-//! The entry's settings; `docs/SETTINGS.md` lists every key.
+//! Settings of an entry that sends requests to agents; `docs/SETTINGS.md` lists every key.
 
 use std::net::SocketAddr;
 
@@ -10,30 +10,30 @@
 use mustardrill_runtime::settings::{SettingsOutcome, SettingsReader};
 use mustardrill_types::{ByteSize, CustomerName, Millis};
 
-/// All settings of one entry.
+/// All settings of an entry that sends requests to agents.
 #[derive(Debug, Clone)]
 pub struct EntryConfig {
-    /// Where callers reach it.
+    /// Address that serves callers.
     pub listen: SocketAddr,
-    /// Where operators reach it.
+    /// Address that serves operators.
     pub operator_listen: SocketAddr,
-    /// The platform and the origin.
+    /// Addresses of the platform's services and of the origins of weights.
     pub platform: PlatformConfig,
-    /// How often the reducer looks at the time.
+    /// Interval of the reducer's timer events.
     pub tick: Millis,
-    /// Where metrics go, if anywhere.
+    /// Address of the StatsD server that receives metrics; `None` for no metrics.
     pub metrics: Option<SocketAddr>,
-    /// Which lines are logged.
+    /// The least severe level that is logged.
     pub log: LevelFilter,
     /// How long a planned stop waits for requests in progress.
     pub drain: Millis,
-    /// Who may call and who may edit.
+    /// Customers, who may call, and operators, who may edit.
     pub access: AccessConfig,
-    /// What callers may ask for.
+    /// Limits and defaults of callers' requests.
     pub callers: CallerConfig,
-    /// How edits are made.
+    /// Limits of edits.
     pub edits: EditConfig,
-    /// What the reducer is told.
+    /// Settings of the reducer.
     pub entry: EntrySettings,
 }
 
@@ -44,30 +44,30 @@
     operators: Vec<(Box<str>, blake3::Hash)>,
 }
 
-/// What callers may ask for.
+/// Limits and defaults of callers' requests.
 #[derive(Debug, Clone)]
 pub struct CallerConfig {
-    /// The deadline of a request that names none.
+    /// Timeout of a request that does not set one.
     pub timeout: Millis,
-    /// The longest deadline that a request may name.
+    /// The longest timeout that a request may set.
     pub longest_timeout: Millis,
-    /// The largest body of a request.
+    /// The largest body of a request; a larger one is refused.
     pub body_limit: ByteSize,
-    /// How many bytes at the start of a model's request make its affinity key.
+    /// How many bytes at the start of a request to a model form its affinity key; zero for none.
     pub prefix: ByteSize,
 }
 
-/// How edits are made.
+/// Limits of edits.
 #[derive(Debug, Clone)]
 pub struct EditConfig {
-    /// How long an edit is tried before it is "not yet known".
-    pub patience: Millis,
-    /// How much an agent can stage.
+    /// How long an edit is retried before its outcome is reported as "not yet known".
+    pub timeout: Millis,
+    /// The size of weights that an agent can stage, against which versions are checked.
     pub staging_limit: ByteSize,
 }
 
 impl std::fmt::Debug for AccessConfig {
-    /// Names only: no trace of a token gets into a log.
+    /// Shows names only, so that not even the digest of a token gets into a log.
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let customers: Vec<_> = self.customers.iter().map(|(name, _)| name.as_str()).collect();
         let operators: Vec<_> = self.operators.iter().map(|(name, _)| &**name).collect();
@@ -76,22 +76,23 @@
 }
 
 impl AccessConfig {
-    /// The customer with this token. Every token is compared, each in constant time.
+    /// Returns the customer with this token. All tokens are compared, each in constant time, so
+    /// that the time taken tells nothing about them.
     pub fn customer(&self, token: &str) -> Option<&CustomerName> {
         find(&self.customers, token)
     }
 
-    /// The operator with this token. Every token is compared, each in constant time.
+    /// Returns the operator with this token, compared like those of customers.
     pub fn operator(&self, token: &str) -> Option<&str> {
         find(&self.operators, token).map(|name| &**name)
     }
 
-    /// The names of all customers.
+    /// Returns the names of all customers.
     pub fn customers(&self) -> impl Iterator<Item = &CustomerName> {
         self.customers.iter().map(|(name, _)| name)
     }
 
-    /// The names of all operators.
+    /// Returns the names of all operators.
     pub fn operators(&self) -> impl Iterator<Item = &str> {
         self.operators.iter().map(|(name, _)| &**name)
     }
@@ -111,7 +112,7 @@
         access: access(&mut reader),
         callers: callers(&mut reader),
         edits: EditConfig {
-            patience: reader.value("edits", "patience", Millis(5_000)),
+            timeout: reader.value("edits", "patience", Millis(5_000)),
             staging_limit: reader.value("edits", "staging_limit", ByteSize(64_000_000_000)),
         },
         entry: EntrySettings {
@@ -156,11 +157,11 @@
     section: &str,
     key: &mustardrill_core::ini_file::IniKey,
 ) {
-    const SHORTEST: usize = 8;
-    if key.value.len() < SHORTEST {
-        // The token itself is not shown.
+    const SHORTEST_TOKEN: usize = 8;
+    if key.value.len() < SHORTEST_TOKEN {
+        // The message does not show the token.
         let message =
-            format!("[{section}] {}: write a token of {SHORTEST} letters or more", key.name);
+            format!("[{section}] {}: write a token of {SHORTEST_TOKEN} letters or more", key.name);
         reader.fault(key.line, message);
     }
 }
--- a/mustardrill_entry/src/context.rs
+++ b/mustardrill_entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one entry share.
+//! State shared by the tasks of one entry.
 
 use cadence::StatsdClient;
 use mustardrill_runtime::agents::AgentPool;
@@ -8,13 +8,14 @@
 use mustardrill_types::InstanceId;
 use tokio_util::sync::CancellationToken;
 
-use crate::agent_clocks::ClockTable;
+use crate::agent_clocks::AgentClocks;
 use crate::config::{AccessConfig, CallerConfig, EditConfig};
 
-/// The key of the catalogue in the platform's service.
+/// The key of the catalogue in the platform's key-value service.
 pub(crate) const CATALOGUE_KEY: &str = "mustardrill/catalogue";
 
-/// The borders of one entry to the outside; the reducer knows none of them.
+/// The clients, settings and clock that the tasks of one entry share. The reducer has no access to
+/// them.
 pub(crate) struct EntryContext {
     pub(crate) own: InstanceId,
     pub(crate) clock: ProcessClock,
@@ -22,7 +23,7 @@
     pub(crate) instances: Box<dyn InstanceList>,
     pub(crate) origin: Box<dyn WeightOrigin>,
     pub(crate) agents: AgentPool,
-    pub(crate) clocks: ClockTable,
+    pub(crate) agent_clocks: AgentClocks,
     pub(crate) access: AccessConfig,
     pub(crate) callers: CallerConfig,
     pub(crate) edits: EditConfig,
--- a/mustardrill_entry/src/editor.rs
+++ b/mustardrill_entry/src/editor.rs
@@ -1,4 +1,5 @@
-//! Makes an edit: reads the catalogue, checks, writes where nothing changed meanwhile, settles.
+//! Makes edits of the catalogue: reads it, checks the edit and writes the result if the catalogue
+//! has not changed in between.
 
 use std::sync::Arc;
 
@@ -16,13 +17,13 @@
 use crate::actor::{EntryActor, Event, FactsQuery};
 use crate::context::{CATALOGUE_KEY, EntryContext};
 
-/// How long one read of a manifest may take while an edit is checked.
+/// Timeout for reading one manifest from the origin while an edit is checked.
 const MANIFEST_TIMEOUT: Millis = Millis(3_000);
 
-/// How long to wait before a call that had no answer is repeated.
-const RETRY_AFTER: Millis = Millis(100);
+/// Pause before a call is retried that had no answer.
+const RETRY_PAUSE: Millis = Millis(100);
 
-/// The catalogue before and after an edit, or why the edit would be refused.
+/// The catalogue before and after an edit, or the reasons for which the edit would be refused.
 pub(crate) type EditCheck = Result<(CatalogueDocument, CatalogueDocument), Vec<EditRefusal>>;
 
 /// Makes edits for operators.
@@ -33,7 +34,7 @@
 }
 
 impl CatalogueEditor {
-    /// Reads the newest catalogue from the platform's service.
+    /// Reads the newest catalogue and its revision from the platform's key-value service.
     pub(crate) async fn read(&self) -> Result<(CatalogueDocument, u64), KeyValueError> {
         let VersionedValue { bytes, revision } = self.context.key_value.read(CATALOGUE_KEY).await?;
         let document = CatalogueDocument::decode(&bytes).map_err(|error| {
@@ -42,31 +43,31 @@
         Ok((document, revision))
     }
 
-    /// Checks an edit against the newest catalogue and writes nothing.
+    /// Checks an edit against the newest catalogue without writing anything.
     pub(crate) async fn check(&self, request: &EditRequest) -> Result<EditCheck, KeyValueError> {
         let (document, _) = self.read().await?;
         let facts = self.facts(&document, request).await;
         Ok(apply_edit(&document, request, &facts).map(|next| (document, next)))
     }
 
-    /// Makes an edit. The same id may be sent again at any time; it takes effect once.
+    /// Makes an edit. An edit with the same id may be sent again at any time; it takes effect once.
     pub(crate) async fn apply(&self, request: EditRequest) -> EditOutcome {
         let (id, operator) = (request.id, request.operator.clone());
-        let deadline = self.context.clock.now() + self.context.edits.patience;
+        let deadline = self.context.clock.now() + self.context.edits.timeout;
         let mut session = EditSession::new(request, deadline);
-        let mut step = self.read_for(&mut session).await;
+        let mut step = self.read_for_session(&mut session).await;
         let outcome = loop {
             step = match step {
                 SessionStep::Read => {
-                    tokio::time::sleep(RETRY_AFTER.to_std()).await;
-                    self.read_for(&mut session).await
+                    tokio::time::sleep(RETRY_PAUSE.to_std()).await;
+                    self.read_for_session(&mut session).await
                 }
                 SessionStep::Write { expect, document } => {
                     let answer = self.write(expect, &document).await;
                     session.written(self.context.clock.now(), answer)
                 }
                 SessionStep::Done(outcome, document) => {
-                    self.announce(document).await;
+                    self.apply_locally(document).await;
                     break outcome;
                 }
             };
@@ -80,7 +81,8 @@
         outcome
     }
 
-    /// Looks up what became of an edit. Absence is no refusal: a lost write may still arrive.
+    /// Looks up the outcome of an edit. If the edit is not in the catalogue, that is not yet a
+    /// refusal: a delayed write may still arrive.
     pub(crate) async fn settle(&self, id: EditId) -> EditOutcome {
         match self.read().await {
             Ok((document, _)) => match document.edit(id) {
@@ -91,7 +93,7 @@
         }
     }
 
-    async fn read_for(&self, session: &mut EditSession) -> SessionStep {
+    async fn read_for_session(&self, session: &mut EditSession) -> SessionStep {
         let found = self.read().await.ok();
         let facts = match &found {
             Some((document, _)) => self.facts(document, session.request()).await,
@@ -111,15 +113,16 @@
         }
     }
 
-    /// Puts a catalogue in force here without waiting for the watch.
-    async fn announce(&self, document: Option<Box<CatalogueDocument>>) {
+    /// Puts a catalogue in force at this entry without waiting for the watch.
+    async fn apply_locally(&self, document: Option<Box<CatalogueDocument>>) {
         if let Some(document) = document {
             let event = EntryEvent::CatalogueSeen(Arc::from(document));
             let _ = self.actor.tell(Event(event)).await;
         }
     }
 
-    /// What the edit is checked against: the fleet as seen here, and the origin's manifests.
+    /// Collects what the edit is checked against: the fleet as this entry knows it, and the
+    /// manifests of new versions from the origin.
     async fn facts(&self, document: &CatalogueDocument, request: &EditRequest) -> FleetFacts {
         let facts = self.actor.ask(FactsQuery).await;
         let mut facts = facts.map_or_else(|_| FleetFacts::default(), |facts| *facts);
@@ -127,8 +130,9 @@
         for draft in drafts {
             let wanted = draft.content.as_ref().and_then(|content| content.weights.as_ref());
             let Some((version, _)) = wanted else { continue };
-            let kept = document.entries.get(&draft.name).and_then(|entry| entry.weights.as_ref());
-            if kept.is_some_and(|weights| weights.version == *version) {
+            let current =
+                document.entries.get(&draft.name).and_then(|entry| entry.weights.as_ref());
+            if current.is_some_and(|weights| weights.version == *version) {
                 continue;
             }
             let found = self.context.origin.manifest(&draft.name, version, MANIFEST_TIMEOUT).await;
--- a/mustardrill_entry/src/effects.rs
+++ b/mustardrill_entry/src/effects.rs
@@ -1,4 +1,4 @@
-//! Carries the reducer's effects out, each in a task of its own that reports back as an event.
+//! Executes the reducer's effects, each in a task of its own that reports its result as an event.
 
 use std::sync::Arc;
 
@@ -23,14 +23,15 @@
 use crate::attempt::{self, RequestIo};
 use crate::context::EntryContext;
 
-/// How long a heartbeat may take.
-const SYNC_TIMEOUT: Millis = Millis(1_500);
+/// Timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Millis = Millis(1_500);
 
-/// How long a keeper may take; longer than it takes itself to find that it can't agree a claim.
+/// Timeout of a call to a shard coordinator. It is longer than a coordinator needs to find out that
+/// it can't decide a claim.
 const CLAIM_TIMEOUT: Millis = Millis(1_300);
 
-/// Sends an attempt; it ends at once when one of `tokens` is cancelled.
-pub(crate) fn send(
+/// Sends an attempt, which ends at once when one of `tokens` is cancelled.
+pub(crate) fn send_attempt(
     context: Arc<EntryContext>,
     actor: ActorRef<EntryActor>,
     io: Arc<RequestIo>,
@@ -41,7 +42,7 @@
         let (end, delivered) = tokio::select! {
             ended = attempt::run(&context, &io, &order) => ended,
             () = tokens.abandon.cancelled() => (AttemptEnd::Lost, io.delivered()),
-            // Dropping the stream tells the agent, which closes the upstream's connection.
+            // Dropping the stream resets it; the agent then closes the upstream's connection.
             () = tokens.cancel.cancelled() => return,
         };
         let event = EntryEvent::AttemptEnded(order.attempt, end, delivered);
@@ -49,16 +50,16 @@
     });
 }
 
-/// Asks for a claim, one keeper after the other until one answers.
-pub(crate) fn ask_claim(
+/// Requests a claim from the shard's coordinators in order until one answers.
+pub(crate) fn request_claim(
     context: Arc<EntryContext>,
     actor: ActorRef<EntryActor>,
     order: ClaimOrder,
 ) {
     tokio::spawn(async move {
         let mut outcome = ClaimOutcome::Unavailable;
-        for keeper in &order.keepers {
-            if let Some(answer) = call_claim(&context, &order, keeper, false).await {
+        for coordinator in &order.keepers {
+            if let Some(answer) = call_coordinator(&context, &order, coordinator, false).await {
                 outcome = answer;
                 break;
             }
@@ -67,33 +68,35 @@
     });
 }
 
-/// Takes a claim back; tried for a while, as keepers come and go.
+/// Releases a claim. Up to 10 calls are made, to the shard's coordinators in turn, as coordinators
+/// come and go.
 pub(crate) fn release_claim(context: Arc<EntryContext>, order: ClaimOrder) {
-    const TRIES: usize = 10;
-    const TRY_EVERY: Millis = Millis(500);
+    const ATTEMPTS: usize = 10;
+    const RETRY_PAUSE: Millis = Millis(500);
     tokio::spawn(async move {
-        for keeper in order.keepers.iter().cycle().take(TRIES) {
-            if call_claim(&context, &order, keeper, true).await.is_some() {
+        for coordinator in order.keepers.iter().cycle().take(ATTEMPTS) {
+            if call_coordinator(&context, &order, coordinator, true).await.is_some() {
                 return;
             }
-            tokio::time::sleep(TRY_EVERY.to_std()).await;
+            tokio::time::sleep(RETRY_PAUSE.to_std()).await;
         }
         log::warn!(
-            "claim attempt={} decision=leave reason=\"no keeper took it back\"",
+            "claim attempt={} decision=leave reason=\"no shard coordinator confirmed the release\"",
             order.attempt
         );
     });
 }
 
-async fn call_claim(
+async fn call_coordinator(
     context: &EntryContext,
     order: &ClaimOrder,
-    keeper: &ClaimCoordinator,
+    coordinator: &ClaimCoordinator,
     release: bool,
 ) -> Option<ClaimOutcome> {
-    let mut client = context.agents.client(&keeper.address)?;
-    // An ask that lay in a frozen keeper is void: by then another was asked, or the caller told.
-    let agent_now = context.clocks.agent_ms_at(context.clock.now(), &keeper.id);
+    let mut client = context.agents.client(&coordinator.address)?;
+    // A call that waited in a suspended coordinator is no longer valid: by then another one was
+    // called, or the caller was answered. The deadline on the coordinator's own clock prevents it.
+    let agent_now = context.agent_clocks.agent_ms_at(context.clock.now(), &coordinator.id);
     let agent_deadline_ms = if agent_now == 0 { 0 } else { agent_now + CLAIM_TIMEOUT.0 };
     let request = proto::ClaimRequest {
         key: key_bytes(order.key),
@@ -106,58 +109,66 @@
     Some(claim_of(reply.outcome()))
 }
 
-/// One heartbeat to an agent.
-pub(crate) struct SyncCall {
+/// A heartbeat to an agent.
+pub(crate) struct Heartbeat {
     pub(crate) id: InstanceId,
     pub(crate) address: Box<str>,
-    /// The catalogue in force here.
+    /// The catalogue in force at this entry.
     pub(crate) document: Arc<CatalogueDocument>,
-    /// Whether the agent is behind and is sent the catalogue.
+    /// Whether to send the catalogue, as the agent has an older generation.
     pub(crate) with_catalogue: bool,
-    /// What customers asked for, where it is to be told.
+    /// Demand of the customers; `None` if this heartbeat does not report it.
     pub(crate) demand: Option<Vec<DemandRow>>,
-    /// What to tell of requests under which upstreams ended.
+    /// Reports of requests during which upstreams crashed.
     pub(crate) crashes: Vec<CrashReport>,
 }
 
-/// Sends a heartbeat.
-pub(crate) fn sync(context: Arc<EntryContext>, actor: ActorRef<EntryActor>, call: SyncCall) {
+/// Sends a heartbeat and passes the agent's reply to the reducer.
+pub(crate) fn send_heartbeat(
+    context: Arc<EntryContext>,
+    actor: ActorRef<EntryActor>,
+    heartbeat: Heartbeat,
+) {
     tokio::spawn(async move {
-        let Some(reply) = call_sync(&context, &call).await else {
-            let _ = actor.tell(Event(EntryEvent::SyncFailed(call.id))).await;
+        let Some(reply) = exchange_heartbeat(&context, &heartbeat).await else {
+            let _ = actor.tell(Event(EntryEvent::SyncFailed(heartbeat.id))).await;
             return;
         };
-        if let Some(document) = catalogue_of(&reply.catalogue, call.id.as_str()) {
+        if let Some(document) = catalogue_of(&reply.catalogue, heartbeat.id.as_str()) {
             let _ = actor.tell(Event(EntryEvent::CatalogueSeen(Arc::new(document)))).await;
         }
-        let synced = sync_of(context.clock.now(), call.id, &reply);
+        let synced = agent_sync_of(context.clock.now(), heartbeat.id, &reply);
         let _ = actor.tell(Event(EntryEvent::Synced(synced))).await;
     });
 }
 
-async fn call_sync(context: &EntryContext, call: &SyncCall) -> Option<proto::SyncReply> {
-    let mut client = context.agents.client(&call.address)?;
-    let catalogue = if call.with_catalogue { call.document.encode().into() } else { Bytes::new() };
+async fn exchange_heartbeat(
+    context: &EntryContext,
+    heartbeat: &Heartbeat,
+) -> Option<proto::SyncReply> {
+    let mut client = context.agents.client(&heartbeat.address)?;
+    let catalogue =
+        if heartbeat.with_catalogue { heartbeat.document.encode().into() } else { Bytes::new() };
     let sent_at = context.clock.now();
     let request = proto::SyncRequest {
         entry: context.own.to_string(),
-        generation: call.document.generation.0,
+        generation: heartbeat.document.generation.0,
         catalogue,
-        demand: call.demand.iter().flatten().map(demand_message).collect(),
-        with_demand: call.demand.is_some(),
-        crashes: call.crashes.iter().map(|word| crash_message(sent_at, word)).collect(),
+        demand: heartbeat.demand.iter().flatten().map(demand_message).collect(),
+        with_demand: heartbeat.demand.is_some(),
+        crashes: heartbeat.crashes.iter().map(|report| crash_message(sent_at, report)).collect(),
     };
-    let sent = tokio::time::timeout(SYNC_TIMEOUT.to_std(), client.sync(request));
+    let sent = tokio::time::timeout(HEARTBEAT_TIMEOUT.to_std(), client.sync(request));
     let reply = sent.await.ok()?.ok()?.into_inner();
-    // Another instance may have come up under the address of one that is gone.
-    if reply.instance != call.id.as_str() {
+    // Another instance may have started at the address of one that is gone.
+    if reply.instance != heartbeat.id.as_str() {
         return None;
     }
-    context.clocks.note(context.clock.now(), &call.id, reply.clock_ms);
+    context.agent_clocks.record(context.clock.now(), &heartbeat.id, reply.clock_ms);
     Some(reply)
 }
 
-fn sync_of(now: Moment, id: InstanceId, reply: &proto::SyncReply) -> AgentSync {
+fn agent_sync_of(now: Moment, id: InstanceId, reply: &proto::SyncReply) -> AgentSync {
     AgentSync {
         id,
         generation: Generation(reply.generation),
--- a/mustardrill_entry/src/lib.rs
+++ b/mustardrill_entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! The entry process: takes callers' requests and operators' edits, and sends work to agents.
+//! The entry process: accepts callers' requests and operators' edits, and sends requests to agents,
+//! or directly to upstreams on platforms without agents in between.
 #![deny(missing_docs, unsafe_code, clippy::unwrap_used)]
 
 pub mod actor;
--- a/mustardrill_entry/src/main.rs
+++ b/mustardrill_entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `mustardrill-entry`: the entry, and the command line of operators.
+//! `mustardrill-entry`: runs the entry, and the commands of operators.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,11 +12,11 @@
 use mustardrill_runtime::{logging, signal};
 use tokio_util::sync::CancellationToken;
 
-/// Wrong command line or settings.
+/// Exit code for a wrong command line, settings or log file.
 const USAGE: u8 = 2;
 
-/// How long a connection to the store may take to be made.
-const STORE_CONNECT: std::time::Duration = std::time::Duration::from_millis(500);
+/// Timeout for connecting to the store and to the origin.
+const CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
 
 fn main() -> ExitCode {
     let token = std::env::var("MUSTARDRILL_TOKEN").ok();
@@ -32,20 +32,20 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        EntryCommand::CheckSettings(path) => match read(&path) {
+        EntryCommand::CheckSettings(path) => match read_settings(&path) {
             Some(_) => {
                 println!("{}: the settings are right", path.display());
                 ExitCode::SUCCESS
             }
             None => ExitCode::from(USAGE),
         },
-        EntryCommand::Run(path) => match read(&path) {
+        EntryCommand::Run(path) => match read_settings(&path) {
             Some(config) => run(config),
             None => ExitCode::from(USAGE),
         },
         EntryCommand::Explain(id, files) => explain_request(&id, &files),
         EntryCommand::Catalogue(command, access) => {
-            let output = runtime().block_on(operator_client::run(&command, &access));
+            let output = build_runtime().block_on(operator_client::run(&command, &access));
             print!("{}", output.text);
             ExitCode::from(output.exit as u8)
         }
@@ -75,12 +75,12 @@
 }
 
 /// The settings of an entry, by the platform that it runs on.
-enum AnyConfig {
+enum LoadedConfig {
     Own(EntryConfig),
     Prepared(DirectConfig),
 }
 
-fn read(path: &Path) -> Option<AnyConfig> {
+fn read_settings(path: &Path) -> Option<LoadedConfig> {
     let reader = match SettingsReader::open(path) {
         Ok(reader) => reader,
         Err(fault) => {
@@ -89,12 +89,12 @@
         }
     };
     match reader.platform("entry") {
-        PlatformKind::Own => checked(config::read(reader)).map(AnyConfig::Own),
-        PlatformKind::Prepared => checked(direct::read(reader)).map(AnyConfig::Prepared),
+        PlatformKind::Own => report_problems(config::read(reader)).map(LoadedConfig::Own),
+        PlatformKind::Prepared => report_problems(direct::read(reader)).map(LoadedConfig::Prepared),
     }
 }
 
-fn checked<T>(outcome: SettingsOutcome<T>) -> Option<T> {
+fn report_problems<T>(outcome: SettingsOutcome<T>) -> Option<T> {
     outcome.warnings.iter().for_each(|warning| eprintln!("mustardrill-entry: warning: {warning}"));
     match outcome.settings {
         Ok(config) => Some(config),
@@ -105,21 +105,21 @@
     }
 }
 
-fn runtime() -> tokio::runtime::Runtime {
+fn build_runtime() -> tokio::runtime::Runtime {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     runtime.expect("the runtime starts")
 }
 
-fn run(config: AnyConfig) -> ExitCode {
+fn run(config: LoadedConfig) -> ExitCode {
     match config {
-        AnyConfig::Own(config) => run_own(config),
-        AnyConfig::Prepared(config) => run_prepared(config),
+        LoadedConfig::Own(config) => run_own(config),
+        LoadedConfig::Prepared(config) => run_prepared(config),
     }
 }
 
 fn run_prepared(config: DirectConfig) -> ExitCode {
     logging::init(config.direct.own.as_str(), config.log);
-    // One thread: the machines of that platform have a fraction of one core.
+    // One thread is enough: an instance on that platform has a fraction of one core.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("the runtime starts");
     let code = runtime.block_on(serve_prepared(config));
@@ -130,11 +130,11 @@
 async fn serve_prepared(config: DirectConfig) -> ExitCode {
     let (stop, halt) = (CancellationToken::new(), CancellationToken::new());
     signal::spawn(stop.clone(), halt.clone()).expect("signals can be watched");
-    let client = HttpClient::open(STORE_CONNECT);
+    let client = HttpClient::open(CONNECT_TIMEOUT);
     let adapters = PlatformAdapters {
         source: Box::new(PlatformStore::open(client, config.store)),
         dialect: Box::new(PlatformDialect),
-        origin: Box::new(PlatformOrigin::open(STORE_CONNECT)),
+        origin: Box::new(PlatformOrigin::open(CONNECT_TIMEOUT)),
     };
     let listen = config.listen;
     let handle = match direct::spawn(config, adapters).await {
@@ -157,13 +157,13 @@
 
 fn run_own(config: EntryConfig) -> ExitCode {
     logging::init(config.entry.own.as_str(), config.log);
-    let runtime = runtime();
-    let code = runtime.block_on(serve(config));
+    let runtime = build_runtime();
+    let code = runtime.block_on(serve_own(config));
     runtime.shutdown_background();
     code
 }
 
-async fn serve(config: EntryConfig) -> ExitCode {
+async fn serve_own(config: EntryConfig) -> ExitCode {
     let (stop, halt) = (CancellationToken::new(), CancellationToken::new());
     signal::spawn(stop.clone(), halt.clone()).expect("signals can be watched");
     let (listen, operator_listen) = (config.listen, config.operator_listen);
--- a/mustardrill_entry/src/operator_client.rs
+++ b/mustardrill_entry/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: asks an entry's operator port and prints what it says.
+//! The operators' commands: calls an entry's operator port and formats the answer for the terminal.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,33 +13,33 @@
 use crate::cli::{CatalogueCommand, OperatorAccess};
 use crate::status::{FleetStatus, VersionStatus};
 
-/// How a command ended; the number is the process's exit code.
+/// How a command ended, with the exit code of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandExit {
     /// Done or accepted.
     Done = 0,
     /// Refused.
     Refused = 1,
-    /// The file can't be read.
+    /// The file of the command can't be read.
     Usage = 2,
-    /// Not yet known.
+    /// The outcome of the edit is not yet known.
     NotYetKnown = 3,
-    /// The entry does not answer.
+    /// The entry did not answer, or can't serve the command at present (status 503).
     NoAnswer = 4,
 }
 
-/// What a command prints and how it ends.
+/// The output of a command and how it ended.
 #[derive(Debug)]
 pub struct CommandOutput {
-    /// The text for standard output.
+    /// The text for standard output, which ends with a line break.
     pub text: String,
-    /// How it ended.
+    /// The exit code to end with.
     pub exit: CommandExit,
 }
 
-/// Carries a command out.
+/// Runs a command against the entry at `access`. Errors are returned as text with an exit code.
 pub async fn run(command: &CatalogueCommand, access: &OperatorAccess) -> CommandOutput {
-    let (method, path, body) = match call_of(command) {
+    let (method, path, body) = match http_call(command) {
         Ok(call) => call,
         Err(text) => return CommandOutput { text, exit: CommandExit::Usage },
     };
@@ -50,36 +50,36 @@
             return CommandOutput { text, exit: CommandExit::NoAnswer };
         }
     };
-    let exit = exit_of(&answer);
+    let exit = exit_code(&answer);
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     let parsed = serde_json::from_str::<Value>(&text);
     let text = match parsed {
-        Ok(value) if !access.json => print(command, &value),
+        Ok(value) if !access.json => format_answer(command, &value),
         _ => text,
     };
     let text = if text.ends_with('\n') { text } else { format!("{text}\n") };
     CommandOutput { text, exit }
 }
 
-fn call_of(command: &CatalogueCommand) -> Result<(&'static str, String, Bytes), String> {
-    let none = Bytes::new();
+fn http_call(command: &CatalogueCommand) -> Result<(&'static str, String, Bytes), String> {
+    let empty = Bytes::new();
     Ok(match command {
-        CatalogueCommand::Show => ("GET", "/v1/catalogue".into(), none),
-        CatalogueCommand::History => ("GET", "/v1/catalogue/history".into(), none),
-        CatalogueCommand::Status => ("GET", "/v1/status".into(), none),
-        CatalogueCommand::Settle(id) => ("GET", format!("/v1/catalogue/edits/{id}"), none),
-        CatalogueCommand::Undo(id) => ("POST", format!("/v1/catalogue/undo?edit={id}"), none),
+        CatalogueCommand::Show => ("GET", "/v1/catalogue".into(), empty),
+        CatalogueCommand::History => ("GET", "/v1/catalogue/history".into(), empty),
+        CatalogueCommand::Status => ("GET", "/v1/status".into(), empty),
+        CatalogueCommand::Settle(id) => ("GET", format!("/v1/catalogue/edits/{id}"), empty),
+        CatalogueCommand::Undo(id) => ("POST", format!("/v1/catalogue/undo?edit={id}"), empty),
         CatalogueCommand::Check(file) | CatalogueCommand::Diff(file) => {
-            ("POST", "/v1/catalogue/check".into(), read(file)?)
+            ("POST", "/v1/catalogue/check".into(), read_file(file)?)
         }
         CatalogueCommand::Apply(file, id) => {
             let id = id.as_ref().map_or(String::new(), |id| format!("?id={id}"));
-            ("POST", format!("/v1/catalogue/edits{id}"), read(file)?)
+            ("POST", format!("/v1/catalogue/edits{id}"), read_file(file)?)
         }
     })
 }
 
-fn read(file: &Path) -> Result<Bytes, String> {
+fn read_file(file: &Path) -> Result<Bytes, String> {
     let bytes = std::fs::read(file);
     bytes.map(Into::into).map_err(|error| format!("{}: can't be read: {error}\n", file.display()))
 }
@@ -92,14 +92,14 @@
 ) -> Result<WholeAnswer, CallError> {
     const TIMEOUT: Duration = Duration::from_secs(15);
     const ANSWER_LIMIT: usize = 16_000_000;
-    let mut sent = request(method, &format!("http://{}{path}", access.address), body);
+    let mut call = request(method, &format!("http://{}{path}", access.address), body);
     let value = format!("Bearer {}", access.token).parse();
     let value = value.map_err(|_| CallError::NotSent { reason: "malformed token".into() })?;
-    sent.headers_mut().insert(hyper::header::AUTHORIZATION, value);
-    HttpClient::open(Duration::from_secs(2)).call(sent, TIMEOUT, ANSWER_LIMIT).await
+    call.headers_mut().insert(hyper::header::AUTHORIZATION, value);
+    HttpClient::open(Duration::from_secs(2)).call(call, TIMEOUT, ANSWER_LIMIT).await
 }
 
-fn exit_of(answer: &WholeAnswer) -> CommandExit {
+fn exit_code(answer: &WholeAnswer) -> CommandExit {
     match answer.status.as_u16() {
         202 => CommandExit::NotYetKnown,
         200..300 => CommandExit::Done,
@@ -108,29 +108,31 @@
     }
 }
 
-fn print(command: &CatalogueCommand, value: &Value) -> String {
+fn format_answer(command: &CatalogueCommand, value: &Value) -> String {
     match command {
         CatalogueCommand::Status => match serde_json::from_value(value.clone()) {
-            Ok(status) => print_status(&status),
-            Err(_) => print_outcome(value),
+            Ok(status) => format_status(&status),
+            Err(_) => format_outcome(value),
         },
-        CatalogueCommand::History => print_history(value),
-        _ => print_outcome(value),
+        CatalogueCommand::History => format_history(value),
+        _ => format_outcome(value),
     }
 }
 
-fn print_outcome(value: &Value) -> String {
+fn format_outcome(value: &Value) -> String {
     let text = |key: &str| value[key].as_str().unwrap_or_default().to_owned();
     let mut lines = match value["code"].as_u64().and_then(|code| u16::try_from(code).ok()) {
         Some(code) if Some(ResultCode::EditAccepted) == ResultCode::from_number(code) => {
             match value["generation"].as_u64() {
                 Some(generation) => {
-                    format!("accepted: generation {generation}, edit {}\n", hex(value))
+                    format!("accepted: generation {generation}, edit {}\n", edit_id(value))
                 }
                 None => "would be accepted\n".into(),
             }
         }
-        Some(code) => format!("{} ({code}) {}{}\n", text("outcome"), hex(value), text("message")),
+        Some(code) => {
+            format!("{} ({code}) {}{}\n", text("outcome"), edit_id(value), text("message"))
+        }
         None => format!("{}\n", text("message")),
     };
     for row in value["refusals"].as_array().into_iter().flatten() {
@@ -145,16 +147,16 @@
             part("remedy")
         );
     }
-    lines.push_str(&print_history(&value["changes"]));
+    lines.push_str(&format_history(&value["changes"]));
     lines
 }
 
-/// The edit's id, with a blank behind it; an answer may give it as a number or as text.
-fn hex(value: &Value) -> String {
+/// Formats the id of an answer's edit with a trailing space; empty if the answer has none.
+fn edit_id(value: &Value) -> String {
     value["edit"].as_str().map_or(String::new(), |id| format!("{id} "))
 }
 
-fn print_history(value: &Value) -> String {
+fn format_history(value: &Value) -> String {
     let mut lines = String::new();
     for record in value.as_array().into_iter().flatten() {
         let part = |key: &str| record[key].as_str().unwrap_or_default();
@@ -175,8 +177,9 @@
     lines
 }
 
-/// A line for each model: how many instances are how far, and where the bytes came from.
-fn print_models(status: &FleetStatus) -> String {
+/// Formats a line for each model: how many instances are in which state, and the source of the
+/// bytes.
+fn format_models(status: &FleetStatus) -> String {
     let mut models: BTreeMap<&str, Vec<&VersionStatus>> = BTreeMap::new();
     for version in status.agents.iter().flat_map(|agent| &agent.versions) {
         models.entry(&version.model).or_default().push(version);
@@ -193,24 +196,26 @@
         let _ = writeln!(
             lines,
             "model {model}: {wanted} wanted: {states}; {origin} bytes from the origin, {peers} from peers{}",
-            print_finish(&versions)
+            format_remaining_time(&versions)
         );
     }
     lines
 }
 
-/// When the last of the copies will be whole, which leaves loads and waves out.
-fn print_finish(versions: &[&VersionStatus]) -> String {
-    let is_open = |version: &&&VersionStatus| version.held < version.total || version.total == 0;
-    let open: Vec<_> = versions.iter().filter(is_open).collect();
-    let unknown = open.iter().filter(|version| version.remaining_ms.is_none()).count();
-    let last = open.iter().filter_map(|version| version.remaining_ms).max();
+/// Formats the time until the last copy is fetched. The engines load the weights in waves after
+/// that, which is not included.
+fn format_remaining_time(versions: &[&VersionStatus]) -> String {
+    let is_incomplete =
+        |version: &&&VersionStatus| version.held < version.total || version.total == 0;
+    let incomplete: Vec<_> = versions.iter().filter(is_incomplete).collect();
+    let unknown = incomplete.iter().filter(|version| version.remaining_ms.is_none()).count();
+    let last = incomplete.iter().filter_map(|version| version.remaining_ms).max();
     let estimate = last.map(|ms| format!("; fetched in about {:.0} s", ms as f64 / 1_000.0));
-    let doubt = (unknown > 0).then(|| format!("; {unknown} without an estimate"));
-    estimate.into_iter().chain(doubt).collect()
+    let without_estimate = (unknown > 0).then(|| format!("; {unknown} without an estimate"));
+    estimate.into_iter().chain(without_estimate).collect()
 }
 
-fn print_status(status: &FleetStatus) -> String {
+fn format_status(status: &FleetStatus) -> String {
     let mut lines = format!("entry {}: generation {}\n", status.entry, status.generation);
     let behind = status.behind().count();
     let agents = status.agents.len();
@@ -220,7 +225,7 @@
         agents - behind,
         status.elsewhere
     );
-    lines.push_str(&print_models(status));
+    lines.push_str(&format_models(status));
     for agent in &status.agents {
         let silent =
             agent.silent_ms.map_or("never heard of".into(), |ms| format!("heard {ms} ms ago"));
--- a/mustardrill_entry/src/operators.rs
+++ b/mustardrill_entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' side: the catalogue, edits and the status over HTTP.
+//! Serves operators over HTTP: the catalogue, edits and the status.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,13 +23,13 @@
 use crate::context::EntryContext;
 use crate::editor::CatalogueEditor;
 
-/// Answers operators.
+/// Answers operators' requests.
 pub(crate) struct OperatorHandler {
-    inner: OperatorSide,
+    service: OperatorService,
 }
 
 #[derive(Clone)]
-struct OperatorSide {
+struct OperatorService {
     actor: ActorRef<EntryActor>,
     context: Arc<EntryContext>,
     editor: CatalogueEditor,
@@ -38,23 +38,23 @@
 impl OperatorHandler {
     pub(crate) fn new(actor: ActorRef<EntryActor>, context: Arc<EntryContext>) -> Self {
         let editor = CatalogueEditor { actor: actor.clone(), context: context.clone() };
-        Self { inner: OperatorSide { actor, context, editor } }
+        Self { service: OperatorService { actor, context, editor } }
     }
 }
 
 impl HttpHandler for OperatorHandler {
     fn handle(&self, request: Request<Incoming>, _: SocketAddr) -> BoxFuture<'static, AnyResponse> {
-        let side = self.inner.clone();
-        Box::pin(async move { side.answer(request).await })
+        let service = self.service.clone();
+        Box::pin(async move { service.answer(request).await })
     }
 }
 
-impl OperatorSide {
+impl OperatorService {
     async fn answer(self, request: Request<Incoming>) -> AnyResponse {
         let operator = bearer(request.headers()).and_then(|it| self.context.access.operator(it));
         let Some(operator) = operator.map(Box::<str>::from) else {
             let message = "send authorization: Bearer TOKEN with an operator's token";
-            return coded(ResultCode::OperatorRefused, json!({ "message": message }));
+            return coded_response(ResultCode::OperatorRefused, json!({ "message": message }));
         };
         let (head, body) = request.into_parts();
         let body = Limited::new(body, DOCUMENT_LIMIT).collect().await;
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Prints the newest catalogue; during an outage the one in force here, and says so.
+    /// Returns the newest catalogue; if the key-value service does not answer, the one in force at
+    /// this entry, marked as such.
     async fn show(&self, uri: &Uri) -> AnyResponse {
         let (document, is_newest) = match self.editor.read().await {
             Ok((document, _)) => (document, true),
@@ -97,8 +98,8 @@
 
     async fn history(&self) -> AnyResponse {
         match self.editor.read().await {
-            Ok((document, _)) => json_response(StatusCode::OK, &history_of(&document)),
-            Err(error) => unavailable(&error),
+            Ok((document, _)) => json_response(StatusCode::OK, &history_rows(&document)),
+            Err(error) => unavailable_response(&error),
         }
     }
 
@@ -110,24 +111,27 @@
     }
 
     async fn check(&self, operator: Box<str>, uri: &Uri, text: &str) -> AnyResponse {
-        let request = match request_of(operator, uri, text) {
+        let request = match parse_edit(operator, uri, text) {
             Ok(request) => request,
-            Err(refusals) => return refused(&refusals),
+            Err(refusals) => return refused_response(&refusals),
         };
         match self.editor.check(&request).await {
             Ok(Ok((document, next))) => {
                 let changes = changes_between(&document, &next);
-                coded(ResultCode::EditAccepted, json!({ "would": "accept", "changes": changes }))
+                coded_response(
+                    ResultCode::EditAccepted,
+                    json!({ "would": "accept", "changes": changes }),
+                )
             }
-            Ok(Err(refusals)) => refused(&refusals),
-            Err(error) => unavailable(&error),
+            Ok(Err(refusals)) => refused_response(&refusals),
+            Err(error) => unavailable_response(&error),
         }
     }
 
     async fn apply(&self, operator: Box<str>, uri: &Uri, text: &str) -> AnyResponse {
-        match request_of(operator, uri, text) {
-            Ok(request) => self.make(request).await,
-            Err(refusals) => refused(&refusals),
+        match parse_edit(operator, uri, text) {
+            Ok(request) => self.make_edit(request).await,
+            Err(refusals) => refused_response(&refusals),
         }
     }
 
@@ -137,7 +141,7 @@
             return text_response(StatusCode::BAD_REQUEST, "name the edit: ?edit=ID\n");
         };
         let change = EditChange::Undo(undone);
-        self.make(EditRequest { id: edit_id(uri), operator, change }).await
+        self.make_edit(EditRequest { id: edit_id(uri), operator, change }).await
     }
 
     async fn settle(&self, id: &str) -> AnyResponse {
@@ -147,47 +151,54 @@
         }
     }
 
-    async fn make(&self, request: EditRequest) -> AnyResponse {
-        // The edit goes on when the operator's connection breaks; the id settles it later.
+    async fn make_edit(&self, request: EditRequest) -> AnyResponse {
+        // In a task of its own, so that the edit goes on if the operator's connection breaks. Its
+        // outcome can be looked up later by its id.
         let (editor, id) = (self.editor.clone(), request.id);
-        let making = tokio::spawn(async move { editor.apply(request).await });
-        outcome_response(id, &making.await.unwrap_or(EditOutcome::NotYetKnown))
+        let edit_task = tokio::spawn(async move { editor.apply(request).await });
+        outcome_response(id, &edit_task.await.unwrap_or(EditOutcome::NotYetKnown))
     }
 }
 
-fn request_of(operator: Box<str>, uri: &Uri, text: &str) -> Result<EditRequest, Vec<EditRefusal>> {
+fn parse_edit(operator: Box<str>, uri: &Uri, text: &str) -> Result<EditRequest, Vec<EditRefusal>> {
     let file = query(uri, "file").unwrap_or("file");
     let change = EditChange::Drafts(read_drafts(file, text)?);
     Ok(EditRequest { id: edit_id(uri), operator, change })
 }
 
-/// The id that the operator chose, so that a retry is known as one; else one of our own.
+/// The edit id that the operator chose, by which a retry is recognised, or a random one.
 fn edit_id(uri: &Uri) -> EditId {
-    let named = query(uri, "id").and_then(|text| text.parse().ok());
-    named.unwrap_or_else(|| EditId(rand::random()))
+    let chosen = query(uri, "id").and_then(|text| text.parse().ok());
+    chosen.unwrap_or_else(|| EditId(rand::random()))
 }
 
 fn outcome_response(id: EditId, outcome: &EditOutcome) -> AnyResponse {
     match outcome {
-        EditOutcome::Accepted(generation) => coded(
+        EditOutcome::Accepted(generation) => coded_response(
             ResultCode::EditAccepted,
             json!({ "edit": id.to_string(), "generation": generation }),
         ),
-        EditOutcome::Refused(refusals) => refused(refusals),
+        EditOutcome::Refused(refusals) => refused_response(refusals),
         EditOutcome::Unavailable => {
             let message = "the key-value service does not answer; nothing was written, try again";
-            coded(ResultCode::EditRefused, json!({ "edit": id.to_string(), "message": message }))
+            coded_response(
+                ResultCode::EditRefused,
+                json!({ "edit": id.to_string(), "message": message }),
+            )
         }
         EditOutcome::NotYetKnown => {
             let message = "it may or may not be written: ask again with `catalogue settle EDIT`, or apply it again with the same id";
-            coded(ResultCode::EditUnknown, json!({ "edit": id.to_string(), "message": message }))
+            coded_response(
+                ResultCode::EditUnknown,
+                json!({ "edit": id.to_string(), "message": message }),
+            )
         }
     }
 }
 
-fn refused(refusals: &[EditRefusal]) -> AnyResponse {
+fn refused_response(refusals: &[EditRefusal]) -> AnyResponse {
     let rows: Vec<_> = refusals.iter().map(refusal_row).collect();
-    coded(ResultCode::EditRefused, json!({ "refusals": rows }))
+    coded_response(ResultCode::EditRefused, json!({ "refusals": rows }))
 }
 
 fn refusal_row(refusal: &EditRefusal) -> Value {
@@ -202,12 +213,12 @@
     })
 }
 
-fn unavailable(error: &KeyValueError) -> AnyResponse {
+fn unavailable_response(error: &KeyValueError) -> AnyResponse {
     let message = format!("{error}; try again");
     json_response(StatusCode::SERVICE_UNAVAILABLE, &json!({ "message": message }))
 }
 
-fn coded(code: ResultCode, mut body: Value) -> AnyResponse {
+fn coded_response(code: ResultCode, mut body: Value) -> AnyResponse {
     body["code"] = code.number().into();
     body["outcome"] = match code {
         ResultCode::EditAccepted => "accepted",
@@ -219,7 +230,7 @@
     json_response(status, &body)
 }
 
-fn history_of(document: &CatalogueDocument) -> Vec<Value> {
+fn history_rows(document: &CatalogueDocument) -> Vec<Value> {
     let rows = document.edits.iter().rev().map(|record| {
         let changes: Vec<_> = record
             .changes
@@ -241,5 +252,5 @@
         entries: document.entries.clone(),
         edits: next.edits.last().cloned().into_iter().collect(),
     };
-    history_of(&newest)
+    history_rows(&newest)
 }
--- a/mustardrill_entry/src/status.rs
+++ b/mustardrill_entry/src/status.rs
@@ -1,4 +1,4 @@
-//! What one entry knows of the fleet, for operators.
+//! The state of the fleet as one entry knows it, for operators.
 
 use kameo::Reply;
 use mustardrill_core::entry::EntryReducer;
@@ -8,83 +8,83 @@
 /// The fleet as one entry sees it.
 #[derive(Debug, Clone, Reply, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The entry that answers.
+    /// Instance of the entry that reports.
     pub entry: Box<str>,
-    /// The generation in force there.
+    /// Generation of the catalogue in force at the entry.
     pub generation: u64,
-    /// Whether the entry takes no new work.
+    /// Whether the entry is draining and refuses new requests.
     pub leaving: bool,
-    /// The agents that this entry talks to.
+    /// The agents with which the entry exchanges heartbeats.
     pub agents: Vec<AgentStatus>,
-    /// The instances of the list that this entry does not talk to.
+    /// Number of listed instances with which the entry exchanges no heartbeats.
     pub elsewhere: usize,
 }
 
-/// One agent as an entry sees it.
+/// State of one agent as an entry knows it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AgentStatus {
-    /// The instance.
+    /// Instance that the agent runs on.
     pub instance: Box<str>,
-    /// Its service.
+    /// Service of the instance; empty if the instance is not listed.
     pub service: Box<str>,
-    /// Its data centre.
+    /// Data centre of the instance; empty if the instance is not listed.
     pub data_centre: Box<str>,
-    /// The generation in force there.
+    /// Generation of the catalogue in force at the agent.
     pub generation: u64,
-    /// Since when nothing was heard of it, in milliseconds; absent where nothing ever was.
+    /// Milliseconds since its last report; absent if it never reported.
     pub silent_ms: Option<u64>,
-    /// Whether it takes no new work.
+    /// Whether the agent is draining and refuses new requests.
     pub leaving: bool,
-    /// Requests queued and running.
+    /// Requests queued and running at the agent.
     pub outstanding: u32,
-    /// The manifests that its upstream serves.
+    /// Digests of the manifests that its upstream serves.
     pub serving: Vec<Box<str>>,
-    /// The versions that it is to serve.
+    /// Progress with the versions that the agent has to serve.
     pub versions: Vec<VersionStatus>,
 }
 
-/// How far one version is at one agent.
+/// Progress of one agent with one version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct VersionStatus {
-    /// The model.
+    /// Name of the model.
     pub model: Box<str>,
-    /// The manifest.
+    /// Digest of the version's manifest.
     pub manifest: Box<str>,
-    /// Where it stands.
+    /// `manifest`, `fetching`, `staged`, `loading`, `serving` or `stuck`.
     pub state: Box<str>,
-    /// Chunks held.
+    /// Chunks stored and verified.
     pub held: u32,
-    /// Chunks in all.
+    /// Chunks of the version.
     pub total: u32,
-    /// Bytes drawn from the origin.
+    /// Bytes fetched from the origin.
     pub origin_bytes: u64,
-    /// Bytes drawn from peers.
+    /// Bytes fetched from peers.
     pub peer_bytes: u64,
-    /// Milliseconds until all chunks are held; absent where that can't be told.
+    /// Estimated milliseconds until all chunks are stored; absent if there is no estimate.
     pub remaining_ms: Option<u64>,
-    /// What is in the way.
+    /// What prevents progress; empty if nothing does.
     pub trouble: Box<str>,
 }
 
 impl FleetStatus {
-    /// Reads the status from a reducer.
+    /// Builds the status from the state of the reducer.
     pub(crate) fn of(now: Moment, own: &InstanceId, reducer: &EntryReducer) -> Self {
         let mut agents: Vec<_> = reducer
             .agents()
             .map(|(id, generation, progress)| {
                 let record = reducer.members().get(id);
-                let view = reducer.routing().get(id);
+                let upstream = reducer.routing().get(id);
                 AgentStatus {
                     instance: id.as_str().into(),
                     service: record.map_or("".into(), |record| record.service.as_str().into()),
                     data_centre: record
                         .map_or("".into(), |record| record.data_centre.as_str().into()),
                     generation: generation.0,
-                    silent_ms: view.map(|view| now.since(view.reported_at()).0),
-                    leaving: view.is_some_and(|view| view.report.leaving),
-                    outstanding: view.map_or(0, |view| view.report.outstanding),
-                    serving: view.map_or_else(Vec::new, |view| {
-                        view.report.serving.iter().map(|it| it.to_string().into()).collect()
+                    silent_ms: upstream.map(|upstream| now.since(upstream.reported_at()).0),
+                    leaving: upstream.is_some_and(|upstream| upstream.report.leaving),
+                    outstanding: upstream.map_or(0, |upstream| upstream.report.outstanding),
+                    serving: upstream.map_or_else(Vec::new, |upstream| {
+                        upstream.report.serving.iter().map(|it| it.to_string().into()).collect()
                     }),
                     versions: progress.iter().map(VersionStatus::of).collect(),
                 }
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The agents in which the entry's generation is not in force.
+    /// Returns the agents with an older generation than the entry's.
     pub fn behind(&self) -> impl Iterator<Item = &AgentStatus> {
         self.agents.iter().filter(|agent| agent.generation < self.generation)
     }
--- a/mustardrill_entry/src/watch.rs
+++ b/mustardrill_entry/src/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the catalogue and the instance list of the platform.
+//! Watches the catalogue in the platform's key-value service and polls its instance list.
 
 use std::sync::Arc;
 
@@ -12,85 +12,87 @@
 use crate::actor::{EntryActor, Event};
 use crate::context::{CATALOGUE_KEY, EntryContext};
 
-/// How long one watch waits for a change.
-const WATCH: Millis = Millis(20_000);
+/// How long one watch waits for a change of the catalogue.
+const WATCH_WAIT: Millis = Millis(20_000);
 
-/// The longest wait after a first failed watch; each failure doubles it.
+/// The longest backoff after the first failed watch; each further failure doubles it.
 const FIRST_BACKOFF: Millis = Millis(400);
 
-/// The longest wait after a failed watch.
-const LONGEST_BACKOFF: Millis = Millis(3_000);
+/// The longest backoff after any number of failed watches.
+const MAX_BACKOFF: Millis = Millis(3_000);
 
-/// Follows the catalogue by one watch. An outage changes nothing of what is in force.
+/// Starts the task that watches the catalogue. During an outage of the key-value service the
+/// catalogue in force stays in force.
 pub(crate) fn spawn_catalogue(actor: ActorRef<EntryActor>, context: Arc<EntryContext>) {
     tokio::spawn(async move {
-        let mut known = 0;
-        let mut backoff = RetryBackoff::new(FIRST_BACKOFF, LONGEST_BACKOFF);
-        let mut is_away = false;
-        let mut patience = Millis(0);
+        let mut known_revision = 0;
+        let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MAX_BACKOFF);
+        let mut is_unavailable = false;
+        let mut wait = Millis(0);
         while !context.halt.is_cancelled() {
             let watched = tokio::select! {
-                watched = context.key_value.watch(CATALOGUE_KEY, known, patience) => watched,
+                watched = context.key_value.watch(CATALOGUE_KEY, known_revision, wait) => watched,
                 () = context.halt.cancelled() => return,
             };
-            patience = WATCH;
+            wait = WATCH_WAIT;
             let Ok(value) = watched else {
-                if !is_away {
+                if !is_unavailable {
                     warn!(
                         "catalogue decision=keep reason=\"the key-value service does not answer\""
                     );
                 }
-                is_away = true;
+                is_unavailable = true;
                 let pause = backoff.failed(&mut rand::rng());
                 tokio::time::sleep(pause.to_std()).await;
-                // After an outage the first read answers at once.
-                patience = Millis(0);
+                // After an outage the catalogue is first read without waiting for a change.
+                wait = Millis(0);
                 continue;
             };
             backoff.answered();
-            is_away = false;
-            if value.revision == known {
+            is_unavailable = false;
+            if value.revision == known_revision {
                 continue;
             }
-            known = value.revision;
+            known_revision = value.revision;
             match CatalogueDocument::decode(&value.bytes) {
                 Ok(document) => {
                     let event = EntryEvent::CatalogueSeen(Arc::new(document));
                     let _ = actor.tell(Event(event)).await;
                 }
                 Err(error) => {
-                    warn!("catalogue revision={known} decision=keep reason=\"{error}\"");
+                    warn!("catalogue revision={known_revision} decision=keep reason=\"{error}\"");
                 }
             }
         }
     });
 }
 
-/// Reads the instance list again and again.
+/// Starts the task that reads the instance list every `interval`. If it can't be read, the last one
+/// stays in force.
 pub(crate) fn spawn_instances(
     actor: ActorRef<EntryActor>,
     context: Arc<EntryContext>,
-    every: Millis,
+    interval: Millis,
 ) {
     tokio::spawn(async move {
-        let mut is_away = false;
+        let mut is_unavailable = false;
         while !context.halt.is_cancelled() {
             match context.instances.read().await {
                 Ok(listing) => {
-                    is_away = false;
+                    is_unavailable = false;
                     let addresses: Vec<_> =
                         listing.instances.iter().map(|record| record.agent.clone()).collect();
                     context.agents.retain(&addresses);
                     let _ = actor.tell(Event(EntryEvent::EntriesCounted(listing.entries))).await;
                     let _ = actor.tell(Event(EntryEvent::InstancesSeen(listing.instances))).await;
                 }
-                Err(error) if !is_away => {
-                    is_away = true;
+                Err(error) if !is_unavailable => {
+                    is_unavailable = true;
                     warn!("instances decision=keep reason=\"{error}\"");
                 }
                 Err(_) => {}
             }
-            tokio::time::sleep(every.to_std()).await;
+            tokio::time::sleep(interval.to_std()).await;
         }
     });
 }
