--- a/mustardrill_entry/src/direct/attempt.rs
+++ b/mustardrill_entry/src/direct/attempt.rs
@@ -260,7 +260,7 @@
     ) {
         if connection.wait_for_answer_end().await {
             let now = self.context.clock.now();
-            self.context.pool.keep(now, &plan.upstream, connection, headers, plan.connections);
+            self.context.pool.put_back(now, &plan.upstream, connection, headers, plan.connections);
         }
     }
 
--- a/mustardrill_entry/src/direct/connections.rs
+++ b/mustardrill_entry/src/direct/connections.rs
@@ -30,7 +30,8 @@
 /// lost power or its network sends nothing more, and the kernel's default would wait for minutes.
 const UNACKNOWLEDGED_TIMEOUT_MS: u32 = 1_200;
 
-/// How long an idle connection may be reused if the upstream sends no `keep-alive` timeout.
+/// The longest idle time after which a connection is reused. A shorter `keep-alive` timeout of the
+/// upstream takes precedence.
 const MAX_IDLE_TIME: Millis = Millis(3_000);
 
 /// How long before the upstream's `keep-alive` timeout a connection is no longer reused.
@@ -112,17 +113,17 @@
         runs_once: bool,
     ) -> Option<UpstreamConnection> {
         let mut idle = self.idle.lock().expect("no lock holder panics");
-        let kept = idle.get_mut(upstream)?;
-        kept.retain(|it| it.reusable_until > now && !it.connection.sender.is_closed());
-        let index = kept
+        let connections = idle.get_mut(upstream)?;
+        connections.retain(|it| it.reusable_until > now && !it.connection.sender.is_closed());
+        let index = connections
             .iter()
             .rposition(|it| !runs_once || now.since(it.idle_since) < MAX_IDLE_TIME_RUNS_ONCE)?;
-        Some(kept.swap_remove(index).connection)
+        Some(connections.swap_remove(index).connection)
     }
 
     /// Returns a connection whose last answer has ended to the pool, which holds at most `limit`
     /// idle connections per upstream.
-    pub(crate) fn keep(
+    pub(crate) fn put_back(
         &self,
         now: Moment,
         upstream: &InstanceId,
@@ -130,18 +131,22 @@
         headers: &HeaderMap,
         limit: u32,
     ) {
-        let Some(span) = max_idle_time(headers) else { return };
+        let Some(idle_time) = max_idle_time(headers) else { return };
         if connection.sender.is_closed() {
             return;
         }
         connection.reused = true;
         let mut idle = self.idle.lock().expect("no lock holder panics");
-        let kept = idle.entry(upstream.clone()).or_default();
-        kept.retain(|it| it.reusable_until > now && !it.connection.sender.is_closed());
-        if kept.len() < limit.max(1) as usize {
-            kept.push(IdleConnection { connection, idle_since: now, reusable_until: now + span });
+        let connections = idle.entry(upstream.clone()).or_default();
+        connections.retain(|it| it.reusable_until > now && !it.connection.sender.is_closed());
+        if connections.len() < limit.max(1) as usize {
+            connections.push(IdleConnection {
+                connection,
+                idle_since: now,
+                reusable_until: now + idle_time,
+            });
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 }
 
@@ -218,8 +223,8 @@
     }
     let timeout = text("keep-alive").and_then(|value| value.split("timeout=").nth(1));
     let seconds = timeout.and_then(|timeout| timeout.split(',').next()?.trim().parse::<u64>().ok());
-    let span = seconds.map_or(MAX_IDLE_TIME, |seconds| {
+    let idle_time = seconds.map_or(MAX_IDLE_TIME, |seconds| {
         Millis((seconds * 1_000).saturating_sub(KEEP_ALIVE_MARGIN.0)).min(MAX_IDLE_TIME)
     });
-    (span.0 > 0).then_some(span)
+    (idle_time.0 > 0).then_some(idle_time)
 }
