--- a/mustardrill_core/src/direct/admit.rs
+++ b/mustardrill_core/src/direct/admit.rs
@@ -1,29 +1,31 @@
-//! Whether a request may be served, by the configuration and the proof that it is the newest.
+//! Admission: whether a request may be served under the configuration, which must be confirmed as
+//! current.
 
 use log::info;
 use mustardrill_types::{Millis, Moment, ResultCode, ServiceName};
 use rand::Rng;
 
 use crate::direct::event::{DirectEffect, DirectRequest, RefusalPlan, RequestNumber};
-use crate::direct::placing::forecast::EngineForecast;
+use crate::direct::placement::forecast::EngineForecast;
 use crate::direct::reducer::DirectReducer;
 use crate::direct::request::RequestState;
 use crate::direct::route::{CustomerRecord, RouteDocument, RouteRule};
 
-/// When a caller may come back to an entry that has no proof of its configuration.
+/// When a caller may retry at an entry whose configuration is not confirmed as current.
 ///
-/// Another entry may have one, and the balancer gives each new connection to another.
+/// Another entry may have a current one, and the load balancer gives each new connection to another
+/// entry.
 const PROOF_RETRY: Millis = Millis(300);
 
 impl DirectReducer {
-    /// Takes a request that came now: begins it, holds it for the store's answer, or refuses it.
+    /// Admits a new request, holds it until the store answers, or refuses it.
     pub(super) fn arrived(&mut self, now: Moment, request: DirectRequest) -> Vec<DirectEffect> {
-        // The store is about to answer, as far as is known.
+        // The store is expected to answer soon.
         let may_hold = !self.store_away;
         self.take(now, request, may_hold)
     }
 
-    /// Begins or refuses a request that was held.
+    /// Admits or refuses a request that was held.
     pub(super) fn release_held(
         &mut self,
         now: Moment,
@@ -45,13 +47,13 @@
         }
     }
 
-    /// Begins or refuses all requests that were held.
+    /// Admits or refuses all held requests.
     pub(super) fn release_all_held(&mut self, now: Moment) -> Vec<DirectEffect> {
         let held = self.held.take_all();
         held.flat_map(|request| self.release_held(now, request)).collect()
     }
 
-    /// Whether a configuration is proved to be the newest, and the others know no newer one.
+    /// Whether the configuration is confirmed as current and no peer reports a newer one.
     pub(super) fn is_current(&self, now: Moment, document: &RouteDocument) -> bool {
         self.config_proof.is_fresh(now, self.settings.proof_limit)
             && self.word.allows(now, document.generation)
@@ -92,7 +94,8 @@
         vec![DirectEffect::Refuse(request.number, plan)]
     }
 
-    /// Checks who calls and what: the route and the customer of a request that may be served.
+    /// Checks the caller and the path. Returns the route and the customer of a request that may be
+    /// served.
     fn judge<'a>(
         &self,
         now: Moment,
@@ -110,9 +113,8 @@
         allowed.map_err(refuse)
     }
 
-    /// Whether a request that was admitted earlier may still be sent under the configuration in
-    /// force; moves it to another service where its route moved, and to another customer where its
-    /// key did.
+    /// Checks again, under the configuration in force, whether an admitted request may be sent.
+    /// Assigns it to another service or customer where its route or its key now belongs to another.
     pub(super) fn readmit(&mut self, now: Moment, number: RequestNumber) -> Result<(), ResultCode> {
         let document = self.document.clone().ok_or(ResultCode::NotCurrent)?;
         let is_fresh = self.is_current(now, &document);
@@ -127,7 +129,8 @@
     }
 }
 
-/// Checks who calls and what, under a configuration that is proved to be the newest or is not.
+/// Checks the caller and the path. `is_fresh` tells whether the configuration is confirmed as
+/// current.
 fn allow<'a>(
     document: &'a RouteDocument,
     is_fresh: bool,
@@ -135,14 +138,14 @@
     path: &str,
     key: Option<&str>,
 ) -> Result<(&'a RouteRule, Option<&'a CustomerRecord>), ResultCode> {
-    // What an older configuration does not know, the newest one may.
+    // The newest configuration may know what this older one does not.
     let unknown = |code| if is_fresh { code } else { ResultCode::NotCurrent };
     let route = document.route(host, path).ok_or(unknown(ResultCode::UnknownModel))?;
     let customer = key.and_then(|key| document.customer(key));
     if customer.is_none() && !route.public && document.has_customers() {
         return Err(unknown(ResultCode::UnknownCustomer));
     }
-    // A key may have been taken away since the last proof.
+    // A key may have been revoked since the configuration was last confirmed.
     if customer.is_some() && !is_fresh {
         return Err(ResultCode::NotCurrent);
     }
--- a/mustardrill_core/src/direct/dispatch.rs
+++ b/mustardrill_core/src/direct/dispatch.rs
@@ -1,4 +1,4 @@
-//! How an entry sends requests to upstreams, and how each of them ends.
+//! Dispatch: sending attempts to upstreams and processing their outcomes.
 
 use log::info;
 use mustardrill_types::{InstanceId, Millis, Moment, ResultCode, WeightVersion};
@@ -8,7 +8,7 @@
 use crate::direct::request::RequestStage;
 
 impl DirectReducer {
-    /// Sends a request that came now, lets it wait, or refuses it at once.
+    /// Sends an admitted request, queues it, or refuses it at once.
     pub(super) fn start(&mut self, now: Moment, number: RequestNumber) -> Vec<DirectEffect> {
         let Some(state) = self.requests.get(&number) else { return Vec::new() };
         let service = state.service.clone();
@@ -33,7 +33,7 @@
         }
         let Some(state) = self.requests.get(&number) else { return Vec::new() };
         let Some(target) = self.upstreams.get(&upstream) else { return Vec::new() };
-        // Its route has moved to another service while it waited.
+        // The request's route moved to another service while it waited.
         if target.record.service != state.service {
             return self.start(now, number);
         }
@@ -43,14 +43,15 @@
         let address = target.record.address;
         let profile = self.document.as_ref().and_then(|it| it.service(&state.service));
         let entries = self.peers().len() as u32 + 1;
-        // Once a version has replaced others the one believed is demanded, should the belief be wrong.
+        // Once a version has superseded another, the version expected here is required explicitly,
+        // in case the expectation is wrong.
         let pinned = state.pinned.or_else(|| {
-            let floor = self.floor(now, state, target)?;
-            let believed = target.version_of(state.model.as_ref()?)?;
-            (floor.0 > 1).then_some(believed)
+            let oldest_allowed = self.floor(now, state, target)?;
+            let expected = target.version_of(state.model.as_ref()?)?;
+            (oldest_allowed.0 > 1).then_some(expected)
         });
         let weights = self.weights_at(state, &upstream);
-        // Where nothing replaces them there is nothing to be forecast.
+        // A forecast is needed only for weights that are being superseded.
         let newest = state.model.as_ref().and_then(|model| self.versions.newest(model));
         let forecast = if weights < newest { self.begin_time(state, target) } else { Millis(0) };
         let replaced = weights.and_then(|version| self.replaced_attempt(state, version, forecast));
--- a/mustardrill_core/src/direct/event.rs
+++ b/mustardrill_core/src/direct/event.rs
@@ -1,4 +1,4 @@
-//! What an entry that sends to upstreams itself sees, and what it does about it, as data.
+//! Events and effects of the direct mode's reducer, and its settings.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,264 +9,273 @@
 
 use crate::direct::fleet::page::FleetPage;
 use crate::direct::fleet::telling::LoadNews;
-use crate::direct::placing::forecast::WorkSize;
+use crate::direct::placement::forecast::WorkSize;
 use crate::direct::repeats::spending::RetryShare;
 use crate::direct::route::RepeatRule;
 use crate::direct::store::contact::AnswerSpan;
 use crate::direct::versions::table::NamingWord;
 use crate::quarantine::CrashWord;
 
-/// The number of a request within one entry.
+/// Identifies a request within one entry process.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
-/// A request as it came from a caller.
+/// A caller's request, parsed but not yet admitted.
 #[derive(Debug, Clone)]
 pub struct DirectRequest {
-    /// The request.
+    /// The number under which later events and effects refer to it.
     pub number: RequestNumber,
-    /// The caller's own name for it, which upstreams are told and log lines show.
+    /// The caller's attempt ID, forwarded to upstreams and shown in log lines.
     pub attempt: Box<str>,
-    /// The host that it is for.
+    /// The host header; may carry a port and upper-case letters.
     pub host: Box<str>,
-    /// Its path without a query.
+    /// The path without the query string.
     pub path: Box<str>,
-    /// Its method, path, query and body, whoever sends it.
+    /// Digest of method, path, query and body, without the caller's identity.
     pub content: RequestDigest,
-    /// The key that the caller showed.
+    /// The API key, if the caller sent one.
     pub key: Option<Box<str>>,
-    /// How long the caller waits; nothing where it did not say.
+    /// How long the caller waits for the answer; `None` where the request states no timeout.
     pub patience: Option<Millis>,
-    /// When its head came.
+    /// When the request head was received.
     pub arrived: Moment,
-    /// The model that it is for, where it is for one.
+    /// The model, where the request addresses one.
     pub model: Option<ModelName>,
-    /// How large it is, as far as the caller says.
+    /// Prompt and answer length, as far as the caller states them.
     pub size: WorkSize,
-    /// Whether the caller goes on with a stream that another connection began.
+    /// Whether the caller resumes a stream that started on another connection.
     pub resumes: bool,
 }
 
-/// How an attempt ended.
+/// The outcome of sending a request to an upstream once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer came and goes, or went, to the caller.
+    /// The complete answer was received and is being, or was, delivered to the caller.
     Whole,
-    /// The upstream ran the request and failed; its whole answer is at hand.
+    /// The upstream ran the request and failed; its complete error answer is available.
     Failed,
-    /// The upstream says that it did not run the request: it is full.
+    /// The upstream reports that it is full and did not run the request.
     Full,
-    /// The upstream says that it did not run the request: another start of it, or other weights.
+    /// The upstream reports that it did not run the request: it is another incarnation than the one
+    /// addressed, or serves other weights.
     Misdirected,
-    /// No connection could be made, so nothing was sent.
+    /// The connection could not be established, so nothing was sent.
     NotSent,
-    /// It was taken back before its answer began.
+    /// The entry withdrew the attempt before its answer started.
     Withdrawn {
-        /// Whether the upstream may have had it.
+        /// Whether the upstream may have received the request.
         sent: bool,
     },
-    /// The attempt was sent, may have run, and has no whole answer.
+    /// The attempt was sent and may have run, but there is no complete answer.
     Lost {
-        /// Whether the caller has events of it already.
+        /// Whether the caller has received events of the answer.
         delivered: bool,
-        /// Whether the upstream has ended, and not only the connection.
+        /// Whether the upstream process crashed, rather than just the connection.
         crashed: bool,
     },
 }
 
-/// The load that an upstream told with an answer.
+/// The load that an upstream reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests running.
+    /// Requests that the upstream is running.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests queued inside the upstream.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Requests that the upstream can run concurrently.
     pub slots: u32,
 }
 
-/// What one entry has at an upstream.
+/// The load that one entry has placed on an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UpstreamLoad {
-    /// Its requests there.
+    /// Requests of the entry that are at the upstream.
     pub requests: u32,
-    /// How long the engine takes to read the prompts of those that have no answer yet.
+    /// Total prefill time of those requests whose answer has not started.
     pub reading: Millis,
 }
 
-/// What another entry has at upstreams.
+/// The load that a peer entry has placed on upstreams.
 #[derive(Debug, Clone)]
 pub struct PeerLoad {
-    /// The entry.
+    /// The peer entry.
     pub from: InstanceId,
-    /// What it has at upstreams.
+    /// The update that it broadcast; either a snapshot or only the changed rows.
     pub news: LoadNews,
 }
 
-/// Something that happened at or to the entry.
+/// An input of the reducer.
 #[derive(Debug, Clone)]
 pub enum DirectEvent {
     /// A caller sent a request.
     Arrived(DirectRequest),
-    /// The caller is gone, or its answer has ended.
+    /// The caller disconnected, or its answer has been delivered completely.
     Gone(RequestNumber),
-    /// An answer began.
+    /// The answer to the current attempt started; with the upstream's load and the weights that
+    /// produce it, where reported.
     Answering(RequestNumber, Option<LoadReport>, Option<WeightVersion>),
-    /// An attempt ended.
+    /// The current attempt of the request ended.
     Ended(RequestNumber, AttemptOutcome),
-    /// The store answered; the call was sent at that moment.
+    /// The store answered a call that was sent at the given moment.
     Fleet(FleetPage, Moment),
-    /// The store did not answer.
+    /// A call to the store failed or timed out.
     StoreFailed,
-    /// Another entry told its load.
+    /// A peer entry broadcast its load.
     PeerHeard(PeerLoad),
-    /// Another entry told since when the store has answered somebody.
+    /// A peer entry reported for which span the store has been answering.
     ContactHeard(AnswerSpan),
-    /// Another entry told when versions were named.
+    /// A peer entry reported when versions were announced.
     NamingsHeard(Vec<NamingWord>),
-    /// Another entry told which configuration it has in force.
+    /// A peer entry reported the generation of its configuration in force.
     GenerationHeard(Generation),
-    /// Another entry told of a request under which an upstream ended.
+    /// A peer entry reported that an upstream crashed while it ran a request.
     CrashHeard(CrashWord),
-    /// An agent tells of its engine and a model.
+    /// An agent reports the state of its engine for a model.
     EngineHeard {
-        /// Where the engine listens.
+        /// The engine's listening address, which identifies the upstream.
         address: SocketAddr,
-        /// The model.
+        /// The model whose weights the notice is about.
         model: ModelName,
-        /// What is told.
+        /// The reported state.
         word: EngineWord,
     },
-    /// The moment came for which `DirectEffect::Wake` asked.
+    /// The moment of an earlier `DirectEffect::SetTimer` was reached.
     Woke,
 }
 
-/// What an agent tells of its engine.
+/// An agent's notice about its engine's weights.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq)]
 pub enum EngineWord {
-    /// Newer weights will be there soon; it serves on meanwhile what it has.
+    /// Newer weights arrive soon; the engine keeps serving its current ones until then.
     #[display("coming")]
     Coming,
-    /// It will load newer weights after so long, and serves on until then.
+    /// The engine starts to load newer weights after this time and serves until then.
     #[display("closing:{_0}")]
     Closing(Millis),
-    /// It takes no requests while it loads weights.
+    /// The engine is loading weights and accepts no requests.
     #[display("pausing")]
     Pausing,
-    /// It takes requests and serves this version.
+    /// The engine accepts requests and serves this version.
     #[display("serving:{_0}")]
     Serving(WeightVersion),
 }
 
-/// Something that the entry does.
+/// An output of the reducer, which the entry carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectEffect {
-    /// Send a request to an upstream.
+    /// Send the request to an upstream.
     Send(RequestNumber, SendPlan),
-    /// Tell the caller that there is no answer, or cut the one that is under way.
+    /// Answer the caller with a refusal, or cut the answer that is being delivered.
     Refuse(RequestNumber, RefusalPlan),
-    /// Take an attempt back whose answer has not begun, and close its connection.
+    /// Cancel an attempt whose answer has not started, and close its connection.
     Withdraw(RequestNumber),
-    /// Give the caller the upstream's failure that is at hand.
+    /// Deliver the upstream's error answer, which is available, to the caller.
     PassOn(RequestNumber),
-    /// Tell the agents on these machines that a version was named.
+    /// Notify the agents on these machines that a version was announced.
     TellAgents(ModelName, WeightVersion, Vec<IpAddr>),
-    /// Keep in the store for so long that a request is run no more.
+    /// Record in the store that this request must not run for the given time.
     KeepQuarantine(RequestDigest, Millis),
-    /// Take that back.
+    /// Remove that record from the store.
     EndQuarantine(RequestDigest),
-    /// Send `DirectEvent::Woke` at that moment.
+    /// Deliver `DirectEvent::TimerFired` at this moment.
     Wake(Moment),
 }
 
-/// An attempt to be sent.
+/// Everything the entry needs to send one attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SendPlan {
-    /// The upstream.
+    /// The upstream that gets the attempt.
     pub upstream: InstanceId,
-    /// Where it listens.
+    /// The upstream's address.
     pub address: SocketAddr,
-    /// Connections to it that this entry may keep.
+    /// How many connections to the upstream this entry may keep; 0 where no limit is configured.
     pub connections: u32,
-    /// Who calls; nothing on a public route without a key.
+    /// The calling customer; `None` on a public route without a key.
     pub customer: Option<CustomerName>,
-    /// The weights that the answer must be made from, where only those will do.
+    /// The version that must produce the answer, where only that one is allowed.
     pub pinned: Option<WeightVersion>,
-    /// When the caller's time ends.
+    /// When the caller's timeout ends.
     pub deadline: Moment,
-    /// It is not sent later than this.
+    /// The attempt is not sent after this moment.
     pub begin_by: Option<Moment>,
-    /// How long the upstream may be silent before and within its answer.
+    /// How long the upstream may send nothing, before and within its answer, until the attempt
+    /// counts as lost.
     pub silence: Millis,
-    /// What may be repeated.
+    /// Whether the request may run again after an attempt that may have run.
     pub repeat: RepeatRule,
-    /// The rank towards the upstream; zero is the most urgent.
+    /// The priority sent to the upstream; zero is the most urgent.
     pub priority: u8,
 }
 
-/// Why there is no answer.
+/// Why a request is refused, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusalPlan {
-    /// The code.
+    /// The result code that the caller receives.
     pub code: ResultCode,
-    /// When it is worth coming back.
+    /// How long the caller should wait before it retries.
     pub retry_after: Millis,
 }
 
-/// What an entry must know of itself and how it decides.
+/// The entry's identity and the limits that its decisions use.
 #[derive(Debug, Clone)]
 pub struct DirectSettings {
-    /// The entry's own instance.
+    /// The instance ID of this entry.
     pub own: InstanceId,
-    /// Its data centre.
+    /// The data centre of this entry.
     pub data_centre: DataCentre,
-    /// A key is taken while the configuration was proved newest less than this ago.
+    /// API keys are accepted while the configuration was confirmed as current less than this ago.
     pub proof_limit: Millis,
-    /// A request may begin on older weights for this long after newer ones were seen named.
+    /// How long after the announcement of a newer version requests may still start on older
+    /// weights.
     pub version_bound: Millis,
-    /// What this entry may repeat.
+    /// The budget for repeating requests.
     pub retry: RetryShare,
-    /// Requests beyond its slots that an upstream gets at once, from all entries together.
+    /// Requests beyond its slots that an upstream may have, counted over all entries, so that no
+    /// slot idles for a network round trip.
     pub ahead: u32,
-    /// The share of its objective for which a waiting request counts as in time, in percent.
+    /// The share of its latency objective, in percent, during which a waiting request counts as
+    /// able to meet it.
     pub wait_percent: u32,
-    /// Prompts that an engine may have yet to read, in its reading time, when it is given another.
+    /// Prefill time that may be pending at an engine when it is sent another request.
     pub reading_limit: Millis,
-    /// The share of its slots up to which an upstream is given late requests, in percent.
+    /// The share of an upstream's slots, in percent, that requests past their objective may fill.
     pub late_percent: u32,
-    /// The longest that a request waits here to be served at all.
+    /// How long after its arrival a request may wait in the queue before it is refused.
     pub late_wait: Millis,
-    /// How long an upstream may be silent before its first event and between events.
+    /// How long an upstream may send nothing, before its first event and between events.
     pub silence: Millis,
-    /// The store forgets no upstream that lives where it was away for less.
+    /// The shortest store outage after which the store may have lost registrations of running
+    /// upstreams.
     pub forgetting: Millis,
-    /// How long after the store's return an upstream stays listed that it may have forgotten.
+    /// How long after the store's return an upstream whose registration it may have lost stays
+    /// listed.
     pub lapse_grace: Millis,
-    /// Another entry's load counts for this long after its last word.
+    /// How long a peer entry's load counts after its last update.
     pub peer_patience: Millis,
-    /// How long an upstream that can't be reached is left alone at first; doubled each time.
+    /// The first ejection time of an unreachable upstream; doubled each further time.
     pub ejection: Millis,
 }
 
-/// Where the entry stands, for its operators and for readiness.
+/// The entry's state, for its operators and for the readiness check.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StatusRow {
-    /// The configuration in force.
+    /// The generation of the configuration in force.
     pub generation: Option<Generation>,
-    /// How old the proof is that it is the newest.
+    /// How long ago the configuration was confirmed as current.
     pub proof_age: Option<Millis>,
-    /// The era of the store.
+    /// The store's era, which changes when it is restored from an older copy.
     pub era: StoreEra,
-    /// Upstreams listed.
+    /// Upstreams that the entry lists, including expired ones.
     pub upstreams: usize,
-    /// Those of them whose registration has ended, while the store may have forgotten it.
+    /// Listed upstreams whose registration is missing from the store, which may have lost it.
     pub lapsed: usize,
-    /// Requests in progress.
+    /// Requests in progress, waiting ones included.
     pub requests: usize,
-    /// Requests that wait for an upstream.
+    /// Requests that wait for an upstream with capacity.
     pub waiting: usize,
-    /// Requests that are run no more for a while, as upstreams end under them.
+    /// Requests that are not run for a while because upstreams crash while running them.
     pub quarantined: usize,
-    /// Answers that began on replaced weights after their time, as seen from here.
+    /// Answers that started on superseded weights after the allowed time, as observed by this
+    /// entry.
     pub begun_late: u64,
 }
--- a/mustardrill_core/src/direct/mod.rs
+++ b/mustardrill_core/src/direct/mod.rs
@@ -1,14 +1,15 @@
-//! Serving on a platform where an entry sends requests to upstreams itself.
+//! Direct mode: the entry itself sends each request to an upstream.
 //!
-//! The operator's configuration, the upstreams and the versions named come from the platform's
-//! store. [`DirectReducer`] takes them and the callers' requests as events, and says as data who
-//! is asked, who waits and who is refused. Nothing here does I/O or reads a clock.
+//! The operator's configuration, the registered upstreams and the announced weight versions come
+//! from the platform's store. [`DirectReducer`] receives these and the callers' requests as events
+//! and returns effects: which upstream gets a request, which requests wait and which are refused.
+//! This module does no I/O and reads no clock.
 
 mod admit;
 mod dispatch;
 mod event;
 mod fleet;
-mod placing;
+mod placement;
 mod reducer;
 mod repeats;
 mod request;
@@ -23,7 +24,7 @@
 };
 pub use fleet::page::{FleetChange, FleetPage, PeerRecord, ServedWeights, UpstreamRecord};
 pub use fleet::telling::{LoadNews, LoadRows, LoadTeller, WaitRows};
-pub use placing::forecast::{EngineForecast, WorkSize};
+pub use placement::forecast::{EngineForecast, WorkSize};
 pub use reducer::DirectReducer;
 pub use repeats::spending::{RetryShare, RetryWindow};
 pub use route::{
--- a/mustardrill_core/src/direct/placing/choice.rs
+++ b/mustardrill_core/src/direct/placement/choice.rs
@@ -1,12 +1,13 @@
-//! Which upstream a request is sent to, and when an entry may take a place there.
+//! Chooses the upstream for a request, and decides when this entry may use an upstream's free
+//! capacity.
 
 use mustardrill_types::{InstanceId, Millis, Moment, ServiceName, WeightVersion};
 
 use crate::direct::event::{PeerLoad, UpstreamLoad};
 use crate::direct::fleet::upstream::UpstreamState;
-use crate::direct::placing::closing;
-use crate::direct::placing::forecast::EngineForecast;
-use crate::direct::placing::pressure::{self, ChoiceInputs, PlaceTurn};
+use crate::direct::placement::capacity::{self, ChoiceInputs, PlaceTurn};
+use crate::direct::placement::forecast::EngineForecast;
+use crate::direct::placement::load_slot;
 use crate::direct::reducer::DirectReducer;
 use crate::direct::request::RequestState;
 use crate::direct::route::EngineProfile;
@@ -14,12 +15,13 @@
 use crate::direct::waiting::queue::WaitQueue;
 use crate::rendezvous;
 
-/// A request is taken to begin after this many times its forecast: engines may be slower than their
-/// profile, and what other entries just sent is not known yet.
+/// An attempt is expected to start after this many times its forecast: engines may be slower than
+/// their profile, and what other entries have just sent is not known yet.
 const BEGIN_CAUTION: u64 = 2;
 
 impl DirectReducer {
-    /// The upstream for a request; nothing where none has room, or others' waiting requests go first.
+    /// The upstream for a request; `None` where none has capacity, or where the waiting requests of
+    /// peer entries go first.
     pub(in crate::direct) fn choose(
         &self,
         now: Moment,
@@ -30,7 +32,7 @@
         let (tried, fresh): (Vec<_>, Vec<_>) =
             fitting.partition(|upstream| state.tried.contains(&upstream.record.id));
         let candidates = if fresh.is_empty() { tried } else { fresh };
-        // The rest of a stream that the caller has a part of is not made to wait again.
+        // The rest of a stream of which the caller has a part does not wait again.
         let late = now >= self.in_time_until(state) && !state.delivered;
         let mut best: Option<(f64, &InstanceId)> = None;
         for upstream in candidates {
@@ -38,18 +40,18 @@
             let present = self.upstreams.present(id);
             let slots = upstream.record.slots;
             let limit = if late {
-                pressure::late_limit(slots, self.settings.late_percent)
+                capacity::late_limit(slots, self.settings.late_percent)
             } else {
-                pressure::limit(slots, self.settings.ahead)
+                capacity::limit(slots, self.settings.ahead)
             };
             let room = self.room(now, present, limit, upstream);
             if room == 0 || now < self.place_open(now, upstream, room) {
                 continue;
             }
-            if !closing::takes(now, upstream.closes_at, || self.whole_time(state, present)) {
+            if !load_slot::takes(now, upstream.closes_at, || self.whole_time(state, present)) {
                 continue;
             }
-            let cost = pressure::cost(&ChoiceInputs {
+            let cost = capacity::cost(&ChoiceInputs {
                 present: present.requests,
                 slots,
                 reading: present.reading,
@@ -64,28 +66,30 @@
         best.map(|(_, id)| id.clone())
     }
 
-    /// Takes another entry's word on its load, and notes where that makes room.
+    /// Records a peer entry's load, and notes which full upstreams have capacity again because of
+    /// it.
     pub(in crate::direct) fn load_heard(&mut self, now: Moment, load: PeerLoad) {
-        let named: Vec<_> = load.news.rows.iter().map(|(id, _)| id.clone()).collect();
-        let full: Vec<_> = named.into_iter().filter(|id| !self.has_room(now, id)).collect();
+        let reported_ids: Vec<_> = load.news.rows.iter().map(|(id, _)| id.clone()).collect();
+        let full_before: Vec<_> =
+            reported_ids.into_iter().filter(|id| !self.has_room(now, id)).collect();
         self.upstreams.heard.hear(now, load);
-        for id in full {
+        for id in full_before {
             if self.has_room(now, &id) {
                 self.upstreams.freed(now, &id);
             }
         }
     }
 
-    /// Whether an upstream may be sent another request that can be in time.
+    /// Whether an upstream has capacity for another request that can meet its objective.
     fn has_room(&self, now: Moment, id: &InstanceId) -> bool {
         let Some(upstream) = self.upstreams.get(id) else { return false };
         let present = self.upstreams.present(id);
-        let limit = pressure::limit(upstream.record.slots, self.settings.ahead);
+        let limit = capacity::limit(upstream.record.slots, self.settings.ahead);
         self.room(now, present, limit, upstream) > 0
     }
 
-    /// How many requests of usual size an upstream may be sent now, by its slots and by what it has
-    /// yet to read.
+    /// How many requests of usual size an upstream may be sent now, limited by its slots and by its
+    /// pending prefill time.
     fn room(
         &self,
         now: Moment,
@@ -93,53 +97,55 @@
         limit: u32,
         upstream: &UpstreamState,
     ) -> u32 {
-        let places = limit.saturating_sub(present.requests);
+        let free_slots = limit.saturating_sub(present.requests);
         if upstream.rests_until > now || present.reading > self.settings.reading_limit {
             return 0;
         }
-        let Some(profile) = self.profile(&upstream.record.service) else { return places };
-        let usual = EngineForecast::new(profile).read_ms(profile.usual_prompt).max(1.0);
-        let unread = self.settings.reading_limit.0.saturating_sub(present.reading.0);
-        places.min(((unread as f64 / usual) as u32).saturating_add(1))
+        let Some(profile) = self.profile(&upstream.record.service) else { return free_slots };
+        let usual_prefill = EngineForecast::new(profile).read_ms(profile.usual_prompt).max(1.0);
+        let prefill_left = self.settings.reading_limit.0.saturating_sub(present.reading.0);
+        free_slots.min(((prefill_left as f64 / usual_prefill) as u32).saturating_add(1))
     }
 
-    /// From when on this entry may take one of `room` free places of an upstream.
+    /// From when on this entry may use one of `room` free slots of an upstream.
     fn place_open(&self, now: Moment, upstream: &UpstreamState, room: u32) -> Moment {
-        // Most upstreams have had their room for longer, so that turns need not be worked out.
-        let last = pressure::turns_end(upstream.freed);
-        if last <= now {
-            return last;
+        // Most upstreams have had free slots for longer than turns last, so that the turn need not
+        // be computed.
+        let order_end = capacity::turns_end(upstream.freed);
+        if order_end <= now {
+            return order_end;
         }
         let service = &upstream.record.service;
-        let subject = upstream.record.id.as_str().as_bytes();
-        let here = self.queues.get(service).map_or(0, WaitQueue::len) as u32;
-        let own = rendezvous::weighted(subject, self.settings.own.as_str(), here);
-        let others = self.upstreams.heard.waiting(service);
-        let scores = others.map(|(id, count)| rendezvous::weighted(subject, id.as_str(), count));
-        // The others come first at one that still reads a prompt of this entry.
-        let yields = upstream.own.reading > Millis(0);
+        let upstream_id = upstream.record.id.as_str().as_bytes();
+        let own_waiting = self.queues.get(service).map_or(0, WaitQueue::len) as u32;
+        let own_score = rendezvous::weighted(upstream_id, self.settings.own.as_str(), own_waiting);
+        let peers_waiting = self.upstreams.heard.waiting(service);
+        let scores =
+            peers_waiting.map(|(id, count)| rendezvous::weighted(upstream_id, id.as_str(), count));
+        // Peers go first at an upstream that is still prefilling a prompt of this entry.
+        let yields_turns = upstream.own.reading > Millis(0);
         let (mut waiting, mut before) = (0, 0);
         for score in scores {
             waiting += 1;
-            before += u32::from(yields || score > own);
+            before += u32::from(yields_turns || score > own_score);
         }
         let turn = PlaceTurn { before, waiting, taken: upstream.taken, room };
-        pressure::place_open(upstream.freed, &turn)
+        capacity::place_open(upstream.freed, &turn)
     }
 
-    /// When a place that another entry freed becomes this entry's to take, or one that was full is
-    /// asked again, for what waits.
+    /// When a waiting request may next be sent: when this entry's turn comes at an upstream that a
+    /// peer's request has left, or when the back-off of an upstream that was full ends.
     pub(in crate::direct) fn next_place(
         &self,
         now: Moment,
         service: &ServiceName,
     ) -> Option<Moment> {
         let usable = self.upstreams.usable(now, service);
-        let opens = usable.iter().map(|it| self.place_open(now, it, 1).max(it.rests_until));
-        opens.filter(|open| *open > now).min()
+        let opening_times = usable.iter().map(|it| self.place_open(now, it, 1).max(it.rests_until));
+        opening_times.filter(|opens_at| *opens_at > now).min()
     }
 
-    /// Whether an upstream holds weights that the request may be run with.
+    /// Whether an upstream serves weights that the request may run on.
     pub(in crate::direct) fn fits(
         &self,
         now: Moment,
@@ -161,10 +167,12 @@
         floor.is_none_or(|floor| version >= floor)
     }
 
-    /// The least version that the request may begin on at an upstream, by when it would begin there.
+    /// The oldest version on which the request may start at an upstream, at the time when it is
+    /// expected to start there.
     ///
-    /// Load pattern: the newer version is late, and engines with the older one idle. How long before
-    /// the end of its time they are left alone depends on what waits inside them.
+    /// When a newer version is late, engines with the older one are given no more requests some
+    /// time before its allowed time ends. How long before depends on what is already queued inside
+    /// them.
     pub(in crate::direct) fn floor(
         &self,
         now: Moment,
@@ -172,11 +180,11 @@
         upstream: &UpstreamState,
     ) -> Option<WeightVersion> {
         let model = state.model.as_ref()?;
-        let begins = now + VERSION_RESERVE + self.begin_time(state, upstream);
-        self.versions.floor(begins, model, self.settings.version_bound)
+        let starts_at = now + VERSION_RESERVE + self.begin_time(state, upstream);
+        self.versions.floor(starts_at, model, self.settings.version_bound)
     }
 
-    /// How long it may take until an upstream makes the first token of a request sent to it now.
+    /// A cautious estimate of the time to first token of a request sent to the upstream now.
     pub(in crate::direct) fn begin_time(
         &self,
         state: &RequestState,
@@ -188,19 +196,19 @@
         Millis(BEGIN_CAUTION * (forecast.0 + present.reading.0))
     }
 
-    /// How long the request occupies an engine where `present` is.
+    /// How long the request occupies an engine that has the load `present`.
     fn whole_time(&self, state: &RequestState, present: UpstreamLoad) -> Millis {
         let Some(profile) = self.profile(&state.service) else { return Millis(0) };
         let running = present.requests.min(profile.slots);
-        let whole = EngineForecast::new(profile).whole_ms(running, state.size);
-        Millis(whole as u64 + present.reading.0)
+        let service_ms = EngineForecast::new(profile).whole_ms(running, state.size);
+        Millis(service_ms as u64 + present.reading.0)
     }
 
-    /// How long an engine takes to read the request's prompt.
+    /// How long an engine takes to prefill the request's prompt.
     pub(in crate::direct) fn reading_time(&self, state: &RequestState) -> Millis {
         let profile = self.profile(&state.service);
-        let read = |profile| EngineForecast::new(profile).read_ms(state.size.prompt);
-        Millis(profile.map_or(0.0, read) as u64)
+        let prefill_ms = |profile| EngineForecast::new(profile).read_ms(state.size.prompt);
+        Millis(profile.map_or(0.0, prefill_ms) as u64)
     }
 
     pub(in crate::direct) fn profile(&self, service: &ServiceName) -> Option<&EngineProfile> {
--- a/mustardrill_core/src/direct/reducer.rs
+++ b/mustardrill_core/src/direct/reducer.rs
@@ -1,4 +1,4 @@
-//! One reducer over all events of an entry that sends to upstreams itself.
+//! The reducer of an entry in direct mode: one state machine over all its events.
 
 use std::sync::Arc;
 
@@ -26,86 +26,87 @@
 use crate::direct::versions::naming::NamingInquiry;
 use crate::direct::versions::replaced::UnbegunAttempts;
 use crate::direct::versions::table::{NamingWord, VersionTable};
-use crate::direct::waiting::holding::HeldRequests;
+use crate::direct::waiting::held_requests::HeldRequests;
 use crate::direct::waiting::queue::WaitQueue;
 use crate::quarantine::QuarantineTable;
 
-/// How long an agent's word counts that its engine takes no requests.
+/// How long an agent's notice that its engine is loading counts.
 ///
-/// Loading takes less; an agent that dies meanwhile must not keep its engine idle.
+/// Loading takes less; the limit keeps an agent that dies meanwhile from leaving its engine idle.
 const PAUSE_LIMIT: Millis = Millis(5_000);
 
-/// How long an agent's word counts that its engine will have newer weights soon: about what the
-/// last third of a copy, reading it back and loading it take.
+/// How long an agent's notice that newer weights arrive soon counts: about the time for the last
+/// third of a copy, reading it back and loading it.
 const COMING_LIMIT: Millis = Millis(2_500);
 
-/// How long the words of other entries on a crash take: they look every 10 ms, and a lost word is
-/// told again within 60 ms.
+/// How long to wait for peers' reports on a crash: peers look for crashes every 10 ms, and a lost
+/// report is sent again within 60 ms.
 const SETTLE_SPAN: Millis = Millis(80);
 
-/// How often the others are asked while requests wait for what they know, or may be sent in vain.
+/// How often peers are queried while requests wait for what the peers know, or may be sent in vain.
 const ASK_SOON: Millis = Millis(50);
 
-/// How often they are asked for what decides only in some seconds.
+/// How often peers are queried for what matters only within some seconds.
 const ASK_AGAIN: Millis = Millis(250);
 
-/// For how many bounds other entries are told of a version: one that comes back then has older ones.
+/// How long a version's announcement is shared with peers, as a multiple of `version_bound`. A peer
+/// that returns after that has older announcements only.
 const NAMING_BOUNDS: u64 = 3;
 
-/// The state of one entry.
+/// The complete decision state of one entry.
 #[derive(Debug)]
 pub struct DirectReducer {
     pub(super) settings: DirectSettings,
     pub(super) document: Option<Arc<RouteDocument>>,
-    /// When the store was there last.
+    /// When the store last answered.
     pub(super) proof: ProofClock,
-    /// When the configuration was the newest that the operator had written.
+    /// When the configuration in force was last known to be the operator's newest.
     pub(super) config_proof: ProofClock,
-    /// Until then a store that came back from an older copy may lack what the operator wrote.
+    /// Until this moment a store restored from an older copy may lack what the operator wrote.
     pub(super) rewritten_at: Moment,
     pub(super) upstreams: UpstreamTable,
     pub(super) versions: VersionTable,
-    /// Attempts that have not begun on weights that are being replaced.
+    /// Attempts on superseded weights whose answer has not started.
     pub(super) unbegun: UnbegunAttempts,
-    /// What the others are asked of versions.
+    /// What peers are asked about announcements.
     pub(super) inquiry: NamingInquiry,
-    /// Answers that began on replaced weights after their time.
+    /// Answers that started on superseded weights after the allowed time.
     pub(super) begun_late: u64,
     pub(super) requests: FastMap<RequestNumber, RequestState>,
     pub(super) queues: FastMap<ServiceName, WaitQueue>,
     pub(super) windows: FastMap<ServiceName, RetryWindow>,
     pub(super) random: SmallRng,
-    /// The other entries that are registered.
+    /// The registered peer entries.
     pub(super) peers: Vec<PeerRecord>,
     pub(super) census: EntryCensus,
-    /// The state of the store that was read last, and when it was read.
+    /// The store revision that was read last; `store_read_at` is when.
     pub(super) revision: StoreRevision,
     pub(super) era: StoreEra,
-    /// What the others say of the newest configuration.
+    /// What peers report about the newest configuration.
     pub(super) word: GenerationWord,
-    /// Other entries that an older copy of the store lacks.
+    /// Peers that are missing in a store restored from an older copy.
     pub(super) unconfirmed: FastSet<InstanceId>,
     pub(super) read_at: Moment,
     /// Whether the last call to the store failed.
     pub(super) store_away: bool,
-    /// Since when the store has answered the entries.
+    /// For how long the store has been answering the entries.
     pub(super) contact: StoreContact,
-    /// Requests that wait for a configuration that may be used.
+    /// Requests held until there is a current configuration.
     pub(super) held: HeldRequests,
-    /// Requests under which upstreams ended.
+    /// Requests suspected of crashing upstreams.
     pub(super) quarantine: QuarantineTable,
-    /// Requests that wait for the verdict on them.
+    /// Suspected requests held until it is decided whether they may run.
     pub(super) undecided: Vec<RequestNumber>,
-    /// What the other entries are told of them.
+    /// Crash reports for the peer entries.
     pub(super) crash_words: CrashTeller,
-    /// When the next place opens that waiting requests may take.
+    /// When capacity becomes available that waiting requests may take.
     pub(super) place_at: Option<Moment>,
-    /// The moment of the last wish to be woken that has not come yet.
+    /// The pending `DirectEffect::SetTimer`, so that no later one is requested.
     wake: Option<Moment>,
 }
 
 impl DirectReducer {
-    /// A reducer that knows nothing yet. `seed` decides between equals.
+    /// Starts without a configuration. `seed` initializes the random choices between equals.
     pub fn new(settings: DirectSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Takes an event at `now` and returns what is to be done.
+    /// Applies an event at `now` and returns the effects to carry out.
     pub fn reduce(&mut self, now: Moment, event: DirectEvent) -> Vec<DirectEffect> {
         self.upstreams.heard.expire(now, self.settings.peer_patience);
         let mut effects = match event {
@@ -193,38 +194,38 @@
         effects
     }
 
-    /// The configuration in force.
+    /// The configuration in force; `None` until the store has delivered one.
     pub fn document(&self) -> Option<&Arc<RouteDocument>> {
         self.document.as_ref()
     }
 
-    /// The other entries.
+    /// The registered peer entries, without this one.
     pub fn peers(&self) -> &[PeerRecord] {
         &self.peers
     }
 
-    /// What this entry has at each upstream, for the other entries.
+    /// The load that this entry has placed on each upstream, for the broadcast to peers.
     pub fn outstanding(&self) -> LoadRows {
         let ids = self.upstreams.ids().into_iter();
         let counted = ids.filter_map(|id| Some((self.upstreams.get(&id)?.own, id)));
         counted.filter(|(own, _)| own.requests > 0).map(|(own, id)| (id, own)).collect()
     }
 
-    /// How many requests wait here for each service, for the other entries.
+    /// How many requests wait here for each service, for the broadcast to peers.
     pub fn waiting(&self) -> WaitRows {
-        let busy = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
-        busy.map(|(service, queue)| (service.clone(), queue.len() as u32)).collect()
+        let nonempty = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
+        nonempty.map(|(service, queue)| (service.clone(), queue.len() as u32)).collect()
     }
 
-    /// Since when the store has answered, for the other entries.
+    /// For how long the store has been answering, for the report to peers.
     pub fn answer_span(&self) -> Option<AnswerSpan> {
         self.contact.span()
     }
 
-    /// How often the others are to be asked what they know: at once where they may know that
-    /// upstreams have left which are listed, or a newer configuration than the store told this entry
-    /// at its start, and now and then where none has answered yet, or they may know of versions, or
-    /// when those were named.
+    /// How often peers are to be queried, `None` for not at all. Soon where peers may know that
+    /// listed upstreams have left, or know a newer configuration than the store gave this entry at
+    /// its start. More rarely while none has answered yet, or where peers may know of versions or
+    /// of when they were announced.
     pub fn doubts(&self, now: Moment) -> Option<Millis> {
         let may_have_forgotten = self.return_limit().is_some();
         if self.word.is_awaited(now)
@@ -237,12 +238,13 @@
         (may_miss_versions || self.word.is_asked(now)).then_some(ASK_AGAIN)
     }
 
-    /// What this entry knows of when versions were named that may not have replaced all others yet.
+    /// When versions were announced that may not have superseded all others yet, as far as this
+    /// entry knows.
     pub fn namings(&self, now: Moment) -> Vec<NamingWord> {
         self.versions.words(now - Millis(NAMING_BOUNDS * self.settings.version_bound.0))
     }
 
-    /// What this entry knows of the fleet, for agents that start.
+    /// A complete snapshot of the fleet as this entry knows it, for agents that start.
     pub fn fleet(&self) -> FleetPage {
         let document = self.document.iter().cloned().map(FleetChange::Configured);
         let named = self.versions.all_newest();
@@ -254,12 +256,13 @@
         FleetPage { changes: changes.collect(), at: self.revision, era: self.era, whole: true }
     }
 
-    /// Whether callers should be sent here.
+    /// Whether the load balancer should send callers here: the configuration is confirmed as
+    /// current.
     pub fn is_ready(&self, now: Moment) -> bool {
         self.document.as_ref().is_some_and(|document| self.is_current(now, document))
     }
 
-    /// Where the entry stands.
+    /// The entry's state for operators and the readiness check.
     pub fn status(&self, now: Moment) -> StatusRow {
         StatusRow {
             generation: self.document.as_ref().map(|document| document.generation),
@@ -283,7 +286,7 @@
         self.pump(now, &state.service)
     }
 
-    /// Frees what a request occupies.
+    /// Frees the queue position or the upstream capacity that the request occupies.
     pub(super) fn release(&mut self, state: &RequestState) {
         match &state.stage {
             RequestStage::Waiting(rank) => {
@@ -319,14 +322,16 @@
         effects
     }
 
-    /// The wish to be woken when the next request gives up waiting.
+    /// The effect for the next moment at which something is due, unless an earlier wake-up is
+    /// pending.
     fn next_wake(&mut self) -> Option<DirectEffect> {
-        let overdue = self.queues.values().filter_map(WaitQueue::next_overdue).min();
-        let place = self.place_at.take();
-        let held = self.held.next_overdue();
+        let wait_end = self.queues.values().filter_map(WaitQueue::next_overdue).min();
+        let capacity = self.place_at.take();
+        let hold_end = self.held.next_overdue();
         let verdict = self.quarantine.next_verdict();
-        let word = self.word.waits_until();
-        let moments = overdue.into_iter().chain(place).chain(held).chain(verdict).chain(word);
+        let peers_answer = self.word.waits_until();
+        let moments =
+            wait_end.into_iter().chain(capacity).chain(hold_end).chain(verdict).chain(peers_answer);
         let moments =
             moments.chain(self.inquiry.next_decision()).chain(self.unbegun.next_overdue());
         let next = moments.min()?;
@@ -338,8 +343,8 @@
     }
 
     pub(super) fn pump_all(&mut self, now: Moment) -> Vec<DirectEffect> {
-        let busy = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
-        let services: Vec<_> = busy.map(|(service, _)| service.clone()).collect();
+        let nonempty = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
+        let services: Vec<_> = nonempty.map(|(service, _)| service.clone()).collect();
         services.iter().flat_map(|service| self.pump(now, service)).collect()
     }
 }
--- a/mustardrill_core/src/direct/request.rs
+++ b/mustardrill_core/src/direct/request.rs
@@ -1,4 +1,4 @@
-//! A request in progress at an entry.
+//! The state of a request in progress at an entry.
 
 use mustardrill_types::{
     CustomerName, InstanceId, Millis, ModelName, Moment, RequestDigest, ServiceName, WeightVersion,
@@ -6,17 +6,17 @@
 
 use crate::direct::event::{DirectRequest, RequestNumber};
 use crate::direct::fleet::upstream::UpstreamStart;
-use crate::direct::placing::forecast::WorkSize;
+use crate::direct::placement::forecast::WorkSize;
 use crate::direct::route::{RepeatRule, RouteRule};
 use crate::direct::versions::replaced::ReplacedAttempt;
 use crate::direct::waiting::queue::WaitRank;
 
-/// One request in progress.
+/// An admitted request, from its admission until its caller is gone.
 #[derive(Debug)]
 pub(crate) struct RequestState {
     pub(crate) number: RequestNumber,
     pub(crate) attempt: Box<str>,
-    /// The same for each sending of this request by its caller.
+    /// Identifies the content: equal for each attempt and each retry of the caller.
     pub(crate) digest: RequestDigest,
     pub(crate) host: Box<str>,
     pub(crate) path: Box<str>,
@@ -25,54 +25,54 @@
     pub(crate) service: ServiceName,
     pub(crate) model: Option<ModelName>,
     pub(crate) size: WorkSize,
-    /// Whether it takes much more of an engine than a usual one.
+    /// Whether its work is much more than a usual request's, see `EngineForecast::is_large`.
     pub(crate) large: bool,
-    /// What of its prompt is counted as unread at the upstream where it is.
+    /// The prefill time still counted as pending at its upstream.
     pub(crate) reading: Millis,
     pub(crate) repeat: RepeatRule,
     pub(crate) priority: u8,
     pub(crate) attempts_limit: u32,
     pub(crate) arrived: Moment,
-    /// When it was sent to an upstream last.
+    /// When the last attempt was sent.
     pub(crate) sent: Moment,
-    /// Until then an answer, or a stream's first event, has its full value.
+    /// Until this moment an answer, or a stream's first event, has its full value.
     pub(crate) objective: Moment,
     pub(crate) deadline: Moment,
     pub(crate) stage: RequestStage,
-    /// Upstreams that were sent the request.
+    /// Upstreams to which attempts were sent.
     pub(crate) tried: Vec<InstanceId>,
     /// Attempts that reached an upstream.
     pub(crate) reached: u32,
-    /// Whether an attempt was sent that may have run.
+    /// Whether an attempt may have run.
     pub(crate) may_have_run: bool,
-    /// Whether the caller has events already.
+    /// Whether the caller has received events.
     pub(crate) delivered: bool,
-    /// The weights of the events that the caller has.
+    /// The version that produced the events that the caller has received.
     pub(crate) pinned: Option<WeightVersion>,
-    /// The weights on which the attempt under way was expected to begin.
+    /// The version that the current attempt was expected to start on.
     pub(crate) weights: Option<WeightVersion>,
-    /// How long after its sending it was expected to begin.
+    /// How long after its sending the current attempt was expected to start.
     pub(crate) forecast: Millis,
-    /// Whether the answer to the attempt under way has begun.
+    /// Whether the answer to the current attempt has started.
     pub(crate) begun: bool,
-    /// What the attempt under way is held to, where its weights are being replaced.
+    /// The limits of the current attempt, where its weights are being superseded.
     pub(crate) replaced: Option<ReplacedAttempt>,
 }
 
-/// Where a request stands.
+/// The stage of a request in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RequestStage {
-    /// It waits for an upstream.
+    /// Queued until an upstream has capacity.
     Waiting(WaitRank),
-    /// It is at an upstream.
+    /// Sent to this incarnation of an upstream.
     Sent(UpstreamStart),
-    /// It is between two attempts.
+    /// Neither queued nor sent.
     Between,
 }
 
 impl RequestState {
-    /// The state of a request on `route`, with the longest time that it may take where the caller
-    /// names none.
+    /// Starts the state of a request on `route`. The route's timeout also limits the timeout that
+    /// the caller states.
     pub(crate) fn new(
         request: DirectRequest,
         route: &RouteRule,
@@ -80,12 +80,13 @@
         customer: Option<(CustomerName, Option<u8>)>,
         large: bool,
     ) -> Self {
-        let patience = request.patience.unwrap_or(route.timeout).min(route.timeout);
+        let timeout = request.patience.unwrap_or(route.timeout).min(route.timeout);
         let priority = customer.as_ref().and_then(|(_, priority)| *priority);
         let customer = customer.map(|(name, _)| name);
         let caller = customer.as_ref().map_or("", CustomerName::as_str);
-        let content = request.content.0.to_be_bytes();
-        let digest = RequestDigest::of(&[route.host.as_bytes(), caller.as_bytes(), &content]);
+        let content_digest = request.content.0.to_be_bytes();
+        let digest =
+            RequestDigest::of(&[route.host.as_bytes(), caller.as_bytes(), &content_digest]);
         Self {
             number: request.number,
             attempt: request.attempt,
@@ -105,7 +106,7 @@
             arrived: request.arrived,
             sent: request.arrived,
             objective: request.arrived + route.objective,
-            deadline: request.arrived + patience,
+            deadline: request.arrived + timeout,
             stage: RequestStage::Between,
             tried: Vec::new(),
             reached: 0,
@@ -119,18 +120,18 @@
         }
     }
 
-    /// Its place among those that wait, by whether it can still be in time.
+    /// The queue position, by whether the request can still meet its objective.
     pub(crate) fn rank(&self, late: bool) -> WaitRank {
         let Self { priority, large, number, .. } = *self;
         WaitRank { late, priority, large, since: self.arrived, number }
     }
 
-    /// How long after its arrival an answer is still in time.
+    /// The latency objective, counted from the arrival.
     pub(crate) fn objective_span(&self) -> Millis {
         self.objective.since(self.arrived)
     }
 
-    /// Whether it may be sent once more after an attempt that may have run.
+    /// Whether another attempt is allowed after one that may have run.
     pub(crate) fn is_repeatable(&self) -> bool {
         match self.repeat {
             RepeatRule::Idempotent => !self.delivered,
--- a/mustardrill_core/src/direct/route.rs
+++ b/mustardrill_core/src/direct/route.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration: routes, services, customers and what callers may send.
+//! The operator's configuration: routes, services, customers and limits on requests.
 
 use std::net::SocketAddr;
 
@@ -6,147 +6,148 @@
     ByteSize, CustomerName, DataCentre, FastMap, Generation, Millis, ModelName, ServiceName,
 };
 
-/// One state of the configuration, taken over as a whole.
+/// One generation of the configuration, always applied as a whole.
 #[derive(Debug, Default)]
 pub struct RouteDocument {
-    /// Which state it is; a newer one's is higher.
+    /// The generation; a newer configuration has a higher one.
     pub generation: Generation,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
     routes: Vec<RouteRule>,
     services: FastMap<ServiceName, ServiceProfile>,
     customers: Vec<CustomerRecord>,
-    /// The routes of a host, longest prefix first.
+    /// Indexes into `routes` by host, longest prefix first.
     by_host: FastMap<Box<str>, Vec<usize>>,
     by_key: FastMap<Box<str>, usize>,
 }
 
-/// Where requests of one host and path prefix go.
+/// Maps requests of one host and path prefix to services.
 #[derive(Debug, Clone)]
 pub struct RouteRule {
-    /// The route's name.
+    /// The name that the operator gave the route.
     pub name: Box<str>,
-    /// The host, in lower case and without a port.
+    /// The host that it matches, in lower case and without a port.
     pub host: Box<str>,
-    /// The path's beginning.
+    /// The path prefix that it matches.
     pub prefix: Box<str>,
-    /// The services and their weights; at least one.
+    /// The services and their traffic weights; at least one.
     pub split: Vec<(ServiceName, u32)>,
-    /// What may be repeated.
+    /// Whether a request may run more than once.
     pub repeat: RepeatRule,
-    /// The longest that a caller is kept waiting.
+    /// The upper limit of a caller's timeout, and the timeout where the caller states none.
     pub timeout: Millis,
-    /// Within this an answer, or a stream's first event, has its full value.
+    /// The latency objective: within it an answer, or a stream's first event, has its full value.
     pub objective: Millis,
-    /// The longest pause between events of a stream that is still in time.
+    /// The longest gap between events of a stream that still counts as in time.
     pub gap: Millis,
-    /// The rank; zero is the most urgent.
+    /// The priority; zero is the most urgent.
     pub priority: u8,
-    /// To how many upstreams one request may be sent.
+    /// To how many upstreams a request may be sent.
     pub attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers may omit the API key.
     pub public: bool,
 }
 
-/// What may be done twice for one request.
+/// Whether a request may run again after an attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatRule {
-    /// It may run more than once.
+    /// Idempotent: it may run any number of times.
     Idempotent,
-    /// It may run once at most.
+    /// It must not run more than once.
     Once,
-    /// A stream that may run once at most.
+    /// A stream that must not run more than once.
     StreamOnce,
-    /// A stream that another upstream may go on with after the last event that came.
+    /// A stream that another upstream may continue after the last event received.
     StreamResumable,
 }
 
-/// A customer of the configuration.
+/// A customer that the configuration knows.
 #[derive(Debug, Clone)]
 pub struct CustomerRecord {
-    /// The name, which upstreams are told.
+    /// The customer's name, forwarded to upstreams.
     pub name: CustomerName,
-    /// The keys under which it calls.
+    /// The customer's API keys.
     pub keys: Vec<Box<str>>,
-    /// A rank that goes before the route's.
+    /// A priority that overrides the route's.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on requests and connections of callers.
 #[derive(Debug, Clone)]
 pub struct CallerLimits {
-    /// The largest head of a request.
+    /// The maximum size of a request head.
     pub header: ByteSize,
-    /// The largest body of a request.
+    /// The maximum size of a request body.
     pub body: ByteSize,
-    /// How long an idle connection is kept.
+    /// How long an idle connection is kept open.
     pub idle: Millis,
 }
 
-/// A service of the configuration.
+/// The configured properties of a service.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceProfile {
-    /// The connections that one upstream takes from all callers together; zero where not told.
+    /// The connections that one upstream accepts from all entries together; zero where not
+    /// configured.
     pub connections: u32,
-    /// How its upstreams work, where they are model engines.
+    /// The performance profile of its upstreams, where they are model engines.
     pub engine: Option<EngineProfile>,
-    /// Where weights come from, where the service is their origin.
+    /// The service's address as an origin, where it is the origin of weights.
     pub origin: Option<OriginProfile>,
 }
 
-/// Where weights come from.
+/// The origin, from which weights are fetched.
 #[derive(Debug, Clone)]
 pub struct OriginProfile {
-    /// Where it listens.
+    /// The origin's address.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The origin's data centre.
     pub data_centre: DataCentre,
-    /// What its link carries, in Mbit/s; zero where not told.
+    /// The bandwidth of its link, in Mbit/s; zero where not configured.
     pub link_mbps: f64,
-    /// The connections that it takes from all callers together; zero where not told.
+    /// The connections that it accepts from all entries together; zero where not configured.
     pub connections: u32,
 }
 
-/// How a model engine works.
+/// The performance profile of a model engine, on which forecasts rely.
 #[derive(Debug, Clone, Default)]
 pub struct EngineProfile {
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// The models that it may hold.
+    /// The models that it may serve.
     pub models: Vec<ModelProfile>,
-    /// Token steps in one pass.
+    /// Decoding steps in one pass of the engine.
     pub stride: u32,
-    /// One token step, in milliseconds.
+    /// Duration of one decoding step, in milliseconds, without what running requests add.
     pub step_ms: f64,
-    /// What each running request adds to a step, in milliseconds.
+    /// What each running request adds to a decoding step, in milliseconds.
     pub request_ms: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens prefilled per millisecond.
     pub read_per_ms: f64,
-    /// What a million pairs of a prompt's tokens add to reading it, in milliseconds.
+    /// What each million pairs of prompt tokens adds to the prefill, in milliseconds.
     pub pairs_ms: f64,
-    /// The mean prompt, in tokens.
+    /// The mean prompt length, in tokens.
     pub usual_prompt: u32,
-    /// The mean answer, in tokens.
+    /// The mean answer length, in tokens.
     pub usual_answer: u32,
-    /// The layers of the model.
+    /// The number of layers of the model.
     pub layers: u32,
-    /// The chunks of a version.
+    /// The number of chunks of a version.
     pub chunks: u32,
-    /// The size of a chunk.
+    /// The size of one chunk, in bytes.
     pub chunk_size: ByteSize,
 }
 
-/// A model that an engine may hold.
+/// A model that an engine may serve.
 #[derive(Debug, Clone)]
 pub struct ModelProfile {
-    /// Its name.
+    /// The model's name.
     pub name: ModelName,
     /// How long an engine takes to load all layers.
     pub load_time: Millis,
 }
 
 impl RouteDocument {
-    /// A configuration with its indexes.
+    /// Builds the indexes by host and by key.
     pub fn new(
         generation: Generation,
         routes: Vec<RouteRule>,
@@ -155,78 +156,79 @@
         limits: CallerLimits,
     ) -> Self {
         let mut by_host: FastMap<Box<str>, Vec<usize>> = FastMap::default();
-        for (place, route) in routes.iter().enumerate() {
-            by_host.entry(route.host.clone()).or_default().push(place);
+        for (index, route) in routes.iter().enumerate() {
+            by_host.entry(route.host.clone()).or_default().push(index);
         }
-        for places in by_host.values_mut() {
-            places.sort_by_key(|place| std::cmp::Reverse(routes[*place].prefix.len()));
+        for indexes in by_host.values_mut() {
+            indexes.sort_by_key(|index| std::cmp::Reverse(routes[*index].prefix.len()));
         }
         let mut by_key = FastMap::default();
-        for (place, customer) in customers.iter().enumerate() {
-            by_key.extend(customer.keys.iter().map(|key| (key.clone(), place)));
+        for (index, customer) in customers.iter().enumerate() {
+            by_key.extend(customer.keys.iter().map(|key| (key.clone(), index)));
         }
         Self { generation, limits, routes, services, customers, by_host, by_key }
     }
 
-    /// The route with the longest prefix that begins `path`, among those of `host`.
+    /// The route of `host` with the longest prefix of `path`. The port of `host` and its letter
+    /// case are ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&RouteRule> {
         let bare = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let places = match self.by_host.get(bare) {
-            Some(places) => places,
+        let indexes = match self.by_host.get(bare) {
+            Some(indexes) => indexes,
             None => self.by_host.get(bare.to_ascii_lowercase().as_str())?,
         };
-        let routes = places.iter().map(|place| &self.routes[*place]);
+        let routes = indexes.iter().map(|index| &self.routes[*index]);
         routes.into_iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Whose key it is.
+    /// The customer that owns an API key.
     pub fn customer(&self, key: &str) -> Option<&CustomerRecord> {
-        self.by_key.get(key).map(|place| &self.customers[*place])
+        self.by_key.get(key).map(|index| &self.customers[*index])
     }
 
-    /// Whether callers need keys at all.
+    /// Whether any customer is configured; without customers callers need no keys.
     pub fn has_customers(&self) -> bool {
         !self.customers.is_empty()
     }
 
-    /// A service.
+    /// The profile of a service; `None` where the configuration does not list it.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceProfile> {
         self.services.get(name)
     }
 
-    /// Where weights come from.
+    /// The origin of weights: a service that is configured as one.
     pub fn origin(&self) -> Option<&OriginProfile> {
         self.services.values().find_map(|profile| profile.origin.as_ref())
     }
 
-    /// All services.
+    /// All services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = (&ServiceName, &ServiceProfile)> {
         self.services.iter()
     }
 }
 
 impl RouteRule {
-    /// The service for a request whose lot is `lot`, drawn evenly from all numbers.
+    /// Chooses a service by its traffic weight. `lot` is uniformly random over all of `u32`.
     pub fn service_for(&self, lot: u32) -> &ServiceName {
         let total: u64 = self.split.iter().map(|(_, weight)| u64::from(*weight)).sum();
-        let mut place = (u64::from(lot) * total.max(1)) >> 32;
+        let mut remaining = (u64::from(lot) * total.max(1)) >> 32;
         for (service, weight) in &self.split {
-            if place < u64::from(*weight) {
+            if remaining < u64::from(*weight) {
                 return service;
             }
-            place -= u64::from(*weight);
+            remaining -= u64::from(*weight);
         }
-        &self.split.last().expect("a route has a service").0
+        &self.split.last().expect("the split of a route lists at least one service").0
     }
 }
 
 impl RepeatRule {
-    /// Whether it may be run again after an attempt that may have run.
+    /// Whether the request may run again after an attempt that may have run.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::StreamResumable)
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::StreamOnce | Self::StreamResumable)
     }
--- a/mustardrill_core/src/direct/waiting/mod.rs
+++ b/mustardrill_core/src/direct/waiting/mod.rs
@@ -1,5 +1,6 @@
-//! Where requests wait: for an upstream with room, or for a configuration that may be used.
+//! Requests that wait: for an upstream with capacity, or for a configuration that is confirmed as
+//! current.
 
-pub(in crate::direct) mod holding;
+pub(in crate::direct) mod held_requests;
 pub(in crate::direct) mod line;
 pub(in crate::direct) mod queue;
--- a/mustardrill_core/src/direct/waiting/queue.rs
+++ b/mustardrill_core/src/direct/waiting/queue.rs
@@ -1,10 +1,10 @@
 //! The order in which requests wait at an entry for an upstream.
 //!
-//! Load pattern: more requests come than slots are free, for a moment or for long. Requests that
-//! can still be in time go before those that are late already, and among equals the more urgent
-//! first, then those that are not much larger than usual, then the one that has waited longest: in
-//! the time of one large request several others are answered. What can't be started within the longest wait is
-//! refused at once by the reducer, so the queue stays as short as the wait that it promises.
+//! When more requests arrive than slots are free, briefly or for long, requests that can still meet
+//! their objective go before those that are late. Among these, the more urgent priority goes first,
+//! then requests that are not much larger than usual, then the one that arrived first: in the time
+//! of one large request several others are answered. The reducer refuses at once what can't start
+//! within the longest wait, so that the queue stays as short as the wait that it promises.
 
 use std::collections::BTreeMap;
 
@@ -12,76 +12,76 @@
 
 use crate::direct::event::RequestNumber;
 
-/// The place of a waiting request; the least goes first.
+/// The sort key of a waiting request; the least goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WaitRank {
-    /// Whether its objective can't be met any more.
+    /// Whether the request can't meet its objective any more.
     pub late: bool,
-    /// Its priority; zero is the most urgent.
+    /// The request's priority; zero is the most urgent.
     pub priority: u8,
-    /// Whether it takes much more of an engine than a usual one.
+    /// Whether its work is much more than a usual request's.
     pub large: bool,
-    /// When it came.
+    /// When the request arrived.
     pub since: Moment,
-    /// Its number, between equals.
+    /// The request's number, which decides between equals.
     pub number: RequestNumber,
 }
 
-/// The requests that wait for one service.
+/// The requests that wait for one service, with the end of their wait.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
     ranks: BTreeMap<WaitRank, Moment>,
 }
 
 impl WaitQueue {
-    /// Adds a request that gives up waiting at `until`.
+    /// Adds a request whose wait ends at `until`.
     pub fn push(&mut self, rank: WaitRank, until: Moment) {
         self.ranks.insert(rank, until);
     }
 
-    /// The request that goes next.
+    /// The request to be sent next.
     pub fn first(&self) -> Option<WaitRank> {
         self.ranks.keys().next().copied()
     }
 
-    /// Gives a request another place.
-    pub fn replace(&mut self, rank: &WaitRank, other: WaitRank) {
+    /// Moves a request to another rank; the end of its wait stays.
+    pub fn replace(&mut self, rank: &WaitRank, new_rank: WaitRank) {
         if let Some(until) = self.ranks.remove(rank) {
-            self.ranks.insert(other, until);
+            self.ranks.insert(new_rank, until);
         }
     }
 
-    /// Takes a request out.
+    /// Removes a request; `false` where it was not queued under this rank.
     pub fn remove(&mut self, rank: &WaitRank) -> bool {
         self.ranks.remove(rank).is_some()
     }
 
-    /// How many wait ahead of `rank`.
+    /// How many requests go before `rank`.
     pub fn ahead(&self, rank: &WaitRank) -> usize {
         self.ranks.range(..rank).count()
     }
 
-    /// How many wait.
+    /// How many requests wait.
     pub fn len(&self) -> usize {
         self.ranks.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.ranks.is_empty()
     }
 
-    /// Takes out those that have waited long enough.
+    /// Removes and returns the requests whose wait has ended.
     pub fn take_overdue(&mut self, now: Moment) -> Vec<WaitRank> {
-        let late: Vec<_> =
+        let overdue: Vec<_> =
             self.ranks.iter().filter(|(_, until)| **until <= now).map(|(rank, _)| *rank).collect();
-        late.iter().for_each(|rank| {
+        overdue.iter().for_each(|rank| {
             self.ranks.remove(rank);
         });
-        late
+        overdue
     }
 
-    /// When the next one gives up.
+    /// When the next wait ends.
     pub fn next_overdue(&self) -> Option<Moment> {
         self.ranks.values().min().copied()
     }
--- a/mustardrill_core/tests/common/mod.rs
+++ b/mustardrill_core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests of the core share.
+//! Fixtures that several tests of the core crate share.
 #![allow(dead_code, reason = "each test uses a part of it")]
 
 use std::collections::BTreeSet;
@@ -30,30 +30,30 @@
     std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
-/// The model `drafts` as an operator's file.
+/// The model `drafts` as an operator's settings file.
 pub fn model_text() -> String {
     "[model drafts]\nservice = mustard-pool\nowner = ana\nclass = urgent\ncallers = comedor, inspector\n\
      requests_per_second = 50\nin_flight = 10\nversion = v1\nreplicas = 4\n"
         .into()
 }
 
-/// The drafts of a file that reads.
+/// Parses a valid settings file.
 pub fn drafts(text: &str) -> Vec<EntryDraft> {
-    read_drafts("edit.ini", text).expect("the file reads")
+    read_drafts("edit.ini", text).expect("the settings file is valid")
 }
 
-/// An edit of drafts.
+/// An edit that applies the drafts.
 pub fn request(id: u128, operator: &str, drafts: Vec<EntryDraft>) -> EditRequest {
     EditRequest { id: EditId(id), operator: operator.into(), change: EditChange::Drafts(drafts) }
 }
 
-/// The catalogue that one edit of a file makes.
+/// The catalogue after one edit that applies a settings file.
 pub fn document_with(text: &str) -> CatalogueDocument {
     let edit = request(1, "ana", drafts(text));
-    apply_edit(&CatalogueDocument::default(), &edit, &facts()).expect("the edit is right")
+    apply_edit(&CatalogueDocument::default(), &edit, &facts()).expect("the edit is accepted")
 }
 
-/// A small fleet.
+/// The facts of a small fleet, against which edits are checked.
 pub fn facts() -> FleetFacts {
     let mut versions = FastMap::default();
     for model in ["drafts", "summaries"] {
@@ -75,11 +75,11 @@
     }
 }
 
-/// When the engines of these tests load.
+/// The rollout schedule of the engines in these tests.
 pub const TURNS: TurnSettings =
     TurnSettings { first: Millis(3_600), last: Millis(6_500), switch: Millis(2_000) };
 
-/// How the entry of these tests decides.
+/// Settings of the entry in these tests.
 pub fn direct_settings() -> DirectSettings {
     DirectSettings {
         own: "entry-1".parse().unwrap(),
@@ -100,7 +100,7 @@
     }
 }
 
-/// How the agent of these tests decides.
+/// Settings of the agent in these tests.
 pub fn stock_settings() -> StockSettings {
     StockSettings {
         own: "10.0.0.1".parse().unwrap(),
@@ -114,7 +114,7 @@
     }
 }
 
-/// A request of so much work for the model `m`, as it comes to a public route.
+/// A request of the given size for the model `m`, on a public route.
 pub fn direct_request(number: u64, path: &str, size: WorkSize, arrived: Moment) -> DirectRequest {
     DirectRequest {
         number: RequestNumber(number),
@@ -141,7 +141,7 @@
     }
 }
 
-/// A route that anybody may call.
+/// A route that needs no API key.
 pub fn public_route(name: &str, prefix: &str, service: &str, repeat: RepeatRule) -> RouteRule {
     RouteRule {
         name: name.into(),
@@ -158,7 +158,7 @@
     }
 }
 
-/// An engine of four slots that holds the model `m`.
+/// The profile of an engine with four slots that serves the model `m`.
 pub fn engine_profile() -> EngineProfile {
     EngineProfile {
         slots: 4,
@@ -172,7 +172,7 @@
     }
 }
 
-/// A configuration with a plain service whose requests may be repeated, and its upstreams.
+/// A configuration with a plain service whose requests are idempotent, and its upstreams.
 pub fn desk_fleet(upstreams: u16) -> Vec<FleetChange> {
     let route = RouteRule {
         objective: Millis(300),
@@ -187,7 +187,7 @@
     changes
 }
 
-/// The name of an upstream of `desk_fleet`.
+/// The instance ID of an upstream of `desk_fleet`.
 pub fn desk_id(place: u16) -> InstanceId {
     format!("desk-{place}").parse().unwrap()
 }
@@ -212,8 +212,8 @@
     DirectRequest { model: None, ..direct_request(number, "/x", size, arrived) }
 }
 
-/// The upstreams of a `desk_fleet` to which requests go that come at `now`, as many as there are
-/// upstreams.
+/// Sends as many requests at `now` as there are upstreams, and returns the upstreams that were
+/// reached.
 pub fn reached_desks(
     reducer: &mut DirectReducer,
     upstreams: u16,
--- a/mustardrill_core/tests/contention.rs
+++ b/mustardrill_core/tests/contention.rs
@@ -1,4 +1,4 @@
-//! Several entries with requests waiting for the same slots, replayed with the delay of their words.
+//! Several entries compete for the slots of one engine; their load broadcasts take time to arrive.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,14 +17,14 @@
 mod common;
 
 const START: Moment = Moment(100_000);
-/// Entries that callers ask.
-const ASKED: u64 = 6;
+/// Entries to which callers send requests.
+const ACTIVE_ENTRIES: u64 = 6;
 const SLOTS: u32 = 16;
-/// What an engine at full load takes for a request: one ends about every 100 ms.
-const RUN: Millis = Millis(1_600);
+/// How long a fully loaded engine takes for a request: one ends about every 100 ms.
+const RUN_TIME: Millis = Millis(1_600);
 const SIZE: WorkSize = WorkSize { prompt: 100, answer: 100 };
-/// The way of a datagram.
-const WAY: Millis = Millis(3);
+/// The latency of a datagram.
+const LATENCY: Millis = Millis(3);
 
 fn document() -> Arc<RouteDocument> {
     let engine = EngineProfile {
@@ -46,35 +46,35 @@
     Arc::new(RouteDocument::new(Generation(1), vec![route], services, Vec::new(), limits))
 }
 
-fn name(place: u64) -> InstanceId {
-    format!("entry-{place}").parse().unwrap()
+fn name(index: u64) -> InstanceId {
+    format!("entry-{index}").parse().unwrap()
 }
 
-fn entry(place: u64, pattern: &LoadPattern) -> DirectReducer {
+fn entry(index: u64, pattern: &LoadPattern) -> DirectReducer {
     let settings = DirectSettings {
-        own: name(place),
+        own: name(index),
         ahead: 1,
         wait_percent: 25,
         ..common::direct_settings()
     };
-    let mut reducer = DirectReducer::new(settings, place);
-    let peer = |place| FleetChange::Peer(common::peer(&name(place)));
+    let mut reducer = DirectReducer::new(settings, index);
+    let peer = |index| FleetChange::Peer(common::peer(&name(index)));
     let mut changes = vec![FleetChange::Configured(document())];
-    changes.extend((1..=1 + pattern.paused).map(engine));
+    changes.extend((1..=1 + pattern.paused_engines).map(engine));
     changes.extend((0..pattern.entries).map(peer));
     let page = FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() };
     reducer.reduce(START, DirectEvent::Fleet(page, START));
     reducer
 }
 
-/// The n-th engine; the first one is the one that the entries share.
-fn engine(place: u8) -> FleetChange {
+/// The n-th engine; all entries share the first one.
+fn engine(index: u8) -> FleetChange {
     let served = ServedWeights { model: "m".parse().unwrap(), version: WeightVersion(1) };
     FleetChange::Upstream(UpstreamRecord {
-        id: format!("u{place}").parse().unwrap(),
+        id: format!("u{index}").parse().unwrap(),
         start: StartStamp(1),
         service: "pool".parse().unwrap(),
-        address: address(place),
+        address: address(index),
         data_centre: "hall-a".parse().unwrap(),
         slots: SLOTS,
         leaving: false,
@@ -82,80 +82,87 @@
     })
 }
 
-fn address(place: u8) -> SocketAddr {
-    ([10, 0, 0, place], 8_000).into()
+fn address(index: u8) -> SocketAddr {
+    ([10, 0, 0, index], 8_000).into()
 }
 
-/// Something under way, at the millisecond at which it arrives.
+/// An event that reaches an entry later than it was sent, kept by its millisecond of arrival.
 enum Arrival {
-    Word(usize, PeerLoad),
+    Load(usize, PeerLoad),
     End(usize, RequestNumber),
     Wake(usize),
 }
 
-/// Who asks for what, for 4 s.
+/// Arrivals of requests during 4 s.
 struct LoadPattern {
     entries: u64,
-    /// A request comes each so many milliseconds.
-    every: u64,
-    /// The entry that the n-th request asks, which comes at this millisecond.
-    asks: fn(step: u64, number: u64) -> u64,
-    /// The engine takes no requests before that.
-    opens: u64,
-    /// Further engines, which take none at all.
-    paused: u8,
+    /// The interval between requests, in milliseconds.
+    interval: u64,
+    /// The entry that receives the n-th request, which arrives at millisecond `step`.
+    entry_for: fn(step: u64, number: u64) -> u64,
+    /// The engine accepts no requests before this millisecond.
+    opens_at: u64,
+    /// The number of further engines, which accept no requests at all.
+    paused_engines: u8,
 }
 
-/// More than seven times what one engine can run: requests of the first 1.5 s ask one entry, the others
-/// five others; the rest idle.
+/// More than seven times the load that one engine can run: one entry receives the requests of the
+/// first 1.5 s, five others receive the rest; further entries are idle.
 const HANDED_OVER: LoadPattern = LoadPattern {
-    entries: ASKED,
-    every: 13,
-    asks: |step, number| if step < 1_500 { 0 } else { 1 + number % (ASKED - 1) },
-    opens: 0,
-    paused: 0,
+    entries: ACTIVE_ENTRIES,
+    interval: 13,
+    entry_for: |step, number| if step < 1_500 { 0 } else { 1 + number % (ACTIVE_ENTRIES - 1) },
+    opens_at: 0,
+    paused_engines: 0,
 };
 
-/// All engines but one load weights, and that one has just loaded them; requests wait for them at 36
-/// entries.
-const REOPENED: LoadPattern =
-    LoadPattern { entries: 36, every: 4, asks: |_, number| number % 36, opens: 1_000, paused: 60 };
+/// All engines but one are loading weights, and that one has just finished; requests wait for it at
+/// 36 entries.
+const REOPENED: LoadPattern = LoadPattern {
+    entries: 36,
+    interval: 4,
+    entry_for: |_, number| number % 36,
+    opens_at: 1_000,
+    paused_engines: 60,
+};
 
-/// Plays a pattern. Returns the most requests that the engine had, and how many it ran.
-fn play(pattern: &LoadPattern) -> (u32, u32) {
+/// Simulates a pattern. Returns the largest number of requests that the engine had at once, and how
+/// many it finished.
+fn simulate(pattern: &LoadPattern) -> (u32, u32) {
     let count = pattern.entries;
-    let mut entries: Vec<_> = (0..count).map(|place| entry(place, pattern)).collect();
-    let mut tellers: Vec<_> = (0..count).map(|_| LoadTeller::default()).collect();
+    let mut entries: Vec<_> = (0..count).map(|index| entry(index, pattern)).collect();
+    let mut broadcasters: Vec<_> = (0..count).map(|_| LoadTeller::default()).collect();
     let mut arrivals: BTreeMap<u64, Vec<Arrival>> = BTreeMap::new();
-    let (mut there, mut most, mut ended, mut number) = (0, 0, 0, 0);
+    let (mut at_engine, mut most, mut ended, mut number) = (0, 0, 0, 0);
     let mut free_at = vec![START; SLOTS as usize];
     for step in 0..4_000 {
         let now = START + Millis(step);
         let mut due = arrivals.remove(&now.0).unwrap_or_default();
-        let comes = step % pattern.every == 0;
-        number += u64::from(comes);
-        for (place, entry) in entries.iter_mut().enumerate() {
+        let arrives = step % pattern.interval == 0;
+        number += u64::from(arrives);
+        for (index, entry) in entries.iter_mut().enumerate() {
             let mut effects = Vec::new();
-            for arrival in due.extract_if(.., |arrival| arrival.place() == place) {
+            for arrival in due.extract_if(.., |arrival| arrival.index() == index) {
                 effects.extend(match arrival {
-                    Arrival::Word(_, load) => entry.reduce(now, DirectEvent::PeerHeard(load)),
+                    Arrival::Load(_, load) => entry.reduce(now, DirectEvent::PeerHeard(load)),
                     Arrival::Wake(_) => entry.reduce(now, DirectEvent::Woke),
                     Arrival::End(_, number) => {
-                        there -= 1;
+                        at_engine -= 1;
                         ended += 1;
                         entry.reduce(now, DirectEvent::Ended(number, AttemptOutcome::Whole))
                     }
                 });
             }
-            if pattern.opens > 0 && step == 0 {
-                let engines = 1..=1 + pattern.paused;
-                engines.for_each(|it| drop(entry.reduce(now, word(it, EngineWord::Pausing))));
+            if pattern.opens_at > 0 && step == 0 {
+                let engines = 1..=1 + pattern.paused_engines;
+                engines
+                    .for_each(|it| drop(entry.reduce(now, engine_notice(it, EngineWord::Pausing))));
             }
-            if pattern.opens > 0 && step == pattern.opens {
+            if pattern.opens_at > 0 && step == pattern.opens_at {
                 let serving = EngineWord::Serving(WeightVersion(1));
-                effects.extend(entry.reduce(now, word(1, serving)));
+                effects.extend(entry.reduce(now, engine_notice(1, serving)));
             }
-            if comes && (pattern.asks)(step, number) == place as u64 {
+            if arrives && (pattern.entry_for)(step, number) == index as u64 {
                 effects.extend(entry.reduce(
                     now,
                     DirectEvent::Arrived(common::direct_request(number, "/x", SIZE, now)),
@@ -164,69 +171,70 @@
             for effect in effects {
                 match effect {
                     DirectEffect::Send(number, _) => {
-                        there += 1;
-                        most = most.max(there);
+                        at_engine += 1;
+                        most = most.max(at_engine);
                         let slot = free_at.iter_mut().min().unwrap();
-                        *slot = (*slot).max(now) + RUN;
-                        arrivals.entry(slot.0).or_default().push(Arrival::End(place, number));
+                        *slot = (*slot).max(now) + RUN_TIME;
+                        arrivals.entry(slot.0).or_default().push(Arrival::End(index, number));
                         entry.reduce(now, DirectEvent::Answering(number, None, None));
                     }
                     DirectEffect::Wake(at) => {
                         let at = at.0.max(now.0 + 1);
-                        arrivals.entry(at).or_default().push(Arrival::Wake(place));
+                        arrivals.entry(at).or_default().push(Arrival::Wake(index));
                     }
                     _ => {}
                 }
             }
             if step % 10 == 0
-                && let Some(news) = tellers[place].next(now, entry.outstanding(), entry.waiting())
+                && let Some(news) =
+                    broadcasters[index].next(now, entry.outstanding(), entry.waiting())
             {
-                let load = PeerLoad { from: name(place as u64), news };
-                let to = (0..count as usize).filter(|other| *other != place);
-                let words = to.map(|other| Arrival::Word(other, load.clone()));
-                arrivals.entry(now.0 + WAY.0).or_default().extend(words);
+                let load = PeerLoad { from: name(index as u64), news };
+                let to = (0..count as usize).filter(|other| *other != index);
+                let loads = to.map(|other| Arrival::Load(other, load.clone()));
+                arrivals.entry(now.0 + LATENCY.0).or_default().extend(loads);
             }
         }
     }
     (most, ended)
 }
 
-/// What the agent of the n-th engine tells.
-fn word(place: u8, word: EngineWord) -> DirectEvent {
-    DirectEvent::EngineHeard { address: address(place), model: "m".parse().unwrap(), word }
+/// The notice that the agent of the n-th engine sends.
+fn engine_notice(index: u8, word: EngineWord) -> DirectEvent {
+    DirectEvent::EngineHeard { address: address(index), model: "m".parse().unwrap(), word }
 }
 
 impl Arrival {
-    fn place(&self) -> usize {
+    fn index(&self) -> usize {
         match self {
-            Self::Word(place, _) | Self::End(place, _) | Self::Wake(place) => *place,
+            Self::Load(index, _) | Self::End(index, _) | Self::Wake(index) => *index,
         }
     }
 }
 
-fn check(pattern: &LoadPattern) {
-    let (most, ended) = play(pattern);
-    assert!(most <= SLOTS + 3, "{most} requests at once for {SLOTS} slots and one ahead");
-    let bound = ((4_000 - pattern.opens) / RUN.0) as u32 * SLOTS;
-    assert!(ended >= bound * 9 / 10, "{ended} of {bound} that the slots can run");
+fn check_engine_load(pattern: &LoadPattern) {
+    let (most, ended) = simulate(pattern);
+    assert!(most <= SLOTS + 3, "{most} requests at once for {SLOTS} slots and one request ahead");
+    let bound = ((4_000 - pattern.opens_at) / RUN_TIME.0) as u32 * SLOTS;
+    assert!(ended >= bound * 9 / 10, "finished {ended} of {bound} requests that the slots can run");
 }
 
-/// Taken by all entries at the same moment, the places of one engine were 21 at the most for 16
-/// slots, and requests that were sent to be in time waited there.
+/// When all entries used a freed slot at the same moment, one engine had up to 21 requests for 16
+/// slots, and requests that were sent to meet their objective waited there.
 #[test]
-fn a_freed_place_is_taken_once() {
-    check(&HANDED_OVER);
+fn freed_slot_is_taken_by_several_entries() {
+    check_engine_load(&HANDED_OVER);
 }
 
-/// Each entry that goes first was waited for, also those that had nothing to send.
+/// Every entry that was earlier in the order was waited for, even those that had nothing to send.
 #[test]
-fn a_freed_place_is_not_kept_for_entries_in_which_nothing_waits() {
-    check(&LoadPattern { entries: 36, ..HANDED_OVER });
-    check(&LoadPattern { entries: 120, ..HANDED_OVER });
+fn freed_slot_idles_for_entries_without_waiting_requests() {
+    check_engine_load(&LoadPattern { entries: 36, ..HANDED_OVER });
+    check_engine_load(&LoadPattern { entries: 120, ..HANDED_OVER });
 }
 
-/// An engine that is back from loading got the requests of all entries at once.
+/// An engine that finished loading was sent the requests of all entries at once.
 #[test]
-fn an_engine_that_opens_is_filled_and_not_overrun() {
-    check(&REOPENED);
+fn engine_back_from_loading_is_overrun_or_not_filled() {
+    check_engine_load(&REOPENED);
 }
--- a/mustardrill_core/tests/direct.rs
+++ b/mustardrill_core/tests/direct.rs
@@ -1,4 +1,4 @@
-//! The reducer of an entry that sends to upstreams itself, event by event.
+//! Single events of the direct mode's reducer, and what it answers to them.
 
 use std::sync::Arc;
 
@@ -69,16 +69,16 @@
     }
 }
 
-fn page(changes: Vec<FleetChange>) -> FleetPage {
+fn fleet_update(changes: Vec<FleetChange>) -> FleetPage {
     FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() }
 }
 
-/// An entry with one configuration and these upstreams.
+/// An entry with one configuration and the given upstreams.
 fn entry(upstreams: &[UpstreamRecord]) -> DirectReducer {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let mut changes = vec![FleetChange::Configured(document(1, &["key-1"]))];
     changes.extend(upstreams.iter().cloned().map(FleetChange::Upstream));
-    reducer.reduce(START, DirectEvent::Fleet(page(changes), START));
+    reducer.reduce(START, DirectEvent::Fleet(fleet_update(changes), START));
     reducer
 }
 
@@ -95,7 +95,7 @@
     reducer.reduce(now, DirectEvent::Arrived(request(number, path, now)))
 }
 
-fn sent(effects: &[DirectEffect]) -> Vec<&SendPlan> {
+fn sent_plans(effects: &[DirectEffect]) -> Vec<&SendPlan> {
     let plans = effects.iter().filter_map(|effect| match effect {
         DirectEffect::Send(_, plan) => Some(plan),
         _ => None,
@@ -103,7 +103,7 @@
     plans.collect()
 }
 
-fn refused(effects: &[DirectEffect]) -> Vec<RefusalPlan> {
+fn refusals(effects: &[DirectEffect]) -> Vec<RefusalPlan> {
     let plans = effects.iter().filter_map(|effect| match effect {
         DirectEffect::Refuse(_, plan) => Some(*plan),
         _ => None,
@@ -111,7 +111,7 @@
     plans.collect()
 }
 
-fn end(
+fn end_attempt(
     reducer: &mut DirectReducer,
     now: Moment,
     number: u64,
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn shorter_route_prefix_wins_over_longer_one() {
     let document = document(1, &[]);
     let found = |path| document.route("DRAFTS.example:8080", path).map(|route| &*route.name);
     assert_eq!(found("/notices/status/7"), Some("status"));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_split_gives_each_service_its_share() {
+fn traffic_split_misses_the_configured_weights() {
     let mut rule = route("split", "/", "a", RepeatRule::Idempotent);
     rule.split = vec![("a".parse().unwrap(), 90), ("b".parse().unwrap(), 10)];
     let lots = (0..1_000u64).map(|step| (step * u64::from(u32::MAX) / 1_000) as u32);
@@ -139,28 +139,29 @@
     assert!((95..=105).contains(&share), "{share} of 1,000");
 }
 
-/// The store is known to be away, so that waiting for it would be in vain.
-fn store_away(reducer: &mut DirectReducer, now: Moment) {
+/// Reports a failed call to the store, so that requests are not held for its answer.
+fn report_store_failure(reducer: &mut DirectReducer, now: Moment) {
     reducer.reduce(now, DirectEvent::StoreFailed);
 }
 
 #[test]
-fn without_a_configuration_nothing_is_denied_and_nothing_sent() {
+fn entry_without_configuration_sends_or_denies_requests() {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     assert!(!reducer.is_ready(START));
-    store_away(&mut reducer, START);
+    report_store_failure(&mut reducer, START);
     let effects = arrive(&mut reducer, START, 1, "/drafts/x");
-    assert_matches!(refused(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
+    assert_matches!(refusals(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
 }
 
-/// All entries start again: each caller's second try meets another one that is starting.
+/// When all entries restart at once, a caller that is refused retries at another entry that is
+/// starting as well.
 #[test]
-fn requests_wait_for_the_first_configuration_while_the_store_is_about_to_answer() {
+fn starting_entry_refuses_requests_just_before_its_first_configuration() {
     let start = || DirectReducer::new(common::direct_settings(), 7);
     let mut reducer = start();
     for number in 1..=3 {
         let effects = arrive(&mut reducer, START, number, "/drafts/x");
-        assert_eq!((sent(&effects).len(), refused(&effects).len()), (0, 0));
+        assert_eq!((sent_plans(&effects).len(), refusals(&effects).len()), (0, 0));
     }
     reducer.reduce(START, DirectEvent::Gone(RequestNumber(2)));
     let changes = vec![
@@ -168,73 +169,92 @@
         FleetChange::Upstream(upstream("u1", "pool", 1)),
     ];
     let later = START + Millis(900);
-    let effects = reducer.reduce(later, DirectEvent::Fleet(page(changes), START));
+    let effects = reducer.reduce(later, DirectEvent::Fleet(fleet_update(changes), START));
     let numbers = effects.iter().filter_map(|effect| match effect {
         DirectEffect::Send(number, _) => Some(number.0),
         _ => None,
     });
-    assert_eq!(numbers.collect::<Vec<_>>(), [1, 3], "those whose callers still wait");
-    // Neither a store that does not answer nor a long reading is waited for.
+    assert_eq!(numbers.collect::<Vec<_>>(), [1, 3], "only requests whose callers still wait");
+    // Requests are not held for a store that fails or that takes longer than the hold.
     let mut reducer = start();
     arrive(&mut reducer, START, 1, "/drafts/x");
     let effects = reducer.reduce(START + Millis(500), DirectEvent::StoreFailed);
-    assert_matches!(refused(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
+    assert_matches!(refusals(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
     let mut reducer = start();
     let effects = arrive(&mut reducer, START, 1, "/drafts/x");
     assert_matches!(effects[..], [DirectEffect::Wake(at)] if at == START + Millis(1_500));
     let effects = reducer.reduce(START + Millis(1_500), DirectEvent::Woke);
-    assert_matches!(refused(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
+    assert_matches!(refusals(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
 }
 
 #[test]
-fn a_key_counts_only_while_the_configuration_is_proved_newest() {
+fn api_key_is_accepted_under_an_unconfirmed_configuration() {
     let mut reducer = entry(&[upstream("u1", "pool", 1)]);
-    assert_eq!(sent(&arrive(&mut reducer, START, 1, "/drafts/x")).len(), 1);
+    assert_eq!(sent_plans(&arrive(&mut reducer, START, 1, "/drafts/x")).len(), 1);
     let stale = START + Millis(4_500);
-    assert_eq!(sent(&arrive(&mut reducer, stale, 2, "/drafts/x")).len(), 0, "it waits for a proof");
+    assert_eq!(
+        sent_plans(&arrive(&mut reducer, stale, 2, "/drafts/x")).len(),
+        0,
+        "held until the configuration is confirmed"
+    );
     let effects = reducer.reduce(stale, DirectEvent::StoreFailed);
-    assert_matches!(refused(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
+    assert_matches!(refusals(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
     let effects = arrive(&mut reducer, stale, 3, "/drafts/x");
-    assert_matches!(refused(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
+    assert_matches!(refusals(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
     assert!(!reducer.is_ready(stale));
-    // An answer proves only the time at which its call was sent.
-    reducer.reduce(stale, DirectEvent::Fleet(page(Vec::new()), stale - Millis(1_500)));
-    assert_eq!(sent(&arrive(&mut reducer, stale, 4, "/drafts/x")).len(), 1);
-    // An answer to a call of too long ago releases nobody who waits for a proof.
+    // An answer confirms the configuration as of the moment at which its call was sent.
+    reducer.reduce(stale, DirectEvent::Fleet(fleet_update(Vec::new()), stale - Millis(1_500)));
+    assert_eq!(sent_plans(&arrive(&mut reducer, stale, 4, "/drafts/x")).len(), 1);
+    // An answer to a call that was sent too long ago releases no held request.
     let later = stale + Millis(4_500);
-    assert_eq!(sent(&arrive(&mut reducer, later, 5, "/drafts/x")).len(), 0);
-    let effects = reducer.reduce(later, DirectEvent::Fleet(page(Vec::new()), stale));
-    assert_matches!(refused(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
+    assert_eq!(sent_plans(&arrive(&mut reducer, later, 5, "/drafts/x")).len(), 0);
+    let effects = reducer.reduce(later, DirectEvent::Fleet(fleet_update(Vec::new()), stale));
+    assert_matches!(refusals(&effects)[..], [RefusalPlan { code: ResultCode::NotCurrent, .. }]);
 }
 
 #[test]
-fn a_watch_that_ends_without_a_change_proves_its_end() {
+fn unchanged_watch_confirms_a_wrong_moment() {
     let wait = Millis(1_500);
     let at = |after: u64| START + Millis(after);
     assert_eq!(proved_at(START, at(1_504), wait, true), at(1_500));
-    assert_eq!(proved_at(START, at(9_000), wait, true), at(1_500), "however late the answer comes");
-    assert_eq!(proved_at(START, at(1_499), wait, true), START, "it was cut short");
-    assert_eq!(proved_at(START, at(1_504), wait, false), START, "it may be an early answer, late");
+    assert_eq!(
+        proved_at(START, at(9_000), wait, true),
+        at(1_500),
+        "no later, however late the answer arrives"
+    );
+    assert_eq!(proved_at(START, at(1_499), wait, true), START, "the watch was cut short");
+    assert_eq!(
+        proved_at(START, at(1_504), wait, false),
+        START,
+        "it may be an early answer that arrived late"
+    );
 }
 
 #[test]
-fn a_key_taken_away_is_refused_also_while_its_request_waits() {
+fn request_runs_though_its_key_was_revoked_while_it_waited() {
     let mut reducer = entry(&[upstream("u1", "pool", 1)]);
     for number in 1..=6 {
-        assert_eq!(sent(&arrive(&mut reducer, START, number, "/drafts/x")).len(), 1, "{number}");
+        assert_eq!(
+            sent_plans(&arrive(&mut reducer, START, number, "/drafts/x")).len(),
+            1,
+            "{number}"
+        );
         reducer.reduce(START, DirectEvent::Answering(RequestNumber(number), None, None));
     }
-    assert_eq!(sent(&arrive(&mut reducer, START, 7, "/drafts/x")).len(), 0);
+    assert_eq!(sent_plans(&arrive(&mut reducer, START, 7, "/drafts/x")).len(), 0);
     let newer = FleetChange::Configured(document(2, &["key-2"]));
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![newer]), START));
-    let effects = end(&mut reducer, START, 1, AttemptOutcome::Whole);
-    assert_eq!(sent(&effects), Vec::<&SendPlan>::new());
-    assert_matches!(refused(&effects)[..], [RefusalPlan { code: ResultCode::UnknownCustomer, .. }]);
+    reducer.reduce(START, DirectEvent::Fleet(fleet_update(vec![newer]), START));
+    let effects = end_attempt(&mut reducer, START, 1, AttemptOutcome::Whole);
+    assert_eq!(sent_plans(&effects), Vec::<&SendPlan>::new());
+    assert_matches!(
+        refusals(&effects)[..],
+        [RefusalPlan { code: ResultCode::UnknownCustomer, .. }]
+    );
 }
 
-/// What becomes of a request with `key` that waits on the route `before`, when a configuration comes with
-/// the route `after` and these customers.
-fn waits_while_configured(
+/// Queues a request with `key` on the route `before`, applies a configuration with the route
+/// `after` and these customers, and returns the effects once upstream capacity is available.
+fn reconfigure_while_waiting(
     before: RouteRule,
     key: Option<&str>,
     after: RouteRule,
@@ -242,28 +262,33 @@
 ) -> Vec<DirectEffect> {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let desk = FleetChange::Upstream(UpstreamRecord { slots: 1, ..upstream("d1", "desk", 0) });
-    let configured = |generation: u64, route: RouteRule, customers: Vec<CustomerRecord>| {
+    let configure = |generation: u64, route: RouteRule, customers: Vec<CustomerRecord>| {
         let services = [("desk".parse().unwrap(), ServiceProfile::default())].into_iter().collect();
         let limits = CallerLimits::default();
         let generation = Generation(generation);
         let document = RouteDocument::new(generation, vec![route], services, customers, limits);
         FleetChange::Configured(Arc::new(document))
     };
-    let first = configured(1, before, vec![customer("comedor", &["key-1"])]);
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![first, desk]), START));
-    let ask = |number: u64| DirectRequest {
+    let first_change = configure(1, before, vec![customer("comedor", &["key-1"])]);
+    reducer.reduce(START, DirectEvent::Fleet(fleet_update(vec![first_change, desk]), START));
+    let request_numbered = |number: u64| DirectRequest {
         key: key.map(Into::into),
         ..request(number, "/status/x", START)
     };
-    let taken = 1 + u64::from(common::direct_settings().ahead);
-    for number in 1..=taken + 1 {
-        let effects = reducer.reduce(START, DirectEvent::Arrived(ask(number)));
-        assert_eq!(sent(&effects).len(), usize::from(number <= taken), "{number}: {effects:?}");
+    let accepted = 1 + u64::from(common::direct_settings().ahead);
+    for number in 1..=accepted + 1 {
+        let effects = reducer.reduce(START, DirectEvent::Arrived(request_numbered(number)));
+        assert_eq!(
+            sent_plans(&effects).len(),
+            usize::from(number <= accepted),
+            "{number}: {effects:?}"
+        );
     }
-    let second = configured(2, after, customers);
-    let mut effects = reducer.reduce(START, DirectEvent::Fleet(page(vec![second]), START));
-    for number in 1..=taken {
-        effects.extend(end(&mut reducer, START, number, AttemptOutcome::Whole));
+    let second_change = configure(2, after, customers);
+    let mut effects =
+        reducer.reduce(START, DirectEvent::Fleet(fleet_update(vec![second_change]), START));
+    for number in 1..=accepted {
+        effects.extend(end_attempt(&mut reducer, START, number, AttemptOutcome::Whole));
     }
     effects
 }
@@ -274,36 +299,39 @@
 }
 
 #[test]
-fn a_key_that_changes_hands_while_its_request_waits_runs_under_its_new_customer() {
+fn waiting_request_runs_under_the_former_customer_of_its_key() {
     let keyed = || route("status", "/status/", "desk", RepeatRule::Idempotent);
     let customers = vec![customer("comedor", &["key-2"]), customer("inspector", &["key-1"])];
-    let effects = waits_while_configured(keyed(), Some("key-1"), keyed(), customers);
-    let customers: Vec<_> = sent(&effects).iter().map(|plan| plan.customer.clone()).collect();
+    let effects = reconfigure_while_waiting(keyed(), Some("key-1"), keyed(), customers);
+    let customers: Vec<_> = sent_plans(&effects).iter().map(|plan| plan.customer.clone()).collect();
     assert_eq!(customers, [Some("inspector".parse().unwrap())], "{effects:?}");
 }
 
 #[test]
-fn a_key_taken_away_matters_no_more_where_its_route_became_public() {
+fn revoked_key_is_refused_on_a_route_that_became_public() {
     let keyed = route("status", "/status/", "desk", RepeatRule::Idempotent);
     let public = RouteRule { public: true, ..keyed.clone() };
     let customers = vec![customer("comedor", &["key-2"])];
-    let effects = waits_while_configured(keyed, Some("key-1"), public, customers);
-    let customers: Vec<_> = sent(&effects).iter().map(|plan| plan.customer.clone()).collect();
+    let effects = reconfigure_while_waiting(keyed, Some("key-1"), public, customers);
+    let customers: Vec<_> = sent_plans(&effects).iter().map(|plan| plan.customer.clone()).collect();
     assert_eq!(customers, [None], "{effects:?}");
 }
 
 #[test]
-fn a_request_without_a_key_is_refused_where_its_route_is_public_no_more() {
+fn waiting_request_without_key_runs_on_a_route_that_is_no_longer_public() {
     let keyed = route("status", "/status/", "desk", RepeatRule::Idempotent);
     let public = RouteRule { public: true, ..keyed.clone() };
     let customers = vec![customer("comedor", &["key-1"])];
-    let effects = waits_while_configured(public, None, keyed, customers);
-    assert_eq!(sent(&effects), Vec::<&SendPlan>::new());
-    assert_matches!(refused(&effects)[..], [RefusalPlan { code: ResultCode::UnknownCustomer, .. }]);
+    let effects = reconfigure_while_waiting(public, None, keyed, customers);
+    assert_eq!(sent_plans(&effects), Vec::<&SendPlan>::new());
+    assert_matches!(
+        refusals(&effects)[..],
+        [RefusalPlan { code: ResultCode::UnknownCustomer, .. }]
+    );
 }
 
 #[test]
-fn a_waiting_request_goes_where_its_route_has_moved() {
+fn waiting_request_goes_to_the_former_service_of_its_route() {
     let mut reducer = entry(&[upstream("u1", "pool", 1), upstream("d1", "desk", 0)]);
     for number in 1..=6 {
         arrive(&mut reducer, START, number, "/drafts/x");
@@ -320,28 +348,28 @@
     let document =
         RouteDocument::new(Generation(2), moved, FastMap::default(), vec![customer], limits);
     let change = FleetChange::Configured(Arc::new(document));
-    let mut effects = reducer.reduce(START, DirectEvent::Fleet(page(vec![change]), START));
-    effects.extend(end(&mut reducer, START, 1, AttemptOutcome::Whole));
-    let plans = sent(&effects);
+    let mut effects = reducer.reduce(START, DirectEvent::Fleet(fleet_update(vec![change]), START));
+    effects.extend(end_attempt(&mut reducer, START, 1, AttemptOutcome::Whole));
+    let plans = sent_plans(&effects);
     assert_eq!(plans.iter().map(|plan| plan.upstream.as_str()).collect::<Vec<_>>(), ["d1"]);
 }
 
 #[test]
-fn an_older_configuration_never_replaces_a_newer_one() {
+fn older_configuration_replaces_a_newer_one() {
     let mut reducer = entry(&[]);
     for generation in [5, 3] {
         let change = FleetChange::Configured(document(generation, &["key-1"]));
-        reducer.reduce(START, DirectEvent::Fleet(page(vec![change]), START));
+        reducer.reduce(START, DirectEvent::Fleet(fleet_update(vec![change]), START));
     }
     assert_eq!(reducer.document().unwrap().generation, Generation(5));
 }
 
 #[test]
-fn what_other_entries_have_at_an_engine_counts() {
+fn load_of_peer_entries_is_ignored_or_kept_too_long() {
     let mut reducer = entry(&[upstream("u1", "pool", 1), upstream("u2", "pool", 1)]);
     let load = UpstreamLoad { requests: 3, reading: Millis(0) };
     let from: InstanceId = "entry-2".parse().unwrap();
-    let told = PeerLoad {
+    let peer_load = PeerLoad {
         from,
         news: LoadNews {
             rows: vec![("u1".parse().unwrap(), load)],
@@ -349,173 +377,196 @@
             waiting: Vec::new(),
         },
     };
-    reducer.reduce(START, DirectEvent::PeerHeard(told));
+    reducer.reduce(START, DirectEvent::PeerHeard(peer_load));
     let effects = arrive(&mut reducer, START, 1, "/drafts/x");
-    assert_eq!(sent(&effects)[0].upstream.as_str(), "u2");
-    // A silent entry's load is forgotten: a second one goes to the idle engine again.
+    assert_eq!(sent_plans(&effects)[0].upstream.as_str(), "u2");
+    // The load of a silent peer expires: a second request goes to the idle engine again.
     let later = START + Millis(1_500);
     let effects = arrive(&mut reducer, later, 2, "/drafts/x");
-    assert_eq!(sent(&effects)[0].upstream.as_str(), "u1");
+    assert_eq!(sent_plans(&effects)[0].upstream.as_str(), "u1");
 }
 
-/// Turns are for a place that has just become free, not for room that has been there all the while.
+/// The order of turns applies to slots that have just become free, not to slots that have been free
+/// for long.
 #[test]
-fn who_has_sent_much_is_not_shut_out_where_others_have_requests_waiting() {
+fn busy_entry_is_shut_out_while_peers_have_requests_waiting() {
     let mut reducer = entry(&[upstream("u1", "pool", 1)]);
-    // The engine was full of others' requests and has room now.
-    let word = |requests, waiting: &[(&str, u32)]| {
+    // The engine was full of a peer's requests and now has free slots.
+    let peer_load = |requests, waiting: &[(&str, u32)]| {
         let load = UpstreamLoad { requests, reading: Millis(0) };
         let rows = vec![("u1".parse().unwrap(), load)];
         let waiting = waiting.iter().map(|(name, count)| (name.parse().unwrap(), *count));
         let news = LoadNews { rows, whole: true, waiting: waiting.collect() };
         DirectEvent::PeerHeard(PeerLoad { from: "entry-2".parse().unwrap(), news })
     };
-    reducer.reduce(START, word(9, &[]));
-    reducer.reduce(START, word(0, &[]));
+    reducer.reduce(START, peer_load(9, &[]));
+    reducer.reduce(START, peer_load(0, &[]));
     for number in 1..=200 {
         let now = START + Millis(number * 10);
-        assert_eq!(sent(&arrive(&mut reducer, now, number, "/drafts/x")).len(), 1, "{number}");
-        end(&mut reducer, now, number, AttemptOutcome::Whole);
+        assert_eq!(
+            sent_plans(&arrive(&mut reducer, now, number, "/drafts/x")).len(),
+            1,
+            "{number}"
+        );
+        end_attempt(&mut reducer, now, number, AttemptOutcome::Whole);
     }
     let later = START + Millis(2_100);
-    reducer.reduce(later, word(0, &[("pool", 5)]));
-    assert_eq!(sent(&arrive(&mut reducer, later, 201, "/drafts/x")).len(), 1);
+    reducer.reduce(later, peer_load(0, &[("pool", 5)]));
+    assert_eq!(sent_plans(&arrive(&mut reducer, later, 201, "/drafts/x")).len(), 1);
 }
 
 #[test]
-fn prompts_that_come_together_are_spread_over_time() {
+fn engine_is_sent_several_long_prompts_at_once() {
     let mut reducer = entry(&[upstream("u1", "pool", 1)]);
     let mut together = 0;
     for number in 1..=4 {
         let mut call = request(number, "/drafts/x", START);
         call.size = WorkSize { prompt: 3_000, answer: 120 };
-        together += sent(&reducer.reduce(START, DirectEvent::Arrived(call))).len();
+        together += sent_plans(&reducer.reduce(START, DirectEvent::Arrived(call))).len();
     }
-    assert_eq!(together, 1, "one prompt of 100 ms is read at a time");
+    assert_eq!(together, 1, "only one prompt of 100 ms is prefilled at a time");
     let effects = reducer.reduce(START, DirectEvent::Answering(RequestNumber(1), None, None));
-    assert_eq!(sent(&effects).len(), 0, "the first event alone wakes nobody");
-    let effects = end(&mut reducer, START, 1, AttemptOutcome::Whole);
-    assert_eq!(sent(&effects).len(), 1);
+    assert_eq!(
+        sent_plans(&effects).len(),
+        0,
+        "the first event alone dispatches no waiting request"
+    );
+    let effects = end_attempt(&mut reducer, START, 1, AttemptOutcome::Whole);
+    assert_eq!(sent_plans(&effects).len(), 1);
 }
 
 #[test]
-fn a_request_that_may_run_once_is_never_sent_again_and_never_said_not_to_have_run() {
+fn non_repeatable_request_is_sent_again_or_reported_as_not_run() {
     let mut reducer = entry(&[upstream("d1", "desk", 0), upstream("d2", "desk", 0)]);
     arrive(&mut reducer, START, 1, "/notices/x");
-    let effects =
-        end(&mut reducer, START, 1, AttemptOutcome::Lost { delivered: false, crashed: false });
-    assert_eq!(sent(&effects), Vec::<&SendPlan>::new());
-    let code = refused(&effects)[0].code;
+    let effects = end_attempt(
+        &mut reducer,
+        START,
+        1,
+        AttemptOutcome::Lost { delivered: false, crashed: false },
+    );
+    assert_eq!(sent_plans(&effects), Vec::<&SendPlan>::new());
+    let code = refusals(&effects)[0].code;
     assert!(!code.is_not_run(), "{code:?}");
 }
 
 #[test]
-fn what_was_not_run_goes_to_another_upstream_and_unreached_ones_cost_no_attempt() {
+fn unreachable_upstream_uses_up_an_attempt() {
     let upstreams = ["d1", "d2", "d3"].map(|id| upstream(id, "desk", 0));
     let mut reducer = entry(&upstreams);
-    let first = sent(&arrive(&mut reducer, START, 1, "/notices/x"))[0].upstream.clone();
-    let effects = end(&mut reducer, START, 1, AttemptOutcome::NotSent);
-    let second = sent(&effects)[0].upstream.clone();
-    let effects = end(&mut reducer, START, 1, AttemptOutcome::Full);
-    let third = sent(&effects)[0].upstream.clone();
+    let first = sent_plans(&arrive(&mut reducer, START, 1, "/notices/x"))[0].upstream.clone();
+    let effects = end_attempt(&mut reducer, START, 1, AttemptOutcome::NotSent);
+    let second = sent_plans(&effects)[0].upstream.clone();
+    let effects = end_attempt(&mut reducer, START, 1, AttemptOutcome::Full);
+    let third = sent_plans(&effects)[0].upstream.clone();
     assert!(first != second && second != third && first != third);
-    let effects = end(&mut reducer, START, 1, AttemptOutcome::Full);
-    assert_matches!(refused(&effects)[..], [RefusalPlan { code: ResultCode::Overloaded, .. }]);
+    let effects = end_attempt(&mut reducer, START, 1, AttemptOutcome::Full);
+    assert_matches!(refusals(&effects)[..], [RefusalPlan { code: ResultCode::Overloaded, .. }]);
 }
 
-/// What is turned away is back at once, so that the fullest upstream looks like the emptiest.
+/// A rejected request leaves an upstream at once, so that the fullest upstream appears to have the
+/// least load.
 #[test]
-fn an_upstream_that_is_full_gets_nothing_for_a_while() {
+fn full_upstream_is_sent_requests_during_its_back_off() {
     let upstreams = ["d1", "d2"].map(|id| upstream(id, "desk", 0));
     let mut reducer = entry(&upstreams);
-    let full = sent(&arrive(&mut reducer, START, 1, "/notices/x"))[0].upstream.clone();
-    let other = sent(&end(&mut reducer, START, 1, AttemptOutcome::Full))[0].upstream.clone();
+    let full = sent_plans(&arrive(&mut reducer, START, 1, "/notices/x"))[0].upstream.clone();
+    let other =
+        sent_plans(&end_attempt(&mut reducer, START, 1, AttemptOutcome::Full))[0].upstream.clone();
     assert_ne!(full, other);
     for number in 2..=4 {
         let effects = arrive(&mut reducer, START, number, "/notices/x");
-        assert_eq!(sent(&effects)[0].upstream, other, "it has more requests, but takes them");
+        assert_eq!(
+            sent_plans(&effects)[0].upstream,
+            other,
+            "it has more requests, but accepts them"
+        );
     }
-    let rested = START + Millis(150);
-    let effects = arrive(&mut reducer, rested, 5, "/notices/x");
-    assert_eq!(sent(&effects)[0].upstream, full);
-    // Still full: the next rest is longer.
-    end(&mut reducer, rested, 5, AttemptOutcome::Full);
-    let effects = arrive(&mut reducer, rested + Millis(200), 6, "/notices/x");
-    assert_ne!(sent(&effects)[0].upstream, full);
-    let effects = arrive(&mut reducer, rested + Millis(300), 7, "/notices/x");
-    assert_eq!(sent(&effects)[0].upstream, full);
+    let back_off_end = START + Millis(150);
+    let effects = arrive(&mut reducer, back_off_end, 5, "/notices/x");
+    assert_eq!(sent_plans(&effects)[0].upstream, full);
+    // Still full: the next back-off is longer.
+    end_attempt(&mut reducer, back_off_end, 5, AttemptOutcome::Full);
+    let effects = arrive(&mut reducer, back_off_end + Millis(200), 6, "/notices/x");
+    assert_ne!(sent_plans(&effects)[0].upstream, full);
+    let effects = arrive(&mut reducer, back_off_end + Millis(300), 7, "/notices/x");
+    assert_eq!(sent_plans(&effects)[0].upstream, full);
 }
 
 #[test]
-fn requests_wait_where_all_upstreams_are_full() {
+fn requests_are_refused_while_all_upstreams_back_off() {
     let mut reducer = entry(&[upstream("d1", "desk", 0)]);
     arrive(&mut reducer, START, 1, "/notices/x");
-    end(&mut reducer, START, 1, AttemptOutcome::Full);
+    end_attempt(&mut reducer, START, 1, AttemptOutcome::Full);
     let effects = arrive(&mut reducer, START, 2, "/notices/x");
-    assert_eq!((sent(&effects).len(), refused(&effects).len()), (0, 0));
+    assert_eq!((sent_plans(&effects).len(), refusals(&effects).len()), (0, 0));
     let effects = reducer.reduce(START + Millis(150), DirectEvent::Woke);
-    assert_eq!(sent(&effects).len(), 2, "the one that was turned away, and the one that came");
+    assert_eq!(sent_plans(&effects).len(), 2, "the rejected request and the new one");
 }
 
 #[test]
-fn repeats_end_with_the_budget() {
+fn retries_exceed_the_retry_budget() {
     let upstreams = ["d1", "d2", "d3"].map(|id| upstream(id, "desk", 0));
     let mut reducer = entry(&upstreams);
     let mut repeats = 0;
     for number in 1..=100 {
         arrive(&mut reducer, START, number, "/notices/status/x");
-        let effects = end(
+        let effects = end_attempt(
             &mut reducer,
             START,
             number,
             AttemptOutcome::Lost { delivered: false, crashed: false },
         );
-        repeats += sent(&effects).len();
+        repeats += sent_plans(&effects).len();
         reducer.reduce(START, DirectEvent::Gone(RequestNumber(number)));
     }
     assert_eq!(repeats, 18, "an allowance of 8 and a tenth of 100 requests");
 }
 
 #[test]
-fn an_upstreams_failure_is_passed_on_when_it_may_not_be_repeated() {
+fn upstream_failure_of_a_non_repeatable_request_is_not_forwarded() {
     let mut reducer = entry(&[upstream("d1", "desk", 0), upstream("d2", "desk", 0)]);
     arrive(&mut reducer, START, 1, "/notices/x");
-    let effects = end(&mut reducer, START, 1, AttemptOutcome::Failed);
+    let effects = end_attempt(&mut reducer, START, 1, AttemptOutcome::Failed);
     assert_matches!(effects[..], [DirectEffect::PassOn(RequestNumber(1))]);
 }
 
 #[test]
-fn a_leaving_upstream_gets_nothing_and_one_that_lapsed_in_an_outage_has_grace() {
+fn draining_upstream_gets_requests_or_expired_one_has_no_grace_after_an_outage() {
     let mut leaving = upstream("u1", "pool", 1);
     let mut reducer = entry(&[leaving.clone(), upstream("u2", "pool", 1)]);
     leaving.leaving = true;
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![FleetChange::Upstream(leaving)]), START));
+    reducer.reduce(
+        START,
+        DirectEvent::Fleet(fleet_update(vec![FleetChange::Upstream(leaving)]), START),
+    );
     for number in 1..=6 {
         let effects = arrive(&mut reducer, START, number, "/drafts/x");
-        assert!(sent(&effects).iter().all(|plan| plan.upstream.as_str() == "u2"));
+        assert!(sent_plans(&effects).iter().all(|plan| plan.upstream.as_str() == "u2"));
         reducer.reduce(START, DirectEvent::Answering(RequestNumber(number), None, None));
     }
-    (1..=6).for_each(|number| drop(end(&mut reducer, START, number, AttemptOutcome::Whole)));
+    (1..=6)
+        .for_each(|number| drop(end_attempt(&mut reducer, START, number, AttemptOutcome::Whole)));
     reducer.reduce(START, DirectEvent::StoreFailed);
     let gone = FleetChange::UpstreamGone("u2".parse().unwrap());
-    let back = START + Millis(4_000);
-    reducer.reduce(back, DirectEvent::Fleet(page(vec![gone]), back));
-    assert_eq!(sent(&arrive(&mut reducer, back, 10, "/drafts/x")).len(), 1);
-    let over = back + Millis(2_000);
-    reducer.reduce(over, DirectEvent::Fleet(page(Vec::new()), over));
-    assert_eq!(sent(&arrive(&mut reducer, over, 11, "/drafts/x")).len(), 0);
+    let store_back = START + Millis(4_000);
+    reducer.reduce(store_back, DirectEvent::Fleet(fleet_update(vec![gone]), store_back));
+    assert_eq!(sent_plans(&arrive(&mut reducer, store_back, 10, "/drafts/x")).len(), 1);
+    let grace_end = store_back + Millis(2_000);
+    reducer.reduce(grace_end, DirectEvent::Fleet(fleet_update(Vec::new()), grace_end));
+    assert_eq!(sent_plans(&arrive(&mut reducer, grace_end, 11, "/drafts/x")).len(), 0);
 }
 
 #[test]
-fn after_its_time_nothing_begins_on_replaced_weights() {
+fn requests_start_on_superseded_weights_after_the_version_bound() {
     let mut reducer = entry(&[upstream("u1", "pool", 1), upstream("u2", "pool", 2)]);
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![named]), START));
+    let announced = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    reducer.reduce(START, DirectEvent::Fleet(fleet_update(vec![announced]), START));
     let later = START + Millis(7_000);
-    reducer.reduce(later, DirectEvent::Fleet(page(Vec::new()), later));
+    reducer.reduce(later, DirectEvent::Fleet(fleet_update(Vec::new()), later));
     for number in 1..=8 {
         let effects = arrive(&mut reducer, later, number, "/drafts/x");
-        for plan in sent(&effects) {
+        for plan in sent_plans(&effects) {
             assert_eq!(plan.upstream.as_str(), "u2");
             assert_eq!(plan.pinned, Some(WeightVersion(2)));
         }
@@ -524,116 +575,142 @@
 }
 
 #[test]
-fn an_entry_that_starts_or_comes_back_gives_replaced_weights_no_second_patience() {
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+fn entry_start_or_failed_store_call_extends_the_version_bound() {
+    let announced = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
     let old = upstream("u1", "pool", 1);
-    let mut changes = vec![FleetChange::Configured(document(1, &["key-1"])), named.clone()];
+    let mut changes = vec![FleetChange::Configured(document(1, &["key-1"])), announced.clone()];
     changes.push(FleetChange::Upstream(old.clone()));
-    let mut started = DirectReducer::new(common::direct_settings(), 7);
-    started.reduce(START, DirectEvent::Fleet(page(changes), START));
-    assert_eq!(sent(&arrive(&mut started, START, 1, "/drafts/x")).len(), 0);
-    // A call failed and the next one came through: it may have been named at the beginning.
+    let mut restarted = DirectReducer::new(common::direct_settings(), 7);
+    restarted.reduce(START, DirectEvent::Fleet(fleet_update(changes), START));
+    assert_eq!(sent_plans(&arrive(&mut restarted, START, 1, "/drafts/x")).len(), 0);
+    // One call failed and the next succeeded: the version may have been announced at the start of
+    // that gap.
     let mut away = entry(std::slice::from_ref(&old));
     away.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(3_000);
-    away.reduce(back, DirectEvent::Fleet(page(vec![named.clone()]), back));
+    away.reduce(back, DirectEvent::Fleet(fleet_update(vec![announced.clone()]), back));
     let due = START + Millis(7_000);
-    away.reduce(due, DirectEvent::Fleet(page(Vec::new()), due));
-    assert_eq!(sent(&arrive(&mut away, due, 1, "/drafts/x")).len(), 0);
-    // After an outage the patience begins anew.
+    away.reduce(due, DirectEvent::Fleet(fleet_update(Vec::new()), due));
+    assert_eq!(sent_plans(&arrive(&mut away, due, 1, "/drafts/x")).len(), 0);
+    // After an outage the bound counts from the return of the store.
     let mut away = entry(&[old]);
     away.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(8_000);
-    away.reduce(back, DirectEvent::Fleet(page(vec![named]), back));
-    assert_eq!(sent(&arrive(&mut away, back, 1, "/drafts/x")).len(), 1);
+    away.reduce(back, DirectEvent::Fleet(fleet_update(vec![announced]), back));
+    assert_eq!(sent_plans(&arrive(&mut away, back, 1, "/drafts/x")).len(), 1);
 }
 
-/// While changes gather at the store nobody asks it; what was named then is not as old as its answer.
+/// While changes are debounced nobody asks the store, so a version that its next answer brings may
+/// have been announced before the call.
 #[test]
-fn a_version_named_while_changes_gathered_counts_from_the_answer_before() {
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
-    let serves = |gathered: u64, waited: u64, due: Moment| {
+fn version_announced_during_debouncing_counts_from_the_later_call() {
+    let announced = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let sends_at = |debounced: u64, waited: u64, due: Moment| {
         let mut reducer = entry(&[upstream("u1", "pool", 1)]);
-        let asked = START + Millis(gathered);
-        let told = asked + Millis(waited);
-        reducer.reduce(told, DirectEvent::Fleet(page(vec![named.clone()]), asked));
-        reducer.reduce(due, DirectEvent::Fleet(page(Vec::new()), due));
-        sent(&arrive(&mut reducer, due, 1, "/drafts/x")).len()
+        let asked_at = START + Millis(debounced);
+        let answered_at = asked_at + Millis(waited);
+        reducer.reduce(
+            answered_at,
+            DirectEvent::Fleet(fleet_update(vec![announced.clone()]), asked_at),
+        );
+        reducer.reduce(due, DirectEvent::Fleet(fleet_update(Vec::new()), due));
+        sent_plans(&arrive(&mut reducer, due, 1, "/drafts/x")).len()
     };
-    let over = (0..7_000).map(|at| START + Millis(at)).find(|due| serves(0, 0, *due) == 0).unwrap();
-    assert_eq!(serves(500, 10, over), 0, "it may have been named 490 ms before it was asked for");
-    assert_eq!(serves(500, 700, over), 1, "the answer was waited for: it was named just then");
-    assert_eq!(serves(0, 10, over), 1);
+    let bound_end =
+        (0..7_000).map(|at| START + Millis(at)).find(|due| sends_at(0, 0, *due) == 0).unwrap();
+    assert_eq!(
+        sends_at(500, 10, bound_end),
+        0,
+        "it may have been announced 490 ms before the call"
+    );
+    assert_eq!(sends_at(500, 700, bound_end), 1, "the store held the call until the announcement");
+    assert_eq!(sends_at(0, 10, bound_end), 1);
 }
 
-/// The newer version is late; the older one may be begun on until its bound.
+/// A newer version is late; requests may start on the older one until the version bound.
 #[test]
-fn engines_with_replaced_weights_idle_before_their_time_is_over() {
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+fn engines_with_superseded_weights_idle_before_the_version_bound() {
+    let announced = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
     let bound = common::direct_settings().version_bound;
     let mut idle = entry(&[upstream("u1", "pool", 1)]);
-    idle.reduce(START, DirectEvent::Fleet(page(vec![named.clone()]), START));
+    idle.reduce(START, DirectEvent::Fleet(fleet_update(vec![announced.clone()]), START));
     let late = START + Millis(bound.0 - 600);
-    idle.reduce(late, DirectEvent::Fleet(page(Vec::new()), late));
-    assert_eq!(sent(&arrive(&mut idle, late, 1, "/drafts/x")).len(), 1, "it begins at once");
-    // What waits inside an engine puts the beginning off.
+    idle.reduce(late, DirectEvent::Fleet(fleet_update(Vec::new()), late));
+    assert_eq!(sent_plans(&arrive(&mut idle, late, 1, "/drafts/x")).len(), 1, "it starts at once");
+    // Requests queued inside an engine delay the start.
     let mut full = entry(&[upstream("u1", "pool", 1)]);
     let rows = vec![("u1".parse().unwrap(), UpstreamLoad { requests: 16, reading: Millis(70) })];
     let news = LoadNews { rows, whole: true, waiting: Vec::new() };
-    full.reduce(START, DirectEvent::Fleet(page(vec![named]), START));
-    full.reduce(late, DirectEvent::Fleet(page(Vec::new()), late));
+    full.reduce(START, DirectEvent::Fleet(fleet_update(vec![announced]), START));
+    full.reduce(late, DirectEvent::Fleet(fleet_update(Vec::new()), late));
     let from = "entry-2".parse().unwrap();
     full.reduce(late, DirectEvent::PeerHeard(PeerLoad { from, news }));
-    assert_eq!(sent(&arrive(&mut full, late, 1, "/drafts/x")).len(), 0);
+    assert_eq!(sent_plans(&arrive(&mut full, late, 1, "/drafts/x")).len(), 0);
 }
 
-/// Engines that load tell so again and again; whoever comes or goes is learned of soon.
+/// Engines that load send frequent updates; arrivals and departures of upstreams must still be seen
+/// soon.
 #[test]
-fn changes_gather_for_longer_where_no_upstream_comes_or_goes() {
-    let mut gathering = GatherPause::default();
-    let whole =
-        FleetPage { whole: true, ..page(vec![FleetChange::Upstream(upstream("u1", "pool", 1))]) };
+fn membership_changes_are_debounced_as_long_as_other_changes() {
+    let mut debounce = GatherPause::default();
+    let whole = FleetPage {
+        whole: true,
+        ..fleet_update(vec![FleetChange::Upstream(upstream("u1", "pool", 1))])
+    };
     assert_eq!(
-        gathering.after(START, &whole).pause,
+        debounce.after(START, &whole).pause,
         Millis(0),
-        "what changed during the reading is asked for"
+        "changes made during the read are asked for at once"
+    );
+    assert_eq!(debounce.after(START, &fleet_update(Vec::new())).pause, Millis(0));
+    let mut pause_after = |change| debounce.after(START, &fleet_update(vec![change])).pause;
+    let loaded_pause = pause_after(FleetChange::Upstream(upstream("u1", "pool", 2)));
+    let arrival_pause = pause_after(FleetChange::Upstream(upstream("u2", "pool", 2)));
+    assert!(
+        loaded_pause > arrival_pause && loaded_pause <= Millis(500),
+        "{loaded_pause} {arrival_pause}"
     );
-    assert_eq!(gathering.after(START, &page(Vec::new())).pause, Millis(0));
-    let mut told = |change| gathering.after(START, &page(vec![change])).pause;
-    let loaded = told(FleetChange::Upstream(upstream("u1", "pool", 2)));
-    let came = told(FleetChange::Upstream(upstream("u2", "pool", 2)));
-    assert!(loaded > came && loaded <= Millis(500), "{loaded} {came}");
-    let again = UpstreamRecord { start: StartStamp(2), ..upstream("u2", "pool", 0) };
+    let restarted = UpstreamRecord { start: StartStamp(2), ..upstream("u2", "pool", 0) };
     let leaving = UpstreamRecord { leaving: true, ..upstream("u1", "pool", 2) };
-    assert_eq!(told(FleetChange::Upstream(again)), came);
-    assert_eq!(told(FleetChange::Upstream(leaving)), came);
-    assert_eq!(told(FleetChange::UpstreamGone("u1".parse().unwrap())), came);
-    // The next change may be of any kind: it is not kept waiting by one that is rare.
-    assert_eq!(told(FleetChange::Peer(common::peer(&"entry-2".parse().unwrap()))), came);
-    assert!(came <= Millis(150), "who leaves is sent nothing more within 0.3 s");
+    assert_eq!(pause_after(FleetChange::Upstream(restarted)), arrival_pause);
+    assert_eq!(pause_after(FleetChange::Upstream(leaving)), arrival_pause);
+    assert_eq!(pause_after(FleetChange::UpstreamGone("u1".parse().unwrap())), arrival_pause);
+    // The next change may be of any kind: it is not delayed because a kind is rare.
+    assert_eq!(
+        pause_after(FleetChange::Peer(common::peer(&"entry-2".parse().unwrap()))),
+        arrival_pause
+    );
+    assert!(
+        arrival_pause <= Millis(150),
+        "an upstream that leaves is sent nothing more after 0.3 s"
+    );
 }
 
-/// While changes gather, requests of a service without upstreams are refused.
+/// While changes are debounced, requests of a service without upstreams are refused.
 #[test]
-fn the_first_upstream_of_a_service_that_lost_its_last_is_not_kept_waiting() {
-    let mut gathering = GatherPause::default();
+fn debouncing_delays_the_first_upstream_of_an_empty_service() {
+    let mut debounce = GatherPause::default();
     let fleet =
         ["d1", "d2", "e1"].map(|id| upstream(id, if id == "e1" { "pool" } else { "desk" }, 1));
     let changes: Vec<_> = fleet.iter().cloned().map(FleetChange::Upstream).collect();
-    gathering.after(START, &FleetPage { whole: true, ..page(changes) });
-    let mut told = |change| gathering.after(START, &page(vec![change])).pause;
+    debounce.after(START, &FleetPage { whole: true, ..fleet_update(changes) });
+    let mut pause_after = |change| debounce.after(START, &fleet_update(vec![change])).pause;
     let gone = |id: &str| FleetChange::UpstreamGone(id.parse().unwrap());
-    assert!(told(gone("d1")) > Millis(0), "the other one serves");
-    assert_eq!(told(gone("d2")), Millis(0), "nobody serves: the next registration is waited for");
+    assert!(pause_after(gone("d1")) > Millis(0), "the other upstream still serves");
+    assert_eq!(
+        pause_after(gone("d2")),
+        Millis(0),
+        "no upstream serves: the next registration is asked for at once"
+    );
     let back = FleetChange::Upstream(upstream("d1", "desk", 1));
-    assert!(told(back) > Millis(0));
+    assert!(pause_after(back) > Millis(0));
     let leaving = UpstreamRecord { leaving: true, ..upstream("d1", "desk", 1) };
-    assert_eq!(told(FleetChange::Upstream(leaving)), Millis(0));
+    assert_eq!(pause_after(FleetChange::Upstream(leaving)), Millis(0));
 }
 
-/// One long answer keeps all slots of an engine idle that is to load.
+/// One long answer keeps all other slots of an engine idle that is about to load.
 #[test]
-fn a_long_answer_begins_where_the_engine_is_about_to_load() {
+fn a_long_answer_starts_on_an_engine_about_to_load() {
     let closing = |reducer: &mut DirectReducer, after| {
         let word = EngineWord::Closing(Millis(after));
         let (address, model) = (upstream("u1", "pool", 1).address, "m".parse().unwrap());
@@ -643,23 +720,26 @@
     closing(&mut reducer, 500);
     for number in 1..=4 {
         let effects = arrive(&mut reducer, START, number, "/drafts/x");
-        assert!(sent(&effects).iter().all(|plan| plan.upstream.as_str() == "u2"), "{effects:?}");
+        assert!(
+            sent_plans(&effects).iter().all(|plan| plan.upstream.as_str() == "u2"),
+            "{effects:?}"
+        );
         reducer.reduce(START, DirectEvent::Answering(RequestNumber(number), None, None));
     }
-    // A short one ends by then.
+    // A short answer ends before the load.
     let mut alone = entry(&[upstream("u1", "pool", 1)]);
     closing(&mut alone, 500);
     let size = WorkSize { prompt: 100, answer: 6 };
     let short = DirectRequest { size, ..request(1, "/drafts/x", START) };
-    assert_eq!(sent(&alone.reduce(START, DirectEvent::Arrived(short))).len(), 1);
-    assert_eq!(sent(&arrive(&mut alone, START, 2, "/drafts/x")).len(), 0);
-    // Its agent has ended, so that the pause does not come.
+    assert_eq!(sent_plans(&alone.reduce(START, DirectEvent::Arrived(short))).len(), 1);
+    assert_eq!(sent_plans(&arrive(&mut alone, START, 2, "/drafts/x")).len(), 0);
+    // Its agent has ended, so that the engine does not load.
     let mut left = entry(&[upstream("u1", "pool", 1)]);
     closing(&mut left, 500);
-    assert_eq!(sent(&arrive(&mut left, START + Millis(1_600), 3, "/drafts/x")).len(), 1);
+    assert_eq!(sent_plans(&arrive(&mut left, START + Millis(1_600), 3, "/drafts/x")).len(), 1);
 }
 
-/// More requests than slots: one large request takes the time of several others.
+/// Under overload, one large request takes the time of several usual ones.
 #[test]
 fn a_large_request_goes_before_several_usual_ones() {
     let mut reducer = entry(&[upstream("u1", "pool", 1)]);
@@ -671,16 +751,16 @@
         .filter(|number| {
             let effects = reducer.reduce(START, sized(*number, 36));
             reducer.reduce(START, DirectEvent::Answering(RequestNumber(*number), None, None));
-            !sent(&effects).is_empty()
+            !sent_plans(&effects).is_empty()
         })
         .collect();
-    // Those that found no place give up, so that only the next three wait.
+    // The requests that were not sent are withdrawn, so that only the next three wait.
     (1..60).filter(|it| !running.contains(it)).for_each(|number| {
         reducer.reduce(START, DirectEvent::Gone(RequestNumber(number)));
     });
     let waiting = [(100, 600), (101, 36), (102, 36)];
     for (number, answer) in waiting {
-        assert_eq!(sent(&reducer.reduce(START, sized(number, answer))).len(), 0);
+        assert_eq!(sent_plans(&reducer.reduce(START, sized(number, answer))).len(), 0);
     }
     let mut order = Vec::new();
     for _ in waiting {
@@ -691,82 +771,89 @@
             _ => None,
         }));
     }
-    assert_eq!(order, [101, 102, 100], "the large one is served once nobody else waits");
+    assert_eq!(order, [101, 102, 100], "the large request is sent once no other waits");
 }
 
-/// A watch tells each configuration of a series in full, at each entry.
+/// A watch would transfer each configuration of a series in full, to each entry.
 #[test]
-fn each_configuration_of_a_series_crosses_the_link() {
-    let mut gathering = GatherPause::default();
-    let told = |generation| page(vec![FleetChange::Configured(document(generation, &["key-1"]))]);
-    let first = gathering.after(START, &told(2));
-    assert!(!first.anew && first.pause <= Millis(150), "a single change is told soon");
-    // Eight follow one another at 330 ms: the newest is read once in a while.
+fn each_configuration_of_a_series_is_transferred() {
+    let mut debounce = GatherPause::default();
+    let update_with =
+        |generation| fleet_update(vec![FleetChange::Configured(document(generation, &["key-1"]))]);
+    let first = debounce.after(START, &update_with(2));
+    assert!(!first.anew && first.pause <= Millis(150), "a single change is read soon");
+    // Eight more follow at intervals of 330 ms; only some of them are read.
     let (mut now, mut read, mut latest) = (START, 1, Millis(0));
     for generation in 3..=10 {
         let written = START + Millis(330 * (generation - 2));
         if written < now {
             continue;
         }
-        let next = gathering.after(written, &told(generation));
-        assert!(next.anew, "what lies between is not told");
+        let next = debounce.after(written, &update_with(generation));
+        assert!(next.anew, "configurations in between are not transferred");
         now = written + next.pause;
         latest = next.pause;
         read += 1;
     }
-    assert!(read <= 4, "{read} of 9 cross");
-    assert!(latest <= Millis(1_500), "a change is in force well within the tightest bound");
-    let later = gathering.after(START + Millis(20_000), &told(11));
+    assert!(read <= 4, "{read} of 9 configurations are transferred");
+    assert!(latest <= Millis(1_500), "a change takes effect well within the tightest bound");
+    let later = debounce.after(START + Millis(20_000), &update_with(11));
     assert!(!later.anew, "the series is over");
 }
 
 #[test]
-fn a_restarted_upstream_replaces_the_one_at_its_address() {
+fn former_incarnation_is_sent_requests_after_a_restart() {
     let old = upstream("u1", "pool", 1);
     let mut reducer = entry(std::slice::from_ref(&old));
     let new = UpstreamRecord { id: "u9".parse().unwrap(), ..old };
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![FleetChange::Upstream(new)]), START));
+    reducer
+        .reduce(START, DirectEvent::Fleet(fleet_update(vec![FleetChange::Upstream(new)]), START));
     for number in 1..=4 {
         let effects = arrive(&mut reducer, START, number, "/drafts/x");
-        assert!(sent(&effects).iter().all(|plan| plan.upstream.as_str() == "u9"));
+        assert!(sent_plans(&effects).iter().all(|plan| plan.upstream.as_str() == "u9"));
         reducer.reduce(START, DirectEvent::Answering(RequestNumber(number), None, None));
     }
 }
 
 #[test]
-fn a_stream_goes_on_only_under_the_weights_that_it_began_with() {
+fn stream_continues_on_other_weights_than_it_started_with() {
     let mut reducer = entry(&[upstream("u1", "pool", 1), upstream("u2", "pool", 2)]);
     let effects = arrive(&mut reducer, START, 1, "/drafts/x");
-    let first = sent(&effects)[0].upstream.clone();
+    let first = sent_plans(&effects)[0].upstream.clone();
     let version = WeightVersion(if first.as_str() == "u1" { 1 } else { 2 });
     reducer.reduce(START, DirectEvent::Answering(RequestNumber(1), None, Some(version)));
-    let effects =
-        end(&mut reducer, START, 1, AttemptOutcome::Lost { delivered: true, crashed: false });
-    for plan in sent(&effects) {
+    let effects = end_attempt(
+        &mut reducer,
+        START,
+        1,
+        AttemptOutcome::Lost { delivered: true, crashed: false },
+    );
+    for plan in sent_plans(&effects) {
         assert_eq!((&plan.upstream, plan.pinned), (&first, Some(version)));
     }
 }
 
-/// Its caller has nothing yet, so that nothing binds it to the weights of an engine that is gone.
+/// The caller has received nothing, so the request need not continue on the weights of an engine
+/// that is gone.
 #[test]
-fn a_stream_that_was_lost_before_its_first_event_goes_on_under_any_weights() {
+fn stream_lost_before_its_first_event_stays_pinned_to_its_weights() {
     for outcome in
         [AttemptOutcome::Lost { delivered: false, crashed: false }, AttemptOutcome::Failed]
     {
         let mut reducer = entry(&[upstream("u1", "pool", 1), upstream("u2", "pool", 2)]);
         let effects = arrive(&mut reducer, START, 1, "/drafts/x");
-        let first = sent(&effects)[0].upstream.clone();
+        let first = sent_plans(&effects)[0].upstream.clone();
         let version = WeightVersion(if first.as_str() == "u1" { 1 } else { 2 });
         reducer.reduce(START, DirectEvent::Answering(RequestNumber(1), None, Some(version)));
-        let effects = end(&mut reducer, START, 1, outcome);
-        let plans = sent(&effects);
+        let effects = end_attempt(&mut reducer, START, 1, outcome);
+        let plans = sent_plans(&effects);
         let [plan] = plans[..] else { panic!("{outcome:?}: {effects:?}") };
         assert_eq!((plan.upstream != first, plan.pinned), (true, None), "{outcome:?}");
     }
 }
 
 #[test]
-fn who_can_be_in_time_goes_before_who_is_late() {
+fn late_request_goes_before_one_that_can_meet_its_objective() {
     let mut reducer = entry(&[upstream("u1", "pool", 1)]);
     for number in 1..=6 {
         arrive(&mut reducer, START, number, "/drafts/x");
@@ -774,27 +861,28 @@
     }
     arrive(&mut reducer, START, 7, "/drafts/x");
     let later = START + Millis(300);
-    reducer.reduce(later, DirectEvent::Fleet(page(Vec::new()), later));
+    reducer.reduce(later, DirectEvent::Fleet(fleet_update(Vec::new()), later));
     arrive(&mut reducer, later, 8, "/drafts/x");
-    let effects = end(&mut reducer, later, 1, AttemptOutcome::Whole);
+    let effects = end_attempt(&mut reducer, later, 1, AttemptOutcome::Whole);
     assert_matches!(effects[..], [DirectEffect::Send(RequestNumber(8), _), ..]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(common::cases(64)))]
 
-    /// Whatever happens: one final word for each request; nothing of "not run" after an attempt
-    /// that may have run; a request that may run once is at one upstream at most after that.
+    /// For any sequence of events: each request gets one final outcome; no "not run" code after an
+    /// attempt that may have run; and a request that must not run twice is at one upstream at most
+    /// after that.
     #[test]
-    fn verdicts_are_final_and_true(steps in prop::collection::vec((0u8..9, 0u64..12), 1..200)) {
+    fn request_gets_a_second_or_a_false_outcome(steps in prop::collection::vec((0u8..9, 0u64..12), 1..200)) {
         let upstreams =
             [upstream("u1", "pool", 1), upstream("d1", "desk", 0), upstream("d2", "desk", 0)];
         let mut reducer = entry(&upstreams);
         let mut next = 1;
         let (mut ended, mut may_have_run) = (FastMap::default(), FastMap::default());
         let mut open: FastMap<u64, bool> = FastMap::default();
-        for (place, (kind, pick)) in steps.into_iter().enumerate() {
-            let now = START + Millis(place as u64 * 20);
+        for (index, (kind, pick)) in steps.into_iter().enumerate() {
+            let now = START + Millis(index as u64 * 20);
             let at = open.keys().copied().nth(pick as usize % open.len().max(1));
             let effects = match (kind, at) {
                 (0..=2, _) => {
@@ -802,16 +890,16 @@
                     next += 1;
                     arrive(&mut reducer, now, next, path)
                 }
-                (3, Some(number)) => end(&mut reducer, now, number, AttemptOutcome::Whole),
-                (4, Some(number)) => end(&mut reducer, now, number, AttemptOutcome::Full),
+                (3, Some(number)) => end_attempt(&mut reducer, now, number, AttemptOutcome::Whole),
+                (4, Some(number)) => end_attempt(&mut reducer, now, number, AttemptOutcome::Full),
                 (5, Some(number)) => {
                     may_have_run.insert(number, true);
-                    end(&mut reducer, now, number, AttemptOutcome::Lost { delivered: false, crashed: false })
+                    end_attempt(&mut reducer, now, number, AttemptOutcome::Lost { delivered: false, crashed: false })
                 }
-                (6, Some(number)) => end(&mut reducer, now, number, AttemptOutcome::NotSent),
+                (6, Some(number)) => end_attempt(&mut reducer, now, number, AttemptOutcome::NotSent),
                 (7, Some(number)) => {
                     may_have_run.insert(number, true);
-                    end(&mut reducer, now, number, AttemptOutcome::Withdrawn { sent: true })
+                    end_attempt(&mut reducer, now, number, AttemptOutcome::Withdrawn { sent: true })
                 }
                 _ => reducer.reduce(now, DirectEvent::Woke),
             };
@@ -833,7 +921,7 @@
                         prop_assert!(ended.insert(number.0, ResultCode::Answered).is_none());
                     }
                     DirectEffect::Withdraw(number) => {
-                        prop_assert!(false, "{number} runs on the newest weights");
+                        prop_assert!(false, "{number} is withdrawn though it runs on the newest weights");
                     }
                     DirectEffect::Wake(_)
                     | DirectEffect::TellAgents(..)
@@ -845,8 +933,8 @@
     }
 }
 
-/// Where each of these requests is sent, in turn; all stay at their upstreams.
-fn spread_of(
+/// The upstreams to which these requests are sent, in order; all requests stay there.
+fn chosen_upstreams(
     reducer: &mut DirectReducer,
     now: Moment,
     numbers: std::ops::Range<u64>,
@@ -854,29 +942,30 @@
     let mut chosen = Vec::new();
     for number in numbers {
         let effects = arrive(reducer, now, number, "/notices/status/x");
-        chosen.extend(sent(&effects).iter().map(|plan| plan.upstream.to_string()));
+        chosen.extend(sent_plans(&effects).iter().map(|plan| plan.upstream.to_string()));
     }
     chosen
 }
 
-/// Upstreams with a long queue turn connections away. Left alone, they send their share to others.
+/// Upstreams with a long queue reject connections. Ejecting them would move their share of the load
+/// to others.
 #[test]
-fn an_upstream_that_answers_is_not_left_alone_for_a_connection_that_it_turned_away() {
+fn answering_upstream_is_ejected_for_one_rejected_connection() {
     let mut reducer = entry(&[upstream("d1", "desk", 0), upstream("d2", "desk", 0)]);
-    assert_eq!(spread_of(&mut reducer, START, 1..3).len(), 2);
+    assert_eq!(chosen_upstreams(&mut reducer, START, 1..3).len(), 2);
     for number in 1..3 {
-        end(&mut reducer, START, number, AttemptOutcome::Whole);
+        end_attempt(&mut reducer, START, number, AttemptOutcome::Whole);
     }
-    let first = spread_of(&mut reducer, START, 3..4)[0].clone();
-    end(&mut reducer, START + Millis(300), 3, AttemptOutcome::NotSent);
-    let chosen = spread_of(&mut reducer, START + Millis(310), 10..14);
-    assert!(chosen.contains(&first), "{first} answered 0.3 s ago, but {chosen:?}");
+    let first = chosen_upstreams(&mut reducer, START, 3..4)[0].clone();
+    end_attempt(&mut reducer, START + Millis(300), 3, AttemptOutcome::NotSent);
+    let chosen = chosen_upstreams(&mut reducer, START + Millis(310), 10..14);
+    assert!(chosen.contains(&first), "{first} answered 0.3 s ago and is not among {chosen:?}");
 }
 
-/// After a restart of all, links are full for seconds. What could not be reached then is tried soon
-/// after; what loses requests is left alone for longer.
+/// After a restart of all processes, links are saturated for seconds. Upstreams that were
+/// unreachable then are tried again soon; those that lose requests stay ejected for longer.
 #[test]
-fn what_could_not_be_reached_is_tried_again_within_two_seconds() {
+fn unreachable_upstream_stays_ejected_for_more_than_two_seconds() {
     let lost = AttemptOutcome::Lost { delivered: false, crashed: false };
     for (outcome, tried) in [(AttemptOutcome::NotSent, true), (lost, false)] {
         let mut reducer = entry(&[upstream("d1", "desk", 0)]);
@@ -884,64 +973,64 @@
         for number in 1..=24 {
             now = now + Millis(100);
             arrive(&mut reducer, now, number, "/notices/x");
-            end(&mut reducer, now, number, outcome);
+            end_attempt(&mut reducer, now, number, outcome);
             reducer.reduce(now, DirectEvent::Gone(RequestNumber(number)));
         }
-        // Another one that is sound: only what is not left alone is chosen beside it.
+        // A healthy upstream joins: it alone is chosen while the first one is ejected.
         let sound = FleetChange::Upstream(upstream("d2", "desk", 0));
-        reducer.reduce(now, DirectEvent::Fleet(page(vec![sound]), now));
-        let early = spread_of(&mut reducer, now + Millis(1_950), 100..102);
+        reducer.reduce(now, DirectEvent::Fleet(fleet_update(vec![sound]), now));
+        let early = chosen_upstreams(&mut reducer, now + Millis(1_950), 100..102);
         assert_eq!(early, ["d2", "d2"], "{outcome:?}");
-        let later = spread_of(&mut reducer, now + Millis(2_050), 200..204);
+        let later = chosen_upstreams(&mut reducer, now + Millis(2_050), 200..204);
         assert_eq!(later.contains(&"d1".to_string()), tried, "{outcome:?} {later:?}");
     }
 }
 
 #[test]
-fn agents_near_by_are_told_of_a_version_when_it_is_named() {
+fn agents_nearby_are_not_notified_of_an_announced_version() {
     let far =
         UpstreamRecord { data_centre: "hall-b".parse().unwrap(), ..upstream("u3", "pool", 1) };
     let near = UpstreamRecord { address: ([10, 0, 0, 7], 80).into(), ..upstream("u1", "pool", 1) };
     let mut reducer = entry(&[near, far, upstream("d1", "desk", 0)]);
-    let named = || vec![FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2))];
-    let told = |effects: &[DirectEffect]| -> Vec<Vec<std::net::IpAddr>> {
-        let words = effects.iter().filter_map(|effect| match effect {
+    let announced = || vec![FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2))];
+    let notified = |effects: &[DirectEffect]| -> Vec<Vec<std::net::IpAddr>> {
+        let notices = effects.iter().filter_map(|effect| match effect {
             DirectEffect::TellAgents(_, WeightVersion(2), machines) => Some(machines.clone()),
             _ => None,
         });
-        words.collect()
+        notices.collect()
     };
-    let effects = reducer.reduce(START, DirectEvent::Fleet(page(named()), START));
-    assert_eq!(told(&effects), [vec![std::net::IpAddr::from([10, 0, 0, 7])]]);
+    let effects = reducer.reduce(START, DirectEvent::Fleet(fleet_update(announced()), START));
+    assert_eq!(notified(&effects), [vec![std::net::IpAddr::from([10, 0, 0, 7])]]);
 }
 
-/// The store fell silent with the agents' calls in it, entries were started again, and a version was
-/// named meanwhile. The entries found it at their start and told nobody; the agents heard of it when
-/// their calls ended, `weights model=m0 version=2 outcome=named` 10 s after the entries. Whatever an
-/// entry reads as a whole stands in any order.
+/// The store stopped answering while the agents' watches were open, the entries restarted, and a
+/// version was announced meanwhile. The entries found it at their start without notifying anybody,
+/// so the agents learned of it only when their watches ended (`weights model=m0 version=2
+/// outcome=named`), 10 s after the entries. The rows of a snapshot may come in any order.
 #[test]
-fn an_entry_that_starts_tells_agents_near_by_of_the_version_that_it_finds() {
-    let named = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+fn starting_entry_does_not_notify_agents_of_the_version_that_it_finds() {
+    let announced = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
     let near = UpstreamRecord { address: ([10, 0, 0, 7], 80).into(), ..upstream("u1", "pool", 1) };
     let changes = vec![
-        named,
+        announced,
         FleetChange::Configured(document(1, &["key-1"])),
         FleetChange::Upstream(near),
         FleetChange::Upstream(upstream("d1", "desk", 0)),
     ];
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
-    let whole = FleetPage { whole: true, ..page(changes) };
+    let whole = FleetPage { whole: true, ..fleet_update(changes) };
     let effects = reducer.reduce(START, DirectEvent::Fleet(whole, START));
     let model = "m".parse().unwrap();
     let machines = vec![std::net::IpAddr::from([10, 0, 0, 7])];
-    let told = DirectEffect::TellAgents(model, WeightVersion(2), machines);
-    assert_eq!(effects.iter().filter(|effect| **effect == told).count(), 1, "{effects:?}");
+    let notification = DirectEffect::TellAgents(model, WeightVersion(2), machines);
+    assert_eq!(effects.iter().filter(|effect| **effect == notification).count(), 1, "{effects:?}");
 }
 
-/// With a limit so large that it stands for none, the room of an engine wrapped around to zero, and
-/// nothing was sent to any.
+/// With a limit so large that it means unlimited, the computed capacity of an engine overflowed to
+/// zero and nothing was sent to any engine.
 #[test]
-fn a_reading_limit_that_stands_for_none_leaves_room() {
+fn unlimited_prefill_leaves_an_engine_without_capacity() {
     let settings =
         DirectSettings { reading_limit: Millis(u64::MAX / 4), ..common::direct_settings() };
     let mut reducer = DirectReducer::new(settings, 7);
@@ -949,7 +1038,7 @@
         FleetChange::Configured(document(1, &["key-1"])),
         FleetChange::Upstream(upstream("u1", "pool", 1)),
     ];
-    reducer.reduce(START, DirectEvent::Fleet(page(changes), START));
+    reducer.reduce(START, DirectEvent::Fleet(fleet_update(changes), START));
     let effects = arrive(&mut reducer, START, 1, "/drafts/x");
-    assert_eq!(sent(&effects).len(), 1, "{effects:?}");
+    assert_eq!(sent_plans(&effects).len(), 1, "{effects:?}");
 }
