--- a/mustardrill_core/tests/stock.rs
+++ b/mustardrill_core/tests/stock.rs
@@ -6,7 +6,7 @@
 
 use assert_matches::assert_matches;
 use mustardrill_core::direct::{
-    CallerLimits, EngineProfile, EngineWord, FleetChange, FleetPage, ModelProfile, OriginProfile,
+    CallerLimits, EngineNotice, EngineProfile, FleetChange, FleetPage, ModelProfile, OriginProfile,
     PeerRecord, RouteDocument, ServedWeights, ServiceProfile, UpstreamRecord,
 };
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
@@ -40,7 +40,7 @@
         address: origin,
         data_centre: "hall-b".parse().unwrap(),
         link_mbps: 0.0,
-        connections: 0,
+        connection_limit: 0,
     };
     let mut services = FastMap::default();
     services.insert(
@@ -260,21 +260,22 @@
     let is_word = |effect: &StockEffect| {
         matches!(
             effect,
-            StockEffect::TellHolding { .. } | StockEffect::TellEntries(_, EngineWord::Closing(_))
+            StockEffect::TellHolding { .. }
+                | StockEffect::TellEntries(_, EngineNotice::LoadingIn(_))
         )
     };
     assert!(!before.is_empty() && before.iter().all(is_word), "tells only: {before:?}");
     let turn = START + common::TURNS.first;
     let effects = reducer.reduce(turn, StockEvent::Woke);
     assert!(effects.contains(&StockEffect::ReadBack(version(2))), "{effects:?}");
-    let pause = StockEffect::TellEntries("m".parse().unwrap(), EngineWord::Pausing);
+    let pause = StockEffect::TellEntries("m".parse().unwrap(), EngineNotice::Loading);
     assert!(effects.contains(&pause), "entries are told before the engine takes nothing more");
     assert!(!effects.iter().any(|it| matches!(it, StockEffect::Order(..))), "{effects:?}");
     let effects = reducer.reduce(turn, StockEvent::ReadBack(version(2), whole()));
     assert!(effects.iter().any(|it| matches!(it, StockEffect::Order(..))), "{effects:?}");
     reducer.reduce(turn, StockEvent::Ordered(version(2), OrderFate::Taken));
     let effects = reducer.reduce(turn + Millis(900), engine(2, 1));
-    let word = EngineWord::Serving(WeightVersion(2));
+    let word = EngineNotice::Serving(WeightVersion(2));
     assert!(effects.contains(&StockEffect::TellEntries("m".parse().unwrap(), word)));
     assert!(!reducer.is_busy());
 }
@@ -287,7 +288,7 @@
     let turn = START + common::TURNS.first;
     let closing = |effects: &[StockEffect]| {
         effects.iter().find_map(|effect| match effect {
-            StockEffect::TellEntries(_, EngineWord::Closing(after)) => Some(*after),
+            StockEffect::TellEntries(_, EngineNotice::LoadingIn(after)) => Some(*after),
             _ => None,
         })
     };
@@ -307,7 +308,7 @@
     spoilt.remove(ChunkIndex(5));
     let mut effects = reducer.reduce(turn, StockEvent::ReadBack(version(2), spoilt));
     assert!(!effects.iter().any(|effect| matches!(effect, StockEffect::Order(..))));
-    let goes_on = EngineWord::Serving(WeightVersion(1));
+    let goes_on = EngineNotice::Serving(WeightVersion(1));
     let goes_on = StockEffect::TellEntries("m".parse().unwrap(), goes_on);
     assert!(effects.contains(&goes_on), "entries were told of a pause that does not come");
     for step in 1..60 {
@@ -501,7 +502,7 @@
         address: SocketAddr::from(([172, 20, 0, 3], 8006)),
         data_centre: "hall-b".parse().unwrap(),
         link_mbps: 0.8,
-        connections: 0,
+        connection_limit: 0,
     };
     paced.insert(
         "records".parse().unwrap(),
--- a/mustardrill_core/tests/store_eras.rs
+++ b/mustardrill_core/tests/store_eras.rs
@@ -49,7 +49,7 @@
 /// Tells changes as they come, in the era `era`.
 fn tell(reducer: &mut DirectReducer, at: Moment, era: u64, changes: Vec<FleetChange>) {
     let page = FleetPage { changes, ..page(era, 1, false) };
-    reducer.reduce(at, DirectEvent::Fleet(page, at));
+    reducer.reduce(at, DirectEvent::StoreAnswered(page, at));
 }
 
 /// Tells what the store lists after it came back from a copy.
@@ -59,7 +59,7 @@
 ) -> Vec<DirectEffect> {
     let changes = records.into_iter().map(FleetChange::Upstream).collect();
     let page = FleetPage { changes, ..page(1, 1, true) };
-    reducer.reduce(BACK, DirectEvent::Fleet(page, BACK))
+    reducer.reduce(BACK, DirectEvent::StoreAnswered(page, BACK))
 }
 
 fn entry() -> DirectReducer {
@@ -98,7 +98,7 @@
     tell_copy(&mut reducer, (1..UPSTREAMS).map(common::desk));
     // Others had answers all the while: that tells nothing of what the copy lacks.
     let span = AnswerSpan { since: Moment(0), until: BACK };
-    reducer.reduce(BACK, DirectEvent::ContactHeard(span));
+    reducer.reduce(BACK, DirectEvent::AvailabilityReceived(span));
     assert_eq!(
         common::reached_desks(&mut reducer, UPSTREAMS, BACK + Millis(100)),
         desks(0..UPSTREAMS)
@@ -128,7 +128,7 @@
     let mut reducer = entry();
     tell(&mut reducer, START, 0, vec![FleetChange::Upstream(serving(2))]);
     tell_copy(&mut reducer, [serving(1)]);
-    let known = reducer.fleet().changes.into_iter().find_map(|change| match change {
+    let known = reducer.fleet_snapshot().changes.into_iter().find_map(|change| match change {
         FleetChange::Upstream(record) if record.id == desk_id(0) => Some(record.serving),
         _ => None,
     });
@@ -154,7 +154,7 @@
     let newer = RouteDocument::new(Generation(2), Vec::new(), services, customers, limits);
     tell(&mut reducer, START, 0, vec![FleetChange::Configured(Arc::new(newer))]);
     let copy = FleetPage { changes: common::desk_fleet(UPSTREAMS), ..page(1, 1, true) };
-    reducer.reduce(BACK, DirectEvent::Fleet(copy, BACK));
+    reducer.reduce(BACK, DirectEvent::StoreAnswered(copy, BACK));
     assert_eq!(reducer.document().unwrap().generation, Generation(2));
 }
 
@@ -164,7 +164,7 @@
     let digest = RequestDigest::of(&[b"one that ends upstreams"]);
     tell(&mut reducer, START, 0, vec![FleetChange::Quarantined(digest)]);
     let effects = tell_copy(&mut reducer, (0..UPSTREAMS).map(common::desk));
-    let is_kept = |effect: &DirectEffect| matches!(effect, DirectEffect::KeepQuarantine(it, _) if *it == digest);
+    let is_kept = |effect: &DirectEffect| matches!(effect, DirectEffect::StoreQuarantine(it, _) if *it == digest);
     assert!(effects.iter().any(is_kept), "{effects:?}");
 }
 
@@ -180,12 +180,12 @@
 
 fn keyed_document(generation: u64) -> Arc<RouteDocument> {
     let route = RouteRule {
-        public: false,
+        is_public: false,
         ..common::public_route("status", "/", "desk", RepeatRule::Once)
     };
     let customer = CustomerRecord {
         name: "comedor".parse().unwrap(),
-        keys: vec!["key".into()],
+        api_keys: vec!["key".into()],
         priority: None,
     };
     let mut services = FastMap::default();
@@ -196,8 +196,9 @@
 }
 
 fn keyed_call(reducer: &mut DirectReducer, now: Moment, number: u64) -> Vec<DirectEffect> {
-    let request = DirectRequest { key: Some("key".into()), ..common::desk_request(number, now) };
-    reducer.reduce(now, DirectEvent::Arrived(request))
+    let request =
+        DirectRequest { api_key: Some("key".into()), ..common::desk_request(number, now) };
+    reducer.reduce(now, DirectEvent::RequestArrived(request))
 }
 
 fn sends(effects: &[DirectEffect]) -> usize {
@@ -210,7 +211,7 @@
     let effects = keyed_call(&mut reducer, START + Millis(10), 1);
     assert_eq!(sends(&effects), 0, "the others have not answered yet");
     assert!(!reducer.is_ready(START + Millis(10)));
-    let heard = DirectEvent::GenerationHeard(Generation(2));
+    let heard = DirectEvent::GenerationReceived(Generation(2));
     assert_eq!(sends(&reducer.reduce(START + Millis(20), heard)), 0);
     assert_eq!(sends(&keyed_call(&mut reducer, START + Millis(900), 2)), 0);
     let newer = vec![FleetChange::Configured(keyed_document(2))];
@@ -222,7 +223,7 @@
 fn an_entry_that_starts_beside_others_that_do_not_answer_serves_soon() {
     let mut reducer = started_entry();
     assert_eq!(sends(&keyed_call(&mut reducer, START + Millis(10), 1)), 0);
-    assert_eq!(sends(&reducer.reduce(START + Millis(200), DirectEvent::Woke)), 1);
+    assert_eq!(sends(&reducer.reduce(START + Millis(200), DirectEvent::TimerFired)), 1);
     assert!(reducer.is_ready(START + Millis(200)));
 }
 
@@ -231,21 +232,25 @@
 #[test]
 fn an_entry_that_starts_goes_on_asking_others_that_do_not_answer() {
     let mut reducer = started_entry();
-    reducer.reduce(START + Millis(200), DirectEvent::Woke);
-    assert!(reducer.doubts(START + Millis(1_000)).is_some(), "they are asked no more");
+    reducer.reduce(START + Millis(200), DirectEvent::TimerFired);
+    assert!(reducer.peer_query_interval(START + Millis(1_000)).is_some(), "they are asked no more");
     assert_eq!(sends(&keyed_call(&mut reducer, START + Millis(1_000), 1)), 1);
-    reducer.reduce(START + Millis(1_050), DirectEvent::GenerationHeard(Generation(2)));
+    reducer.reduce(START + Millis(1_050), DirectEvent::GenerationReceived(Generation(2)));
     assert_eq!(sends(&keyed_call(&mut reducer, START + Millis(1_100), 2)), 0);
-    assert_eq!(reducer.doubts(START + Millis(1_100)), None, "one word is enough");
+    assert_eq!(reducer.peer_query_interval(START + Millis(1_100)), None, "one word is enough");
     let silent = started_entry();
-    assert_eq!(silent.doubts(START + Millis(20_000)), None, "who is gone is not asked for ever");
+    assert_eq!(
+        silent.peer_query_interval(START + Millis(20_000)),
+        None,
+        "who is gone is not asked for ever"
+    );
 }
 
 /// A configuration that takes a key away and that the store lost before anybody had read it is unknown
 /// until the operator has written again.
 #[test]
 fn a_key_taken_away_in_what_the_store_lost_unread_is_used_past_its_bound() {
-    let limit = common::direct_settings().proof_limit;
+    let limit = common::direct_settings().freshness_limit;
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let mut changes = common::desk_fleet(UPSTREAMS);
     changes[0] = FleetChange::Configured(keyed_document(1));
@@ -257,7 +262,7 @@
         let mut copy = common::desk_fleet(UPSTREAMS);
         copy[0] = FleetChange::Configured(keyed_document(1));
         let page = FleetPage { changes: copy, ..page(era, 1, true) };
-        reducer.reduce(back, DirectEvent::Fleet(page, back));
+        reducer.reduce(back, DirectEvent::StoreAnswered(page, back));
         tell(&mut reducer, back + Millis(1_000), era, Vec::new());
     }
     let just_before = proved + Millis(limit.0 - 1);
@@ -268,7 +273,8 @@
     );
     assert_eq!(sends(&keyed_call(&mut reducer, proved + limit, 2)), 0);
     let rewritten = BACK + Millis(3_500);
-    let released = reducer.reduce(rewritten, DirectEvent::Fleet(page(2, 1, false), rewritten));
+    let released =
+        reducer.reduce(rewritten, DirectEvent::StoreAnswered(page(2, 1, false), rewritten));
     assert_eq!(sends(&released), 1, "what is held is served then");
     assert_eq!(sends(&keyed_call(&mut reducer, rewritten, 3)), 1);
 }
@@ -278,13 +284,13 @@
 #[test]
 fn an_entry_that_is_cut_off_is_shut_out_by_the_others_newer_configuration() {
     let mut reducer = started_entry();
-    reducer.reduce(START + Millis(10), DirectEvent::GenerationHeard(Generation(1)));
+    reducer.reduce(START + Millis(10), DirectEvent::GenerationReceived(Generation(1)));
     let proved = START + Millis(20_000);
-    reducer.reduce(proved, DirectEvent::Fleet(FleetPage::default(), proved));
+    reducer.reduce(proved, DirectEvent::StoreAnswered(FleetPage::default(), proved));
     reducer.reduce(proved + Millis(1_500), DirectEvent::StoreFailed);
     let now = proved + Millis(2_000);
-    reducer.reduce(now, DirectEvent::GenerationHeard(Generation(9)));
+    reducer.reduce(now, DirectEvent::GenerationReceived(Generation(9)));
     assert_eq!(sends(&keyed_call(&mut reducer, now, 1)), 1);
-    let limit = proved + common::direct_settings().proof_limit;
+    let limit = proved + common::direct_settings().freshness_limit;
     assert_eq!(sends(&keyed_call(&mut reducer, limit, 2)), 0);
 }
--- a/mustardrill_core/tests/tellings.rs
+++ b/mustardrill_core/tests/tellings.rs
@@ -7,7 +7,7 @@
 const START: Moment = Moment(10_000);
 
 fn rows(requests: &[(&str, u32)]) -> LoadRows {
-    let load = |requests| UpstreamLoad { requests, reading: Millis(0) };
+    let load = |requests| UpstreamLoad { requests, pending_prefill: Millis(0) };
     requests.iter().map(|(id, requests)| (id.parse().unwrap(), load(*requests))).collect()
 }
 
@@ -56,7 +56,7 @@
         for (upstream, requests) in history {
             now = now + Millis(10);
             let id: InstanceId = format!("u{upstream}").parse().unwrap();
-            load.insert(id, UpstreamLoad { requests, reading: Millis(0) });
+            load.insert(id, UpstreamLoad { requests, pending_prefill: Millis(0) });
             merge(&mut believed, &mut teller, now, &load);
         }
         merge(&mut believed, &mut teller, now + Millis(60), &load);
--- a/mustardrill_entry/src/direct/actor.rs
+++ b/mustardrill_entry/src/direct/actor.rs
@@ -167,18 +167,18 @@
             match effect {
                 DirectEffect::Send(number, plan) => self.tell(number, Verdict::Send(plan)),
                 DirectEffect::Withdraw(number) => self.tell(number, Verdict::Withdraw),
-                DirectEffect::PassOn(number) => self.tell(number, Verdict::PassOn),
+                DirectEffect::ForwardFailure(number) => self.tell(number, Verdict::PassOn),
                 DirectEffect::Refuse(number, plan) => self.tell(number, Verdict::Refuse(plan)),
-                DirectEffect::TellAgents(model, version, machines) => {
+                DirectEffect::NotifyAgents(model, version, machines) => {
                     gossip::tell_agents(self.context.clone(), &model, version, machines);
                 }
-                DirectEffect::KeepQuarantine(digest, span) => {
+                DirectEffect::StoreQuarantine(digest, span) => {
                     records::spawn(self.context.clone(), digest, RecordChange::Keep(span));
                 }
-                DirectEffect::EndQuarantine(digest) => {
+                DirectEffect::RemoveQuarantine(digest) => {
                     records::spawn(self.context.clone(), digest, RecordChange::End);
                 }
-                DirectEffect::Wake(at) => wake(now, at, actor.clone()),
+                DirectEffect::SetTimer(at) => wake(now, at, actor.clone()),
             }
         }
     }
@@ -194,7 +194,7 @@
 fn wake(now: Moment, at: Moment, actor: ActorRef<DirectActor>) {
     tokio::spawn(async move {
         tokio::time::sleep(at.since(now).to_std()).await;
-        let _ = actor.tell(Event(DirectEvent::Woke)).await;
+        let _ = actor.tell(Event(DirectEvent::TimerFired)).await;
     });
 }
 
@@ -204,7 +204,7 @@
     async fn handle(&mut self, Event(event): Event, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
         let ended = match &event {
-            DirectEvent::Gone(number) => Some(*number),
+            DirectEvent::CallerGone(number) => Some(*number),
             _ => None,
         };
         self.reduce(event, &actor);
@@ -220,7 +220,7 @@
     async fn handle(&mut self, Begin(request, task): Begin, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
         self.verdicts.insert(request.number, task);
-        self.reduce(DirectEvent::Arrived(request), &actor);
+        self.reduce(DirectEvent::RequestArrived(request), &actor);
     }
 }
 
@@ -230,10 +230,10 @@
     async fn handle(&mut self, _: GossipQuery, _: &mut Context<Self, GossipReply>) -> GossipReply {
         GossipReply {
             peers: self.reducer.peers().to_vec(),
-            outstanding: self.reducer.outstanding(),
-            waiting: self.reducer.waiting(),
+            outstanding: self.reducer.outstanding_load(),
+            waiting: self.reducer.waiting_counts(),
             crash_words: self.reducer.crash_words(self.context.clock.now()),
-            doubts: self.reducer.doubts(self.context.clock.now()),
+            doubts: self.reducer.peer_query_interval(self.context.clock.now()),
         }
     }
 }
@@ -248,9 +248,9 @@
     ) -> ContactReply {
         let document = self.reducer.document();
         ContactReply {
-            answer_span: self.reducer.answer_span(),
+            answer_span: self.reducer.store_availability_span(),
             generation: document.map_or(Generation::default(), |document| document.generation),
-            namings: self.reducer.namings(self.context.clock.now()),
+            namings: self.reducer.announcements(self.context.clock.now()),
         }
     }
 }
@@ -271,7 +271,7 @@
     type Reply = FleetReply;
 
     async fn handle(&mut self, _: FleetQuery, _: &mut Context<Self, FleetReply>) -> FleetReply {
-        let mut page = self.reducer.fleet();
+        let mut page = self.reducer.fleet_snapshot();
         page.changes.push(FleetChange::Peer(own_record(&self.context.config)));
         FleetReply(page)
     }
@@ -313,14 +313,14 @@
         let Ok(StatusReply(status)) = actor.ask(StatusQuery).await else { return };
         let gauges = [
             ("generation", status.generation.map_or(0, |generation| generation.0)),
-            ("proof_age_ms", status.proof_age.map_or(0, |age| age.0)),
+            ("proof_age_ms", status.confirmed_ago.map_or(0, |age| age.0)),
             ("store_era", status.era.0),
             ("upstreams", status.upstreams as u64),
-            ("upstreams_lapsed", status.lapsed as u64),
+            ("upstreams_lapsed", status.expired as u64),
             ("requests_open", status.requests as u64),
             ("requests_waiting", status.waiting as u64),
             ("requests_quarantined", status.quarantined as u64),
-            ("requests_begun_late", status.begun_late),
+            ("requests_begun_late", status.started_late),
         ];
         for (name, value) in gauges {
             let _ = context.metrics.gauge(name, value);
@@ -361,7 +361,7 @@
     HttpServer::bind(config.peer_listen, Box::new(relay), halt.clone()).await?;
     watch::spawn(actor.clone(), context.clone());
     let (address, ready_address) = (callers.address, ready.address);
-    log::info!("start instance={} address={address} store={}", config.direct.own, config.store);
+    log::info!("start instance={} address={address} store={}", config.direct.own_id, config.store);
     Ok(DirectHandle { address, ready_address, context, callers, stop_callers })
 }
 
@@ -373,7 +373,7 @@
         self.context.leaving.store(true, Ordering::Relaxed);
         log::info!(
             "stop instance={} linger={} grace={}",
-            config.direct.own,
+            config.direct.own_id,
             config.linger,
             config.grace
         );
@@ -385,7 +385,7 @@
             config.grace.0.saturating_sub(config.linger.0 + END_MARGIN.0),
         );
         let drained = tokio::time::timeout(left.to_std(), self.callers.drained()).await;
-        log::info!("end instance={} drained={}", config.direct.own, drained.is_ok());
+        log::info!("end instance={} drained={}", config.direct.own_id, drained.is_ok());
         self.halt();
     }
 
--- a/mustardrill_entry/src/direct/attempt.rs
+++ b/mustardrill_entry/src/direct/attempt.rs
@@ -71,7 +71,7 @@
             () = parts.closed() => {}
         }
         // Told for ended requests too: the actor then lets go of what it keeps for the task.
-        let _ = self.actor.tell(Event(DirectEvent::Gone(self.number))).await;
+        let _ = self.actor.tell(Event(DirectEvent::CallerGone(self.number))).await;
     }
 
     async fn serve(&self, request: DirectRequest) {
@@ -84,7 +84,7 @@
                     let outcome = self.attempt(&plan, &mut progress, &mut verdicts).await;
                     let name = outcome_name(outcome);
                     let _ = self.context.metrics.count(&format!("attempts.{name}"), 1);
-                    let event = DirectEvent::Ended(self.number, outcome);
+                    let event = DirectEvent::AttemptEnded(self.number, outcome);
                     let _ = self.actor.tell(Event(event)).await;
                     if outcome == AttemptOutcome::Whole {
                         return;
@@ -141,7 +141,7 @@
         stage: &AttemptStage,
     ) -> AttemptOutcome {
         progress.cutter.drop_partial();
-        let once = !plan.repeat.is_repeatable();
+        let once = !plan.repeat_rule.is_repeatable();
         let pool = &self.context.pool;
         let now = self.context.clock.now();
         let Some(connection) = pool.take(now, &plan.upstream, plan.address, once).await else {
@@ -152,7 +152,7 @@
             Ok(answer) => answer,
             Err(outcome) => return outcome,
         };
-        if plan.repeat.is_stream() && answer.response.status() == StatusCode::OK {
+        if plan.repeat_rule.is_stream() && answer.response.status() == StatusCode::OK {
             return self.stream(plan, answer, progress).await;
         }
         if progress.began {
@@ -177,9 +177,11 @@
         let request = request.map(|()| Full::new(self.body.clone()));
         let reused = connection.is_reused();
         let sent = self.context.clock.now();
-        let response =
-            tokio::time::timeout(plan.silence.to_std(), connection.send(request, plan.begin_by))
-                .await;
+        let response = tokio::time::timeout(
+            plan.silence_timeout.to_std(),
+            connection.send(request, plan.start_by),
+        )
+        .await;
         stage.ended.store(true, Ordering::Relaxed);
         let response = match response {
             Ok(Ok(response)) => response,
@@ -198,7 +200,7 @@
                     "request={} instance={} outcome=silent after={}",
                     self.attempt,
                     plan.upstream,
-                    plan.silence
+                    plan.silence_timeout
                 );
                 return Err(lost);
             }
@@ -229,7 +231,7 @@
     }
 
     async fn tell_answering(&self, load: Option<LoadReport>, version: Option<WeightVersion>) {
-        let event = DirectEvent::Answering(self.number, load, version);
+        let event = DirectEvent::AnswerStarted(self.number, load, version);
         let _ = self.actor.tell(Event(event)).await;
     }
 
@@ -251,7 +253,7 @@
     async fn keep(&self, plan: &SendPlan, mut connection: UpstreamConnection, headers: &HeaderMap) {
         if connection.settle().await {
             let now = self.context.clock.now();
-            self.context.pool.keep(now, &plan.upstream, connection, headers, plan.connections);
+            self.context.pool.keep(now, &plan.upstream, connection, headers, plan.connection_limit);
         }
     }
 
@@ -302,7 +304,7 @@
     ) -> AttemptOutcome {
         let (head, mut body) = answer.response.into_parts();
         loop {
-            let frame = tokio::time::timeout(plan.silence.to_std(), body.frame()).await;
+            let frame = tokio::time::timeout(plan.silence_timeout.to_std(), body.frame()).await;
             let Ok(frame) = frame else {
                 log::info!(
                     "request={} instance={} outcome=silent last={:?}",
--- a/mustardrill_entry/src/direct/callers.rs
+++ b/mustardrill_entry/src/direct/callers.rs
@@ -50,23 +50,23 @@
             }
         };
         let limits = self.actor.ask(LimitsQuery).await.map(|reply| reply.0).unwrap_or_default();
-        let body = Limited::new(body, limits.body.0 as usize).collect().await;
+        let body = Limited::new(body, limits.max_body.0 as usize).collect().await;
         let Ok(body) = body else {
             log::info!(
                 "request={} decision=refuse reason=\"the body was cut or is above {}\"",
-                call.attempt,
-                limits.body
+                call.attempt_id,
+                limits.max_body
             );
             return bad_request(dialect);
         };
         let body = body.to_bytes();
-        call.content = content_digest(&head, &body);
+        call.content_digest = content_digest(&head, &body);
         let (sender, parts) = mpsc::channel(PART_BUFFER);
         let task = RequestTask {
             context: self.context.clone(),
             actor: self.actor.clone(),
             number,
-            attempt: call.attempt.clone(),
+            attempt: call.attempt_id.clone(),
             head,
             body,
             parts: sender,
--- a/mustardrill_entry/src/direct/contact.rs
+++ b/mustardrill_entry/src/direct/contact.rs
@@ -36,7 +36,7 @@
             return;
         }
         self.asked_at = now;
-        let mut datagram = Datagram::new(&context.config.direct.own);
+        let mut datagram = Datagram::new(&context.config.direct.own_id);
         datagram.contact_ask = Some(now.0);
         let bytes = datagram.to_bytes();
         let first = rand::rng().random_range(0..peers.len());
@@ -56,7 +56,7 @@
 ) {
     let Ok(reply) = actor.ask(ContactQuery).await else { return };
     let Some(span) = reply.answer_span else { return };
-    let mut datagram = Datagram::new(&context.config.direct.own);
+    let mut datagram = Datagram::new(&context.config.direct.own_id);
     let now = context.clock.now();
     let row = ContactRow::new(now, span, reply.generation, asked);
     datagram.contact = Some(row.with_namings(now, reply.namings));
@@ -66,13 +66,13 @@
 /// Takes an answer over; its ages only where it came at once.
 pub(crate) async fn take(actor: &ActorRef<DirectActor>, now: Moment, row: &ContactRow) {
     if let Some(span) = row.span(now) {
-        let _ = actor.tell(Event(DirectEvent::ContactHeard(span))).await;
+        let _ = actor.tell(Event(DirectEvent::AvailabilityReceived(span))).await;
     }
     let namings = row.namings(now);
     if !namings.is_empty() {
-        let _ = actor.tell(Event(DirectEvent::NamingsHeard(namings))).await;
+        let _ = actor.tell(Event(DirectEvent::AnnouncementsReceived(namings))).await;
     }
     // A generation only rises, so that it counts however long it took.
     let generation = Generation(row.generation);
-    let _ = actor.tell(Event(DirectEvent::GenerationHeard(generation))).await;
+    let _ = actor.tell(Event(DirectEvent::GenerationReceived(generation))).await;
 }
--- a/mustardrill_entry/src/direct/gossip.rs
+++ b/mustardrill_entry/src/direct/gossip.rs
@@ -47,7 +47,7 @@
     machines: Vec<IpAddr>,
 ) {
     let Some(port) = context.config.agent_port else { return };
-    let mut datagram = Datagram::new(&context.config.direct.own);
+    let mut datagram = Datagram::new(&context.config.direct.own_id);
     datagram.named = Some(VersionRow { model: model.to_string(), version: version.0 });
     tokio::spawn(async move {
         let bytes = datagram.to_bytes();
@@ -95,15 +95,15 @@
         return event_of(datagram).into_iter().collect();
     }
     let words = datagram.crashes.iter().filter_map(|row| crash_word(now, row));
-    words.map(DirectEvent::CrashHeard).collect()
+    words.map(DirectEvent::CrashReportReceived).collect()
 }
 
 fn event_of(datagram: Datagram) -> Option<DirectEvent> {
     if let Some(engine) = datagram.engine {
-        return Some(DirectEvent::EngineHeard {
+        return Some(DirectEvent::EngineNoticeReceived {
             address: engine.address.parse::<SocketAddr>().ok()?,
             model: engine.model.parse().ok()?,
-            word: engine.word(),
+            notice: engine.word(),
         });
     }
     let loads = datagram.loads.into_iter();
@@ -112,12 +112,12 @@
     let waiting = waiting.filter_map(|row| Some((row.service.parse().ok()?, row.count)));
     let news =
         LoadNews { rows: rows.collect(), whole: !datagram.partial, waiting: waiting.collect() };
-    let load = PeerLoad { from: datagram.from.parse().ok()?, news };
-    Some(DirectEvent::PeerHeard(load))
+    let load = PeerLoad { from: datagram.from.parse().ok()?, update: news };
+    Some(DirectEvent::PeerLoadReceived(load))
 }
 
 fn load_of(row: &LoadRow) -> UpstreamLoad {
-    UpstreamLoad { requests: row.outstanding, reading: Millis(u64::from(row.reading_ms)) }
+    UpstreamLoad { requests: row.outstanding, pending_prefill: Millis(u64::from(row.reading_ms)) }
 }
 
 async fn tell(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
@@ -130,7 +130,7 @@
         }
         let now = context.clock.now();
         for words in reply.crash_words.chunks(CRASHES_LIMIT) {
-            let mut datagram = Datagram::new(&context.config.direct.own);
+            let mut datagram = Datagram::new(&context.config.direct.own_id);
             datagram.crashes = words.iter().map(|word| crash_message(now, word)).collect();
             send(&context, &reply.peers, &datagram.to_bytes()).await;
         }
@@ -148,12 +148,12 @@
 }
 
 fn load_datagram(context: &DirectContext, news: &LoadNews) -> Datagram {
-    let mut datagram = Datagram::new(&context.config.direct.own);
+    let mut datagram = Datagram::new(&context.config.direct.own_id);
     datagram.partial = !news.whole;
     let rows = news.rows.iter().map(|(id, load)| LoadRow {
         upstream: id.to_string(),
         outstanding: load.requests,
-        reading_ms: load.reading.0 as u32,
+        reading_ms: load.pending_prefill.0 as u32,
     });
     datagram.loads = rows.collect();
     let waiting = news.waiting.iter();
--- a/mustardrill_entry/src/direct/relay.rs
+++ b/mustardrill_entry/src/direct/relay.rs
@@ -193,7 +193,7 @@
         let mut is_mine = true;
         let drawers = if drawn { Vec::new() } else { self.drawers(key, &origin, reply.peers) };
         for relay in drawers {
-            is_mine = relay.id == self.context.config.direct.own;
+            is_mine = relay.id == self.context.config.direct.own_id;
             if is_mine {
                 break;
             }
--- a/mustardrill_entry/src/direct/watch.rs
+++ b/mustardrill_entry/src/direct/watch.rs
@@ -48,7 +48,7 @@
     let mut gathering = GatherPause::default();
     loop {
         let sent = context.clock.now();
-        let span = reader.span(sent, context.config.watch, context.config.direct.lapse_grace);
+        let span = reader.span(sent, context.config.watch, context.config.direct.expiry_grace);
         match read(&context, reader.revision(), span).await {
             Ok(page) => {
                 backoff.answered();
@@ -62,7 +62,7 @@
                     regained.notify_one();
                 }
                 let next = gathering.after(now, &page);
-                let _ = actor.tell(Event(DirectEvent::Fleet(page, outcome.proved))).await;
+                let _ = actor.tell(Event(DirectEvent::StoreAnswered(page, outcome.proved))).await;
                 tokio::time::sleep(next.pause.to_std()).await;
                 if next.anew {
                     reader.reset();
@@ -104,7 +104,7 @@
 /// The entry as the others and the agents know it.
 pub(crate) fn own_record(config: &DirectConfig) -> PeerRecord {
     PeerRecord {
-        id: config.direct.own.clone(),
+        id: config.direct.own_id.clone(),
         address: config.peer_listen,
         data_centre: config.direct.data_centre.clone(),
         link_mbps: config.link_mbps as u32,
--- a/mustardrill_entry/src/main.rs
+++ b/mustardrill_entry/src/main.rs
@@ -118,7 +118,7 @@
 }
 
 fn run_prepared(config: DirectConfig) -> ExitCode {
-    logging::init(config.direct.own.as_str(), config.log);
+    logging::init(config.direct.own_id.as_str(), config.log);
     // One thread: the machines of that platform have a fraction of one core.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("the runtime starts");
--- a/mustardrill_runtime/src/datagram.rs
+++ b/mustardrill_runtime/src/datagram.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use mustardrill_core::direct::{AnswerSpan, EngineWord, NamingTime, NamingWord};
+use mustardrill_core::direct::{AnswerSpan, EngineNotice, NamingTime, NamingWord};
 use mustardrill_proto::CrashRow;
 use mustardrill_types::{Generation, InstanceId, Millis, ModelName, Moment, WeightVersion};
 use prost::Message;
@@ -263,25 +263,25 @@
 
 impl EngineRow {
     /// What an agent tells of the engine at `address`.
-    pub fn new(address: SocketAddr, model: &ModelName, word: EngineWord) -> Self {
+    pub fn new(address: SocketAddr, model: &ModelName, word: EngineNotice) -> Self {
         let (address, model) = (address.to_string(), model.to_string());
         // Who does not know of closing engines takes their weights for coming ones.
         let (coming, version, closing_ms) = match word {
-            EngineWord::Coming => (true, 0, 0),
-            EngineWord::Closing(after) => (true, 0, after.0.max(1)),
-            EngineWord::Pausing => (false, 0, 0),
-            EngineWord::Serving(version) => (false, version.0, 0),
+            EngineNotice::UpdatePending => (true, 0, 0),
+            EngineNotice::LoadingIn(after) => (true, 0, after.0.max(1)),
+            EngineNotice::Loading => (false, 0, 0),
+            EngineNotice::Serving(version) => (false, version.0, 0),
         };
         Self { address, coming, model, version, closing_ms }
     }
 
     /// The word that it carries.
-    pub fn word(&self) -> EngineWord {
+    pub fn word(&self) -> EngineNotice {
         match (self.coming, self.closing_ms, self.version) {
-            (true, 0, _) => EngineWord::Coming,
-            (true, after, _) => EngineWord::Closing(Millis(after)),
-            (false, _, 0) => EngineWord::Pausing,
-            (false, _, version) => EngineWord::Serving(WeightVersion(version)),
+            (true, 0, _) => EngineNotice::UpdatePending,
+            (true, after, _) => EngineNotice::LoadingIn(Millis(after)),
+            (false, _, 0) => EngineNotice::Loading,
+            (false, _, version) => EngineNotice::Serving(WeightVersion(version)),
         }
     }
 }
--- a/mustardrill_runtime/src/fleet_digest.rs
+++ b/mustardrill_runtime/src/fleet_digest.rs
@@ -229,7 +229,7 @@
         address: origin.address.to_string(),
         data_centre: origin.data_centre.to_string(),
         link_mbps: origin.link_mbps,
-        connections: origin.connections,
+        connections: origin.connection_limit,
     }
 }
 
@@ -238,7 +238,7 @@
         address: digest.address.parse().ok()?,
         data_centre: digest.data_centre.parse().ok()?,
         link_mbps: digest.link_mbps,
-        connections: digest.connections,
+        connection_limit: digest.connections,
     })
 }
 
--- a/mustardrill_runtime/tests/fleet_digests.rs
+++ b/mustardrill_runtime/tests/fleet_digests.rs
@@ -23,7 +23,7 @@
         address: "10.2.0.1:8000".parse().unwrap(),
         data_centre: "hall-b".parse().unwrap(),
         link_mbps: 4.38,
-        connections: 48,
+        connection_limit: 48,
     };
     let mut services = FastMap::default();
     let pool = ServiceProfile { engine: Some(engine), ..ServiceProfile::default() };
@@ -76,7 +76,7 @@
     assert_eq!((engine.chunks, engine.chunk_size), (96, ByteSize(24_576)));
     assert_eq!(engine.models[0].load_time, Millis(300));
     let origin = read.origin().unwrap();
-    assert_eq!((origin.connections, origin.link_mbps), (48, 4.38));
+    assert_eq!((origin.connection_limit, origin.link_mbps), (48, 4.38));
     assert!(matches!(named, FleetChange::VersionNamed(_, WeightVersion(3))));
     assert!(matches!(listed, FleetChange::Upstream(record) if *record == upstream("i-1", "pool")));
     assert!(matches!(peer, FleetChange::Peer(record) if *record == entry));
--- a/mustardrill_standins/examples/experiment.rs
+++ b/mustardrill_standins/examples/experiment.rs
@@ -41,16 +41,16 @@
 }
 
 const MECHANISMS: [MechanismSwitch; 8] = [
-    MechanismSwitch { name: "waiting", off: |it| it.late_wait = Millis(0) },
-    MechanismSwitch { name: "one-ahead", off: |it| it.ahead = 0 },
-    MechanismSwitch { name: "reading-limit", off: |it| it.reading_limit = NO_LIMIT },
-    MechanismSwitch { name: "late-share", off: |it| it.late_percent = 100 },
-    MechanismSwitch { name: "in-time-share", off: |it| it.wait_percent = 100 },
-    MechanismSwitch { name: "ejection", off: |it| it.ejection = Millis(0) },
-    MechanismSwitch { name: "others-load", off: |it| it.peer_patience = Millis(0) },
+    MechanismSwitch { name: "waiting", off: |it| it.wait_limit = Millis(0) },
+    MechanismSwitch { name: "one-ahead", off: |it| it.requests_ahead = 0 },
+    MechanismSwitch { name: "reading-limit", off: |it| it.prefill_limit = NO_LIMIT },
+    MechanismSwitch { name: "late-share", off: |it| it.late_slots_percent = 100 },
+    MechanismSwitch { name: "in-time-share", off: |it| it.in_time_percent = 100 },
+    MechanismSwitch { name: "ejection", off: |it| it.base_ejection = Millis(0) },
+    MechanismSwitch { name: "others-load", off: |it| it.peer_load_timeout = Millis(0) },
     MechanismSwitch {
         name: "repeats",
-        off: |it| (it.retry.ratio, it.retry.allowance) = (0.0, 0.0),
+        off: |it| (it.retry_share.ratio, it.retry_share.allowance) = (0.0, 0.0),
     },
 ];
 
--- a/mustardrill_standins/src/experiment/account.rs
+++ b/mustardrill_standins/src/experiment/account.rs
@@ -32,11 +32,11 @@
             }
         }
         let usual = WorkSize {
-            prompt: self.pattern.profile.usual_prompt,
-            answer: self.pattern.profile.usual_answer,
+            prompt_tokens: self.pattern.profile.mean_prompt,
+            answer_tokens: self.pattern.profile.mean_answer,
         };
         let slots = self.pattern.profile.slots;
-        let whole_ms = EngineForecast::new(&self.pattern.profile).whole_ms(slots, usual);
+        let whole_ms = EngineForecast::new(&self.pattern.profile).service_ms(slots, usual);
         for (place, second) in self.report.seconds.iter_mut().enumerate() {
             let engines = self.pattern.engines_at(Millis(place as u64 * 1_000));
             let capacity = engines * f64::from(slots) * 1_000.0 / whole_ms.max(1.0);
--- a/mustardrill_standins/src/experiment/callers.rs
+++ b/mustardrill_standins/src/experiment/callers.rs
@@ -36,7 +36,7 @@
     pub(super) fn comes(&mut self, kind: usize) {
         let caller = &self.pattern.kinds[kind];
         let prompt = caller.prompt / 2 + self.callers.random_range(0..=caller.prompt);
-        let size = WorkSize { prompt, answer: caller.answer };
+        let size = WorkSize { prompt_tokens: prompt, answer_tokens: caller.answer };
         let call = self.calls.len();
         self.calls.push(CallState {
             kind,
@@ -67,18 +67,18 @@
         let content = if kind.ends_engines { state.kind as u64 } else { !(call as u64) };
         let request = DirectRequest {
             number: self.number(call),
-            attempt: call.to_string().into(),
+            attempt_id: call.to_string().into(),
             host: HOST.into(),
             path: path_of(state.kind),
-            content: RequestDigest::of(&[&content.to_be_bytes()]),
-            key: None,
-            patience: Some(state.deadline.since(self.moment())),
-            arrived: self.moment(),
+            content_digest: RequestDigest::of(&[&content.to_be_bytes()]),
+            api_key: None,
+            timeout: Some(state.deadline.since(self.moment())),
+            arrived_at: self.moment(),
             model: MODEL.parse().ok(),
             size: state.size,
-            resumes: false,
+            is_resumed: false,
         };
-        self.reduce(state.entry, DirectEvent::Arrived(request));
+        self.reduce(state.entry, DirectEvent::RequestArrived(request));
     }
 
     /// The number of a call's sending.
@@ -100,7 +100,7 @@
             self.engines[*engine].model.drop_run(id);
         }
         let entry = self.calls[call].entry;
-        self.reduce(entry, DirectEvent::Gone(number));
+        self.reduce(entry, DirectEvent::CallerGone(number));
     }
 
     pub(super) fn finish(&mut self, call: usize, end: CallEnd) {
@@ -109,7 +109,7 @@
 
     pub(super) fn event_came(&mut self, call: usize) {
         let seen = self.moment() + self.pattern.way;
-        let stride = self.pattern.profile.stride;
+        let stride = self.pattern.profile.steps_per_pass;
         let state = &mut self.calls[call];
         let kind = &self.pattern.kinds[state.kind];
         let (since, limit) = match state.last_event {
--- a/mustardrill_standins/src/experiment/engine.rs
+++ b/mustardrill_standins/src/experiment/engine.rs
@@ -103,7 +103,7 @@
         let writers = self.running.iter().filter(|run| run.prompt_left == 0).count() as u32;
         let forecast = EngineForecast::new(&self.profile);
         let writing = if writers > 0 { forecast.pass_ms(writers) } else { 0.0 };
-        let reading = forecast.read_ms(self.readable(writers));
+        let reading = forecast.prefill_ms(self.readable(writers));
         Some((writing + reading).max(self.profile.step_ms) * self.pace)
     }
 
@@ -122,7 +122,7 @@
             if run.ends_engine {
                 return vec![EngineEvent::Ended];
             }
-            run.answer_left = run.answer_left.saturating_sub(self.profile.stride);
+            run.answer_left = run.answer_left.saturating_sub(self.profile.steps_per_pass);
             events.push(if run.answer_left == 0 {
                 EngineEvent::Whole(run.id)
             } else {
@@ -135,7 +135,7 @@
 
     /// Prompt tokens that one pass reads beside `writers` that write.
     fn readable(&self, writers: u32) -> u32 {
-        let steps = if writers > 0 { self.profile.stride } else { 1 };
+        let steps = if writers > 0 { self.profile.steps_per_pass } else { 1 };
         let unread = self.running.iter().map(|run| run.prompt_left).sum::<u32>();
         unread.min(self.chunk * steps)
     }
--- a/mustardrill_standins/src/experiment/fleet.rs
+++ b/mustardrill_standins/src/experiment/fleet.rs
@@ -78,14 +78,14 @@
         name: kind.name.clone(),
         host: HOST.into(),
         prefix: path_of(place),
-        split: vec![(service(), 1)],
-        repeat: RepeatRule::StreamResumable,
+        traffic_split: vec![(service(), 1)],
+        repeat_rule: RepeatRule::StreamResumable,
         timeout: kind.deadline,
         objective: kind.objective,
-        gap: kind.gap,
+        event_gap: kind.gap,
         priority: kind.priority,
-        attempts: ATTEMPTS,
-        public: true,
+        attempt_limit: ATTEMPTS,
+        is_public: true,
     };
     let routes = pattern.kinds.iter().enumerate().map(route).collect();
     let mut services = FastMap::default();
--- a/mustardrill_standins/src/experiment/pattern.rs
+++ b/mustardrill_standins/src/experiment/pattern.rs
@@ -196,13 +196,13 @@
     };
     EngineProfile {
         slots: reader.bounded("engine", "slots", 16, 1, 10_000),
-        stride: reader.bounded("engine", "stride", 6, 1, 1_000),
+        steps_per_pass: reader.bounded("engine", "stride", 6, 1, 1_000),
         step_ms: reader.bounded("engine", "step_ms", 6.73, 0.001, 10_000.0),
-        request_ms: reader.bounded("engine", "request_ms", 0.1, 0.0, 1_000.0),
-        read_per_ms: reader.bounded("engine", "read_per_ms", 30.6, 0.001, 1e6),
-        pairs_ms: reader.bounded("engine", "pairs_ms", 0.0, 0.0, 1e6),
-        usual_prompt: mean(|kind| kind.prompt),
-        usual_answer: mean(|kind| kind.answer),
+        step_ms_per_request: reader.bounded("engine", "request_ms", 0.1, 0.0, 1_000.0),
+        prefill_tokens_per_ms: reader.bounded("engine", "read_per_ms", 30.6, 0.001, 1e6),
+        prefill_ms_per_million_pairs: reader.bounded("engine", "pairs_ms", 0.0, 0.0, 1e6),
+        mean_prompt: mean(|kind| kind.prompt),
+        mean_answer: mean(|kind| kind.answer),
         models,
         ..EngineProfile::default()
     }
--- a/mustardrill_standins/src/experiment/play.rs
+++ b/mustardrill_standins/src/experiment/play.rs
@@ -100,9 +100,9 @@
 impl<'a> PatternPlay<'a> {
     fn new(pattern: &'a LoadPattern, settings: &DirectSettings, seed: u64) -> Self {
         let entry = |place: usize| {
-            let settings = DirectSettings { own: entry_id(place), ..settings.clone() };
+            let settings = DirectSettings { own_id: entry_id(place), ..settings.clone() };
             let mut reducer = DirectReducer::new(settings, seed.wrapping_add(place as u64));
-            reducer.reduce(START, DirectEvent::Fleet(first_page(pattern), START));
+            reducer.reduce(START, DirectEvent::StoreAnswered(first_page(pattern), START));
             EntryState { reducer, teller: LoadTeller::default() }
         };
         let engine = |_| EngineState {
@@ -166,11 +166,13 @@
             Happening::PassEnds { engine, start } => self.pass_ends(engine, start),
             Happening::Told { id, news } => self.told(id, news),
             Happening::Looks { entry } => self.looks(entry),
-            Happening::Heard { entry, load } => self.reduce(entry, DirectEvent::PeerHeard(load)),
+            Happening::Heard { entry, load } => {
+                self.reduce(entry, DirectEvent::PeerLoadReceived(load))
+            }
             Happening::CrashHeard { entry, word } => {
-                self.reduce(entry, DirectEvent::CrashHeard(word));
+                self.reduce(entry, DirectEvent::CrashReportReceived(word));
             }
-            Happening::Wakes { entry } => self.reduce(entry, DirectEvent::Woke),
+            Happening::Wakes { entry } => self.reduce(entry, DirectEvent::TimerFired),
             Happening::Begins { place } => self.begins(place),
             Happening::Ends { place } => self.ends(place),
             Happening::Starts { engine } => self.starts(engine),
@@ -198,16 +200,16 @@
             match effect {
                 DirectEffect::Send(number, plan) => self.send(number, &plan),
                 DirectEffect::Refuse(number, plan) => self.refused(number, plan),
-                DirectEffect::Wake(at) => {
+                DirectEffect::SetTimer(at) => {
                     let pause = at.since(now).0.max(1);
                     self.schedule(Millis(pause), Happening::Wakes { entry });
                 }
                 // A play knows one version of the weights.
                 DirectEffect::Withdraw(_)
-                | DirectEffect::PassOn(_)
-                | DirectEffect::TellAgents(..)
-                | DirectEffect::KeepQuarantine(..)
-                | DirectEffect::EndQuarantine(_) => {}
+                | DirectEffect::ForwardFailure(_)
+                | DirectEffect::NotifyAgents(..)
+                | DirectEffect::StoreQuarantine(..)
+                | DirectEffect::RemoveQuarantine(_) => {}
             }
         }
     }
@@ -219,11 +221,11 @@
         state.attempt += 1;
         state.engine = Some((engine, plan.upstream.clone()));
         self.report.repeats += u32::from(state.attempt > 1);
-        let written = state.size.answer - state.answer_left;
+        let written = state.size.answer_tokens - state.answer_left;
         let run = EngineRun {
             id: RunId { call, attempt: state.attempt },
             // What was written before is read again.
-            prompt_left: state.size.prompt + written,
+            prompt_left: state.size.prompt_tokens + written,
             answer_left: state.answer_left,
             ends_engine: self.pattern.kinds[state.kind].ends_engines,
         };
@@ -305,7 +307,7 @@
             let changes = vec![FleetChange::Upstream(record.clone())];
             let page =
                 FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() };
-            self.reduce(entry, DirectEvent::Fleet(page, now));
+            self.reduce(entry, DirectEvent::StoreAnswered(page, now));
         }
     }
 
@@ -322,7 +324,7 @@
         let entry = self.calls[id.call].entry;
         let outcome = match news {
             AttemptNews::Event => {
-                let answering = DirectEvent::Answering(number, None, Some(WeightVersion(1)));
+                let answering = DirectEvent::AnswerStarted(number, None, Some(WeightVersion(1)));
                 self.reduce(entry, answering);
                 return self.event_came(id.call);
             }
@@ -340,18 +342,19 @@
             }
         };
         self.calls[id.call].engine = None;
-        self.reduce(entry, DirectEvent::Ended(number, outcome));
+        self.reduce(entry, DirectEvent::AttemptEnded(number, outcome));
     }
 
     fn looks(&mut self, entry: usize) {
         let now = self.moment();
         let state = &mut self.entries[entry];
-        let (outstanding, waiting) = (state.reducer.outstanding(), state.reducer.waiting());
+        let (outstanding, waiting) =
+            (state.reducer.outstanding_load(), state.reducer.waiting_counts());
         let news = state.teller.next(now, outstanding, waiting);
         let words = state.reducer.crash_words(now);
         for other in (0..self.entries.len()).filter(|other| *other != entry) {
             if let Some(news) = news.clone().filter(|_| self.arrives()) {
-                let load = PeerLoad { from: entry_id(entry), news };
+                let load = PeerLoad { from: entry_id(entry), update: news };
                 self.schedule(self.pattern.way, Happening::Heard { entry: other, load });
             }
             for word in words.clone() {
--- a/mustardrill_standins/tests/deployment.rs
+++ b/mustardrill_standins/tests/deployment.rs
@@ -54,17 +54,17 @@
 fn the_entrys_template_is_right() {
     assert_eq!(rendered("deploy/entry.ini").platform("entry"), PlatformKind::Prepared);
     let config = entry();
-    assert_eq!(config.direct.own.as_str(), "edge-hall-a-1");
-    assert_eq!(config.direct.proof_limit, Millis(4_500), "below the bound of revocation");
+    assert_eq!(config.direct.own_id.as_str(), "edge-hall-a-1");
+    assert_eq!(config.direct.freshness_limit, Millis(4_500), "below the bound of revocation");
     assert_eq!(config.direct.version_bound, Millis(8_000), "forecasts take off what engines need");
-    assert_eq!(config.direct.forgetting, Millis(3_000), "two heartbeats of upstreams");
+    assert_eq!(config.direct.forgetting_outage, Millis(3_000), "two heartbeats of upstreams");
     assert!(config.linger < config.grace);
     assert_ne!(config.metrics, None);
 }
 
 #[test]
 fn the_share_of_repeats_of_all_entries_stays_below_the_bound() {
-    let retry = entry().direct.retry;
+    let retry = entry().direct.retry_share;
     assert!(retry.ratio < 0.2);
     assert!(retry.allowance <= 102.0, "what all entries may spend");
 }
@@ -72,7 +72,7 @@
 #[test]
 fn an_allowance_that_is_a_fraction_is_taken() {
     let reader = rendered_with("deploy/entry.ini", "43.47826086956522");
-    let retry = mustardrill_entry::direct::read(reader).settings.unwrap().direct.retry;
+    let retry = mustardrill_entry::direct::read(reader).settings.unwrap().direct.retry_share;
     assert!(retry.allowance > 30.0 && retry.allowance < 43.5);
 }
 
--- a/mustardrill_standins/tests/experiment.rs
+++ b/mustardrill_standins/tests/experiment.rs
@@ -59,7 +59,7 @@
 #[test]
 fn entries_that_do_not_hear_each_other_send_to_full_engines() {
     let pattern = pattern(&CALM.replace("rate = 10", "rate = 90"));
-    let deaf = DirectSettings { peer_patience: Millis(0), ..settings() };
+    let deaf = DirectSettings { peer_load_timeout: Millis(0), ..settings() };
     let (hearing, deaf) = (play(&pattern, &settings(), 1), play(&pattern, &deaf, 1));
     assert!(
         deaf.turned_away > hearing.turned_away + 20,
@@ -99,10 +99,10 @@
         }
     }
     let forecast = EngineForecast::new(&pattern.profile);
-    let size = WorkSize { prompt: 600, answer: 60 };
-    let (first, told) = (first.unwrap(), forecast.first_token(0, size).0 as f64);
+    let size = WorkSize { prompt_tokens: 600, answer_tokens: 60 };
+    let (first, told) = (first.unwrap(), forecast.time_to_first_token(0, size).0 as f64);
     assert!((first - told).abs() <= 0.15 * told, "first {first} forecast {told}");
-    let whole = forecast.whole_ms(1, size);
+    let whole = forecast.service_ms(1, size);
     assert!((took - whole).abs() <= 0.3 * whole, "whole {took} forecast {whole}");
 }
 
