--- a/mustardrill_core/src/agent/event.rs
+++ b/mustardrill_core/src/agent/event.rs
@@ -8,13 +8,13 @@
 };
 
 use crate::admission::AdmissionSettings;
-use crate::claim::{ClaimAnswer, ClaimEffect, ClaimSettings, ShardIndex};
+use crate::claim::{ClaimEffect, ClaimSettings, ShardIndex, ShardResponse};
 use crate::demand::DemandRow;
 use crate::document::{CatalogueDocument, RequestClass};
 use crate::manifest::{ChunkBitmap, Manifest};
 use crate::membership::{InstanceRecord, MemberSettings};
 use crate::ownership::{OwnerAnswer, OwnerCall, OwnerSettings};
-use crate::quarantine::CrashWord;
+use crate::quarantine::CrashReport;
 use crate::refusal::AttemptRefusal;
 use crate::transfer::{ChunkDraw, ChunkSource, DrawOutcome, TransferPeer, TransferSettings};
 
@@ -79,13 +79,13 @@
     /// An entry told what customers asked of it lately.
     DemandSeen(InstanceId, Vec<DemandRow>),
     /// An entry told of requests under which upstreams ended.
-    CrashesHeard(Vec<CrashWord>),
+    CrashesHeard(Vec<CrashReport>),
     /// An entry asks for a claim. The wall clock, in seconds, is for its retention alone.
     ClaimAsked(RequestKey, AttemptId, u64),
     /// An entry takes a claim back, as the request was not run.
     ClaimReleased(RequestKey, AttemptId, u64),
     /// The platform's service answered about claims.
-    ClaimAnswered(ShardIndex, ClaimAnswer),
+    ClaimAnswered(ShardIndex, ShardResponse),
     /// Time passed.
     Tick,
     /// The moment came for which `AgentEffect::Wake` asked.
--- a/mustardrill_core/src/direct/admit.rs
+++ b/mustardrill_core/src/direct/admit.rs
@@ -78,7 +78,7 @@
         let number = request.number;
         let service = route.choose_service(self.random.random()).clone();
         let window = self.retry_windows.entry(service.clone()).or_default();
-        window.earn(now, &self.settings.retry_share);
+        window.record_request(now, &self.settings.retry_share);
         let customer = customer.map(|customer| (customer.name.clone(), customer.priority));
         let profile = self.engine_profile(&service);
         let is_large = profile.is_some_and(|it| EngineForecast::new(it).is_large(request.size));
--- a/mustardrill_core/src/direct/dispatch.rs
+++ b/mustardrill_core/src/direct/dispatch.rs
@@ -51,15 +51,16 @@
         // in case the expectation is wrong.
         let pinned_version = state.pinned_version.or_else(|| {
             let oldest_allowed = self.oldest_allowed_version(now, state, target)?;
-            let expected = target.version_of(state.model.as_ref()?)?;
+            let expected = target.served_version(state.model.as_ref()?)?;
             (oldest_allowed.0 > 1).then_some(expected)
         });
-        let weights = self.weights_at(state, &upstream);
+        let weights = self.believed_version(state, &upstream);
         // A forecast is needed only for weights that are being superseded.
         let newest = state.model.as_ref().and_then(|model| self.versions.newest(model));
         let forecast =
             if weights < newest { self.start_forecast(state, target) } else { Millis(0) };
-        let replaced = weights.and_then(|version| self.replaced_attempt(state, version, forecast));
+        let replaced =
+            weights.and_then(|version| self.superseded_attempt(state, version, forecast));
         let plan = SendPlan {
             upstream: upstream.clone(),
             address,
@@ -78,7 +79,7 @@
             state.attempt_id,
             now.since(state.arrived_at),
             state.tried_upstreams.len() + 1,
-            self.upstreams.present(&upstream).requests,
+            self.upstreams.total_load(&upstream).requests,
             plan.pinned_version.map_or(0, |version| version.0),
             target.evidence(now, self.store_freshness.age(now).unwrap_or_default()),
             state.digest,
@@ -89,12 +90,12 @@
                 state.attempt_id,
                 replaced.version,
                 replaced.forecast,
-                replaced.replaced_at.since(now),
+                replaced.usable_until.since(now),
             );
         }
         let reading = self.prefill_time(state);
         let start = target.start();
-        self.upstreams.sent(&start, reading);
+        self.upstreams.record_sent(&start, reading);
         if let Some(state) = self.requests.get_mut(&number) {
             state.pending_prefill = reading;
             state.has_started = false;
@@ -104,7 +105,7 @@
             state.tried_upstreams.push(upstream);
             state.stage = RequestStage::Sent(start);
         }
-        self.await_begin(number, replaced);
+        self.track_attempt(number, replaced);
         vec![DirectEffect::Send(number, plan)]
     }
 
@@ -115,14 +116,14 @@
         load: Option<LoadReport>,
         version: Option<WeightVersion>,
     ) {
-        self.attempt_begun(now, number, version);
+        self.record_attempt_start(now, number, version);
         let Some(state) = self.requests.get_mut(&number) else { return };
         let RequestStage::Sent(upstream) = state.stage.clone() else { return };
-        self.upstreams.read(&upstream, std::mem::take(&mut state.pending_prefill));
+        self.upstreams.record_prefill_end(&upstream, std::mem::take(&mut state.pending_prefill));
         if state.pinned_version.is_none() && state.repeat_rule.is_stream() {
             state.pinned_version = version;
         }
-        self.upstreams.answering(now, &upstream, load, state.model.as_ref(), version);
+        self.upstreams.record_answer_start(now, &upstream, load, state.model.as_ref(), version);
     }
 
     pub(super) fn finish_attempt(
@@ -131,25 +132,27 @@
         number: RequestNumber,
         outcome: AttemptOutcome,
     ) -> Vec<DirectEffect> {
-        self.forget_unbegun(number);
+        self.untrack_attempt(number);
         let Some(state) = self.requests.get_mut(&number) else { return Vec::new() };
         let RequestStage::Sent(upstream) = state.stage.clone() else { return Vec::new() };
         state.stage = RequestStage::Between;
         let service = state.service.clone();
         let (attempt, digest) = (state.attempt_id.clone(), state.digest);
-        self.upstreams.read(&upstream, std::mem::take(&mut state.pending_prefill));
-        self.upstreams.left(&upstream);
-        self.upstreams.judge(now, &upstream, outcome, self.settings.base_ejection);
+        self.upstreams.record_prefill_end(&upstream, std::mem::take(&mut state.pending_prefill));
+        self.upstreams.record_finished(&upstream);
+        self.upstreams.record_outcome(now, &upstream, outcome, self.settings.base_ejection);
         let mut effects = Vec::new();
         match outcome {
-            AttemptOutcome::Whole => effects.extend(self.run_succeeded(now, digest)),
-            AttemptOutcome::Lost { crashed: true, .. } => self.run_crashed(now, number, &upstream),
+            AttemptOutcome::Whole => effects.extend(self.record_run_success(now, digest)),
+            AttemptOutcome::Lost { crashed: true, .. } => {
+                self.record_run_crash(now, number, &upstream)
+            }
             _ => {}
         }
         if outcome != AttemptOutcome::Whole {
             info!("request={attempt} instance={} outcome={outcome:?} digest={digest}", upstream.id);
         }
-        effects.extend(self.go_on(now, number, outcome));
+        effects.extend(self.continue_after_attempt(now, number, outcome));
         effects.extend(self.dispatch_waiting(now, &service));
         effects
     }
--- a/mustardrill_core/src/direct/event.rs
+++ b/mustardrill_core/src/direct/event.rs
@@ -7,14 +7,14 @@
     ResultCode, StoreEra, WeightVersion,
 };
 
-use crate::direct::fleet::page::FleetPage;
-use crate::direct::fleet::telling::LoadNews;
+use crate::direct::fleet::load_broadcast::LoadUpdate;
+use crate::direct::fleet::update::FleetUpdate;
 use crate::direct::placement::forecast::WorkSize;
-use crate::direct::repeats::spending::RetryShare;
+use crate::direct::retries::retry_budget::RetryShare;
 use crate::direct::route::RepeatRule;
-use crate::direct::store::contact::AnswerSpan;
-use crate::direct::versions::table::NamingWord;
-use crate::quarantine::CrashWord;
+use crate::direct::store::availability::AvailabilitySpan;
+use crate::direct::versions::table::AnnouncementReport;
+use crate::quarantine::CrashReport;
 
 /// Identifies a request within one entry process.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -101,7 +101,7 @@
     /// The peer entry.
     pub from: InstanceId,
     /// The update that it broadcast; either a snapshot or only the changed rows.
-    pub update: LoadNews,
+    pub update: LoadUpdate,
 }
 
 /// An input of the reducer.
@@ -117,19 +117,19 @@
     /// The current attempt of the request ended.
     AttemptEnded(RequestNumber, AttemptOutcome),
     /// The store answered a call that was sent at the given moment.
-    StoreAnswered(FleetPage, Moment),
+    StoreAnswered(FleetUpdate, Moment),
     /// A call to the store failed or timed out.
     StoreFailed,
     /// A peer entry broadcast its load.
     PeerLoadReceived(PeerLoad),
     /// A peer entry reported for which span the store has been answering.
-    AvailabilityReceived(AnswerSpan),
+    AvailabilityReceived(AvailabilitySpan),
     /// A peer entry reported when versions were announced.
-    AnnouncementsReceived(Vec<NamingWord>),
+    AnnouncementsReceived(Vec<AnnouncementReport>),
     /// A peer entry reported the generation of its configuration in force.
     GenerationReceived(Generation),
     /// A peer entry reported that an upstream crashed while it ran a request.
-    CrashReportReceived(CrashWord),
+    CrashReportReceived(CrashReport),
     /// An agent reports the state of its engine for a model.
     EngineNoticeReceived {
         /// The engine's listening address, which identifies the upstream.
--- a/mustardrill_core/src/direct/placement/choice.rs
+++ b/mustardrill_core/src/direct/placement/choice.rs
@@ -11,7 +11,7 @@
 use crate::direct::reducer::DirectReducer;
 use crate::direct::request::RequestState;
 use crate::direct::route::EngineProfile;
-use crate::direct::versions::replaced::VERSION_RESERVE;
+use crate::direct::versions::superseded::SUPERSEDED_START_MARGIN;
 use crate::direct::waiting::queue::WaitQueue;
 use crate::rendezvous;
 
@@ -38,7 +38,7 @@
         let mut best: Option<(f64, &InstanceId)> = None;
         for upstream in candidates {
             let id = &upstream.record.id;
-            let present = self.upstreams.present(id);
+            let present = self.upstreams.total_load(id);
             let slots = upstream.record.slots;
             let limit = if late {
                 capacity::late_request_limit(slots, self.settings.late_slots_percent)
@@ -49,7 +49,7 @@
             if room == 0 || now < self.capacity_opens_at(now, upstream, room) {
                 continue;
             }
-            if !load_slot::accepts_before_load(now, upstream.closes_at, || {
+            if !load_slot::accepts_before_load(now, upstream.reload_at, || {
                 self.service_time(state, present)
             }) {
                 continue;
@@ -59,8 +59,8 @@
                 slots,
                 pending_prefill: present.pending_prefill,
                 is_remote: upstream.record.data_centre != self.settings.data_centre,
-                failure_share: upstream.failing,
-                tie_breaker: rendezvous::lot(state.attempt_id.as_bytes(), id.as_str()),
+                failure_share: upstream.failure_rate,
+                tie_breaker: rendezvous::uniform_hash(state.attempt_id.as_bytes(), id.as_str()),
             });
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, id));
@@ -75,10 +75,10 @@
         let reported_ids: Vec<_> = load.update.rows.iter().map(|(id, _)| id.clone()).collect();
         let full_before: Vec<_> =
             reported_ids.into_iter().filter(|id| !self.has_capacity(now, id)).collect();
-        self.upstreams.heard.hear(now, load);
+        self.upstreams.peer_loads.apply_update(now, load);
         for id in full_before {
             if self.has_capacity(now, &id) {
-                self.upstreams.freed(now, &id);
+                self.upstreams.record_free_capacity(now, &id);
             }
         }
     }
@@ -86,7 +86,7 @@
     /// Whether an upstream has capacity for another request that can meet its objective.
     fn has_capacity(&self, now: Moment, id: &InstanceId) -> bool {
         let Some(upstream) = self.upstreams.get(id) else { return false };
-        let present = self.upstreams.present(id);
+        let present = self.upstreams.total_load(id);
         let limit = capacity::request_limit(upstream.record.slots, self.settings.requests_ahead);
         self.free_capacity(now, present, limit, upstream) > 0
     }
@@ -101,7 +101,7 @@
         upstream: &UpstreamState,
     ) -> u32 {
         let free_slots = limit.saturating_sub(present.requests);
-        if upstream.rests_until > now || present.pending_prefill > self.settings.prefill_limit {
+        if upstream.cooldown_until > now || present.pending_prefill > self.settings.prefill_limit {
             return 0;
         }
         let Some(profile) = self.engine_profile(&upstream.record.service) else {
@@ -116,7 +116,7 @@
     fn capacity_opens_at(&self, now: Moment, upstream: &UpstreamState, free: u32) -> Moment {
         // Most upstreams have had free slots for longer than turns last, so that the turn need not
         // be computed.
-        let order_end = capacity::turn_order_end(upstream.freed);
+        let order_end = capacity::turn_order_end(upstream.capacity_freed_at);
         if order_end <= now {
             return order_end;
         }
@@ -124,19 +124,20 @@
         let upstream_id = upstream.record.id.as_str().as_bytes();
         let own_waiting = self.queues.get(service).map_or(0, WaitQueue::len) as u32;
         let own_score =
-            rendezvous::weighted(upstream_id, self.settings.own_id.as_str(), own_waiting);
-        let waiting_counts = self.upstreams.heard.waiting(service);
-        let scores =
-            waiting_counts.map(|(id, count)| rendezvous::weighted(upstream_id, id.as_str(), count));
+            rendezvous::weighted_score(upstream_id, self.settings.own_id.as_str(), own_waiting);
+        let waiting_counts = self.upstreams.peer_loads.waiting_peers(service);
+        let scores = waiting_counts
+            .map(|(id, count)| rendezvous::weighted_score(upstream_id, id.as_str(), count));
         // Peers go first at an upstream that is still prefilling a prompt of this entry.
-        let yields_turns = upstream.own.pending_prefill > Millis(0);
+        let yields_turns = upstream.own_load.pending_prefill > Millis(0);
         let (mut peers_waiting, mut peers_before) = (0, 0);
         for score in scores {
             peers_waiting += 1;
             peers_before += u32::from(yields_turns || score > own_score);
         }
-        let turn = CapacityTurn { peers_before, peers_waiting, taken: upstream.taken, free };
-        capacity::turn_at(upstream.freed, &turn)
+        let turn =
+            CapacityTurn { peers_before, peers_waiting, taken: upstream.sent_since_freed, free };
+        capacity::turn_at(upstream.capacity_freed_at, &turn)
     }
 
     /// When a waiting request may next be sent: when this entry's turn comes at an upstream that a
@@ -148,7 +149,7 @@
     ) -> Option<Moment> {
         let usable = self.upstreams.usable(now, service);
         let opening_times =
-            usable.iter().map(|it| self.capacity_opens_at(now, it, 1).max(it.rests_until));
+            usable.iter().map(|it| self.capacity_opens_at(now, it, 1).max(it.cooldown_until));
         opening_times.filter(|opens_at| *opens_at > now).min()
     }
 
@@ -163,7 +164,7 @@
         if self.engine_profile(&state.service).is_none() {
             return true;
         }
-        let Some(version) = upstream.version_of(model) else { return false };
+        let Some(version) = upstream.served_version(model) else { return false };
         if state.pinned_version.is_some_and(|pinned| version != pinned) {
             return false;
         }
@@ -187,7 +188,7 @@
         upstream: &UpstreamState,
     ) -> Option<WeightVersion> {
         let model = state.model.as_ref()?;
-        let starts_at = now + VERSION_RESERVE + self.start_forecast(state, upstream);
+        let starts_at = now + SUPERSEDED_START_MARGIN + self.start_forecast(state, upstream);
         self.versions.floor(starts_at, model, self.settings.version_bound)
     }
 
@@ -198,7 +199,7 @@
         upstream: &UpstreamState,
     ) -> Millis {
         let Some(profile) = self.engine_profile(&state.service) else { return Millis(0) };
-        let present = self.upstreams.present(&upstream.record.id);
+        let present = self.upstreams.total_load(&upstream.record.id);
         let forecast =
             EngineForecast::new(profile).time_to_first_token(present.requests, state.size);
         Millis(START_FORECAST_FACTOR * (forecast.0 + present.pending_prefill.0))
--- a/mustardrill_core/src/direct/reducer.rs
+++ b/mustardrill_core/src/direct/reducer.rs
@@ -12,20 +12,20 @@
 use crate::direct::event::{
     DirectEffect, DirectEvent, DirectSettings, EngineNotice, RequestNumber, StatusRow,
 };
-use crate::direct::fleet::census::EntryCensus;
-use crate::direct::fleet::page::{FleetChange, FleetPage, PeerRecord};
-use crate::direct::fleet::telling::{LoadRows, WaitRows};
+use crate::direct::fleet::entry_counter::EntryCounter;
+use crate::direct::fleet::load_broadcast::{LoadRows, WaitRows};
+use crate::direct::fleet::update::{FleetChange, FleetUpdate, PeerRecord};
 use crate::direct::fleet::upstream_table::UpstreamTable;
-use crate::direct::repeats::crash_words::CrashTeller;
-use crate::direct::repeats::spending::RetryWindow;
 use crate::direct::request::{RequestStage, RequestState};
+use crate::direct::retries::crash_broadcast::CrashBroadcaster;
+use crate::direct::retries::retry_budget::RetryWindow;
 use crate::direct::route::RouteDocument;
-use crate::direct::store::contact::{AnswerSpan, StoreContact};
-use crate::direct::store::freshness::ProofClock;
-use crate::direct::store::generation_word::GenerationWord;
-use crate::direct::versions::naming::NamingInquiry;
-use crate::direct::versions::replaced::UnbegunAttempts;
-use crate::direct::versions::table::{NamingWord, VersionTable};
+use crate::direct::store::availability::{AvailabilitySpan, StoreAvailability};
+use crate::direct::store::freshness::FreshnessClock;
+use crate::direct::store::generation_report::GenerationReport;
+use crate::direct::versions::announcements::AnnouncementInquiry;
+use crate::direct::versions::superseded::UnstartedAttempts;
+use crate::direct::versions::table::{AnnouncementReport, VersionTable};
 use crate::direct::waiting::held_requests::HeldRequests;
 use crate::direct::waiting::queue::WaitQueue;
 use crate::quarantine::QuarantineTable;
@@ -59,17 +59,17 @@
     pub(super) settings: DirectSettings,
     pub(super) document: Option<Arc<RouteDocument>>,
     /// When the store last answered.
-    pub(super) store_freshness: ProofClock,
+    pub(super) store_freshness: FreshnessClock,
     /// When the configuration in force was last known to be the operator's newest.
-    pub(super) config_freshness: ProofClock,
+    pub(super) config_freshness: FreshnessClock,
     /// Until this moment a store restored from an older copy may lack what the operator wrote.
     pub(super) store_incomplete_until: Moment,
     pub(super) upstreams: UpstreamTable,
     pub(super) versions: VersionTable,
     /// Attempts on superseded weights whose answer has not started.
-    pub(super) unstarted_attempts: UnbegunAttempts,
+    pub(super) unstarted_attempts: UnstartedAttempts,
     /// What peers are asked about announcements.
-    pub(super) announcement_inquiry: NamingInquiry,
+    pub(super) announcement_inquiry: AnnouncementInquiry,
     /// Answers that started on superseded weights after the allowed time.
     pub(super) started_late: u64,
     pub(super) requests: FastMap<RequestNumber, RequestState>,
@@ -78,19 +78,19 @@
     pub(super) random: SmallRng,
     /// The registered peer entries.
     pub(super) peers: Vec<PeerRecord>,
-    pub(super) entry_counter: EntryCensus,
+    pub(super) entry_counter: EntryCounter,
     /// The store revision that was read last; `store_read_at` is when.
     pub(super) store_revision: StoreRevision,
     pub(super) store_era: StoreEra,
     /// What peers report about the newest configuration.
-    pub(super) peer_generation: GenerationWord,
+    pub(super) peer_generation: GenerationReport,
     /// Peers that are missing in a store restored from an older copy.
     pub(super) unconfirmed_peers: FastSet<InstanceId>,
     pub(super) store_read_at: Moment,
     /// Whether the last call to the store failed.
     pub(super) is_store_unreachable: bool,
     /// For how long the store has been answering the entries.
-    pub(super) store_availability: StoreContact,
+    pub(super) store_availability: StoreAvailability,
     /// Requests held until there is a current configuration.
     pub(super) held_requests: HeldRequests,
     /// Requests suspected of crashing upstreams.
@@ -98,7 +98,7 @@
     /// Suspected requests held until it is decided whether they may run.
     pub(super) undecided_requests: Vec<RequestNumber>,
     /// Crash reports for the peer entries.
-    pub(super) crash_reports: CrashTeller,
+    pub(super) crash_reports: CrashBroadcaster,
     /// When capacity becomes available that waiting requests may take.
     pub(super) capacity_at: Option<Moment>,
     /// The pending `DirectEffect::SetTimer`, so that no later one is requested.
@@ -111,31 +111,31 @@
         Self {
             settings,
             document: None,
-            store_freshness: ProofClock::default(),
-            config_freshness: ProofClock::default(),
+            store_freshness: FreshnessClock::default(),
+            config_freshness: FreshnessClock::default(),
             store_incomplete_until: Moment(0),
             upstreams: UpstreamTable::default(),
             versions: VersionTable::default(),
-            unstarted_attempts: UnbegunAttempts::default(),
-            announcement_inquiry: NamingInquiry::default(),
+            unstarted_attempts: UnstartedAttempts::default(),
+            announcement_inquiry: AnnouncementInquiry::default(),
             started_late: 0,
             requests: FastMap::default(),
             queues: FastMap::default(),
             retry_windows: FastMap::default(),
             random: SmallRng::seed_from_u64(seed),
             peers: Vec::new(),
-            entry_counter: EntryCensus::default(),
+            entry_counter: EntryCounter::default(),
             store_revision: StoreRevision::default(),
             store_era: StoreEra::default(),
-            peer_generation: GenerationWord::default(),
+            peer_generation: GenerationReport::default(),
             unconfirmed_peers: FastSet::default(),
             store_read_at: Moment(0),
             is_store_unreachable: false,
-            store_availability: StoreContact::default(),
+            store_availability: StoreAvailability::default(),
             held_requests: HeldRequests::default(),
             quarantine: QuarantineTable::new(CRASH_REPORT_WAIT),
             undecided_requests: Vec::new(),
-            crash_reports: CrashTeller::default(),
+            crash_reports: CrashBroadcaster::default(),
             capacity_at: None,
             armed_timer: None,
         }
@@ -143,7 +143,7 @@
 
     /// Applies an event at `now` and returns the effects to carry out.
     pub fn reduce(&mut self, now: Moment, event: DirectEvent) -> Vec<DirectEffect> {
-        self.upstreams.heard.expire(now, self.settings.peer_load_timeout);
+        self.upstreams.peer_loads.expire_silent(now, self.settings.peer_load_timeout);
         let mut effects = match event {
             DirectEvent::RequestArrived(request) => self.admit_arrival(now, request),
             DirectEvent::CallerGone(number) => self.caller_gone(now, number),
@@ -152,38 +152,38 @@
                 Vec::new()
             }
             DirectEvent::AttemptEnded(number, outcome) => self.finish_attempt(now, number, outcome),
-            DirectEvent::StoreAnswered(page, sent) => self.fleet_seen(now, page, sent),
-            DirectEvent::StoreFailed => self.store_failed(now),
+            DirectEvent::StoreAnswered(page, sent) => self.apply_fleet_update(now, page, sent),
+            DirectEvent::StoreFailed => self.record_store_failure(now),
             DirectEvent::PeerLoadReceived(load) => {
-                self.entry_counter.note(now, &load.from);
+                self.entry_counter.record_activity(now, &load.from);
                 self.record_peer_load(now, load);
                 self.dispatch_all_waiting(now)
             }
             DirectEvent::AvailabilityReceived(span) => {
-                self.announcement_inquiry.answered();
-                self.store_availability.heard(span, self.settings.forgetting_outage);
-                self.settle_lapsed(now);
-                self.settle_namings(now);
+                self.announcement_inquiry.record_answer();
+                self.store_availability.merge_peer_span(span, self.settings.forgetting_outage);
+                self.remove_unreturned(now);
+                self.settle_announcements(now);
                 Vec::new()
             }
             DirectEvent::AnnouncementsReceived(words) => {
-                self.namings_heard(now, &words);
+                self.receive_announcement_reports(now, &words);
                 Vec::new()
             }
             DirectEvent::GenerationReceived(generation) => {
-                self.peer_generation.heard(now, generation);
+                self.peer_generation.record_report(now, generation);
                 self.release_all_held(now)
             }
-            DirectEvent::CrashReportReceived(word) => self.crash_heard(now, word),
+            DirectEvent::CrashReportReceived(word) => self.receive_crash_report(now, word),
             DirectEvent::EngineNoticeReceived { address, model, notice } => {
                 let Some(state) = self.upstreams.by_address(address) else { return Vec::new() };
                 match notice {
                     EngineNotice::UpdatePending => {
-                        state.expected_until = now + UPDATE_PENDING_TIMEOUT
+                        state.reload_expected_until = now + UPDATE_PENDING_TIMEOUT
                     }
-                    EngineNotice::LoadingIn(after) => state.closes_at = Some(now + after),
+                    EngineNotice::LoadingIn(after) => state.reload_at = Some(now + after),
                     EngineNotice::Loading => state.paused_until = now + LOADING_TIMEOUT,
-                    EngineNotice::Serving(version) => state.opened(now, &model, version),
+                    EngineNotice::Serving(version) => state.record_resume(now, &model, version),
                 }
                 info!(
                     "engine instance={} model={model} word={notice} source=agent",
@@ -194,7 +194,7 @@
             DirectEvent::TimerFired => self.handle_timer(now),
         };
         effects.extend(self.decide_suspects(now));
-        effects.extend(self.withdraw_overdue(now));
+        effects.extend(self.withdraw_overdue_attempts(now));
         effects.extend(self.next_timer());
         effects
     }
@@ -212,7 +212,7 @@
     /// The load that this entry has placed on each upstream, for the broadcast to peers.
     pub fn outstanding_load(&self) -> LoadRows {
         let ids = self.upstreams.ids().into_iter();
-        let counted = ids.filter_map(|id| Some((self.upstreams.get(&id)?.own, id)));
+        let counted = ids.filter_map(|id| Some((self.upstreams.get(&id)?.own_load, id)));
         counted.filter(|(own, _)| own.requests > 0).map(|(own, id)| (id, own)).collect()
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// For how long the store has been answering, for the report to peers.
-    pub fn store_availability_span(&self) -> Option<AnswerSpan> {
+    pub fn store_availability_span(&self) -> Option<AvailabilitySpan> {
         self.store_availability.span()
     }
 
@@ -232,38 +232,39 @@
     /// its start. More rarely while none has answered yet, or where peers may know of versions or
     /// of when they were announced.
     pub fn peer_query_interval(&self, now: Moment) -> Option<Millis> {
-        let may_have_forgotten = self.return_limit().is_some();
+        let may_have_forgotten = self.reregistration_deadline().is_some();
         if self.peer_generation.is_awaited(now)
             || self.announcement_inquiry.is_urgent()
-            || (may_have_forgotten && self.upstreams.lapsed() > 0)
+            || (may_have_forgotten && self.upstreams.expired_count() > 0)
         {
             return Some(URGENT_QUERY_INTERVAL);
         }
-        let may_miss_versions = self.is_store_unreachable || self.announcement_inquiry.is_open(now);
-        (may_miss_versions || self.peer_generation.is_asked(now)).then_some(QUERY_INTERVAL)
+        let may_miss_versions =
+            self.is_store_unreachable || self.announcement_inquiry.is_polling(now);
+        (may_miss_versions || self.peer_generation.should_ask(now)).then_some(QUERY_INTERVAL)
     }
 
     /// When versions were announced that may not have superseded all others yet, as far as this
     /// entry knows.
-    pub fn announcements(&self, now: Moment) -> Vec<NamingWord> {
+    pub fn announcements(&self, now: Moment) -> Vec<AnnouncementReport> {
         self.versions
-            .words(now - Millis(ANNOUNCEMENT_RETENTION_BOUNDS * self.settings.version_bound.0))
+            .reports(now - Millis(ANNOUNCEMENT_RETENTION_BOUNDS * self.settings.version_bound.0))
     }
 
     /// A complete snapshot of the fleet as this entry knows it, for agents that start.
-    pub fn fleet_snapshot(&self) -> FleetPage {
+    pub fn fleet_snapshot(&self) -> FleetUpdate {
         let document = self.document.iter().cloned().map(FleetChange::Configured);
         let named = self.versions.all_newest();
-        let named = named.map(|(model, version)| FleetChange::VersionNamed(model, version));
+        let named = named.map(|(model, version)| FleetChange::VersionAnnounced(model, version));
         let ids = self.upstreams.ids().into_iter();
         let records = ids.filter_map(|id| Some(self.upstreams.get(&id)?.record.clone()));
         let peers = self.peers.iter().cloned().map(FleetChange::Peer);
         let changes = document.chain(named).chain(records.map(FleetChange::Upstream)).chain(peers);
-        FleetPage {
+        FleetUpdate {
             changes: changes.collect(),
-            at: self.store_revision,
+            revision: self.store_revision,
             era: self.store_era,
-            whole: true,
+            is_snapshot: true,
         }
     }
 
@@ -280,17 +281,17 @@
             confirmed_ago: self.config_freshness.age(now),
             era: self.store_era,
             upstreams: self.upstreams.len(),
-            expired: self.upstreams.lapsed(),
+            expired: self.upstreams.expired_count(),
             requests: self.requests.len(),
             waiting: self.queues.values().map(WaitQueue::len).sum(),
-            quarantined: self.quarantine.quarantined(now),
+            quarantined: self.quarantine.quarantined_count(now),
             started_late: self.started_late,
         }
     }
 
     fn caller_gone(&mut self, now: Moment, number: RequestNumber) -> Vec<DirectEffect> {
         self.held_requests.forget(number);
-        self.forget_unbegun(number);
+        self.untrack_attempt(number);
         let Some(state) = self.requests.remove(&number) else { return Vec::new() };
         info!("request={} outcome=caller-gone stage={:?}", state.attempt_id, state.stage);
         self.release_resources(&state);
@@ -306,8 +307,8 @@
                 }
             }
             RequestStage::Sent(upstream) => {
-                self.upstreams.read(upstream, state.pending_prefill);
-                self.upstreams.left(upstream);
+                self.upstreams.record_prefill_end(upstream, state.pending_prefill);
+                self.upstreams.record_finished(upstream);
             }
             RequestStage::Between => {}
         }
@@ -315,7 +316,7 @@
 
     fn handle_timer(&mut self, now: Moment) -> Vec<DirectEffect> {
         self.armed_timer = None;
-        self.settle_namings(now);
+        self.settle_announcements(now);
         let mut effects = Vec::new();
         for service in self.queues.keys().cloned().collect::<Vec<_>>() {
             let Some(queue) = self.queues.get_mut(&service) else { continue };
@@ -340,7 +341,7 @@
         let capacity = self.capacity_at.take();
         let hold_end = self.held_requests.next_overdue();
         let verdict = self.quarantine.next_verdict();
-        let peers_answer = self.peer_generation.waits_until();
+        let peers_answer = self.peer_generation.wait_deadline();
         let moments =
             wait_end.into_iter().chain(capacity).chain(hold_end).chain(verdict).chain(peers_answer);
         let moments = moments
--- a/mustardrill_core/src/direct/request.rs
+++ b/mustardrill_core/src/direct/request.rs
@@ -8,7 +8,7 @@
 use crate::direct::fleet::upstream::UpstreamStart;
 use crate::direct::placement::forecast::WorkSize;
 use crate::direct::route::{RepeatRule, RouteRule};
-use crate::direct::versions::replaced::ReplacedAttempt;
+use crate::direct::versions::superseded::SupersededAttempt;
 use crate::direct::waiting::queue::WaitRank;
 
 /// An admitted request, from its admission until its caller is gone.
@@ -56,7 +56,7 @@
     /// Whether the answer to the current attempt has started.
     pub(crate) has_started: bool,
     /// The limits of the current attempt, where its weights are being superseded.
-    pub(crate) superseded_attempt: Option<ReplacedAttempt>,
+    pub(crate) superseded_attempt: Option<SupersededAttempt>,
 }
 
 /// The stage of a request in progress.
--- /dev/null
+++ b/mustardrill_core/src/direct/retries/suspicion.rs
@@ -0,0 +1,211 @@
+//! How an entry handles requests that were running when upstreams crashed.
+
+use log::{info, warn};
+use mustardrill_types::{Millis, Moment, RequestDigest, ResultCode};
+
+use crate::direct::event::{DirectEffect, RequestNumber};
+use crate::direct::fleet::upstream::UpstreamStart;
+use crate::direct::reducer::DirectReducer;
+use crate::direct::request::{RequestStage, RequestState};
+use crate::quarantine::{CrashReport, CrashedRun, QUARANTINE_SPAN};
+use crate::rendezvous;
+
+impl DirectReducer {
+    /// Records that an upstream crashed while it ran a request of this entry, and broadcasts that
+    /// to the peers.
+    pub(in crate::direct) fn record_run_crash(
+        &mut self,
+        now: Moment,
+        number: RequestNumber,
+        upstream: &UpstreamStart,
+    ) {
+        let Some(state) = self.requests.get(&number) else { return };
+        // An upstream that is draining stops as announced; the request merely took too long for it.
+        // That is not a crash.
+        let listed = self.upstreams.get(&upstream.id);
+        let is_unplanned =
+            listed.is_some_and(|listed| listed.start() == *upstream && !listed.record.leaving);
+        if !is_unplanned {
+            return;
+        }
+        let run = CrashedRun {
+            digest: state.digest,
+            upstream: upstream.id.clone(),
+            start: upstream.start,
+            sent: state.sent_at,
+            ended: now,
+        };
+        self.crash_reports.push(now, CrashReport::Crashed(run.clone()));
+        self.record_crashed_run(now, run);
+    }
+
+    /// Records that a request was answered completely, which shows that it does not crash
+    /// upstreams.
+    pub(in crate::direct) fn record_run_success(
+        &mut self,
+        now: Moment,
+        digest: RequestDigest,
+    ) -> Option<DirectEffect> {
+        let was_quarantined = self.quarantine.remaining(now, digest).is_some();
+        self.crash_reports.withdraw_quarantine(digest);
+        if self.quarantine.record_success(now, digest, now) {
+            info!("quarantine digest={digest} outcome=sound");
+            self.crash_reports.push(now, CrashReport::Sound(digest, now));
+        }
+        was_quarantined.then_some(DirectEffect::RemoveQuarantine(digest))
+    }
+
+    /// Whether this entry writes the quarantine to the store. All entries reach the verdict; two
+    /// write it, since one of them may be killed or cut off from the store.
+    fn writes_quarantine(&self, digest: RequestDigest) -> bool {
+        const WRITERS: usize = 2;
+        let others = self.peers().iter().map(|peer| &peer.id);
+        let entries: Vec<_> = others.chain([&self.settings.own_id]).collect();
+        let subject = digest.0.to_be_bytes();
+        let ranked = rendezvous::ranked(&subject, &entries, |id| id.as_str());
+        ranked.into_iter().take(WRITERS).any(|id| **id == self.settings.own_id)
+    }
+
+    /// Handles a report from a peer entry.
+    pub(in crate::direct) fn receive_crash_report(
+        &mut self,
+        now: Moment,
+        report: CrashReport,
+    ) -> Vec<DirectEffect> {
+        match report {
+            CrashReport::Crashed(run) => self.record_crashed_run(now, run),
+            CrashReport::Sound(digest, at) => {
+                self.crash_reports.withdraw_quarantine(digest);
+                if self.quarantine.record_success(now, digest, at) {
+                    info!("quarantine digest={digest} outcome=sound source=entry");
+                }
+            }
+            CrashReport::Quarantined(digest, left) => {
+                if self.quarantine.start(now, digest, left) {
+                    info!("quarantine digest={digest} outcome=begun source=entry");
+                    return self.apply_verdict(now, digest, left);
+                }
+            }
+        }
+        Vec::new()
+    }
+
+    /// Applies another entry's verdict that was read from the store.
+    pub(in crate::direct) fn apply_stored_quarantine(
+        &mut self,
+        now: Moment,
+        digest: RequestDigest,
+    ) -> Vec<DirectEffect> {
+        if !self.quarantine.start(now, digest, QUARANTINE_SPAN) {
+            return Vec::new();
+        }
+        info!("quarantine digest={digest} outcome=begun source=store");
+        self.refuse_waiting_requests(now, digest)
+    }
+
+    /// Writes the active quarantines to the store again, since it may have lost them.
+    pub(in crate::direct) fn rewrite_quarantines(&self, now: Moment) -> Vec<DirectEffect> {
+        let active = self.quarantine.active(now).into_iter();
+        let to_write = active.filter(|(digest, _)| self.writes_quarantine(*digest));
+        to_write.map(|(digest, left)| DirectEffect::StoreQuarantine(digest, left)).collect()
+    }
+
+    fn apply_verdict(
+        &mut self,
+        now: Moment,
+        digest: RequestDigest,
+        left: Millis,
+    ) -> Vec<DirectEffect> {
+        let mut effects = self.refuse_waiting_requests(now, digest);
+        if self.writes_quarantine(digest) {
+            effects.push(DirectEffect::StoreQuarantine(digest, left));
+        }
+        effects
+    }
+
+    /// Takes the reports that are to be sent to the peer entries at `now`.
+    pub fn due_crash_reports(&mut self, now: Moment) -> Vec<CrashReport> {
+        self.crash_reports.due(now)
+    }
+
+    fn record_crashed_run(&mut self, now: Moment, run: CrashedRun) {
+        let start = UpstreamStart { id: run.upstream.clone(), start: run.start };
+        self.upstreams.record_crash(&start, run.ended);
+        self.quarantine.record_crash(now, run);
+    }
+
+    /// Decides on the suspects if that is due, and resumes the requests that waited for the
+    /// verdict.
+    pub(in crate::direct) fn decide_suspects(&mut self, now: Moment) -> Vec<DirectEffect> {
+        if self.quarantine.next_verdict().is_none_or(|due| due > now) {
+            return Vec::new();
+        }
+        let mut effects = Vec::new();
+        for digest in self.quarantine.take_verdicts(now) {
+            warn!("quarantine digest={digest} outcome=begun");
+            // Peers may have received fewer reports, or received them too late to order the runs.
+            if self.crash_reports.is_broadcasting_crash(digest) {
+                let report = CrashReport::Quarantined(digest, QUARANTINE_SPAN);
+                self.crash_reports.push(now, report);
+            }
+            effects.extend(self.apply_verdict(now, digest, QUARANTINE_SPAN));
+        }
+        for number in std::mem::take(&mut self.undecided_requests) {
+            effects.extend(self.resume_held(now, number));
+        }
+        effects
+    }
+
+    /// Refuses the requests that wait for another run. Those at upstreams may still be answered,
+    /// and so prove that the request is harmless.
+    fn refuse_waiting_requests(&mut self, now: Moment, digest: RequestDigest) -> Vec<DirectEffect> {
+        let is_waiting = |state: &RequestState| matches!(state.stage, RequestStage::Waiting(_));
+        let matching =
+            self.requests.values().filter(|state| state.digest == digest && is_waiting(state));
+        let mut waiting: Vec<_> = matching.map(|state| state.number).collect();
+        waiting.sort_unstable();
+        let refuse = |number| self.refuse_quarantined(now, number);
+        waiting.into_iter().filter_map(refuse).flatten().collect()
+    }
+
+    /// Refuses a quarantined request; returns `None` if it may run.
+    fn refuse_quarantined(
+        &mut self,
+        now: Moment,
+        number: RequestNumber,
+    ) -> Option<Vec<DirectEffect>> {
+        let digest = self.requests.get(&number)?.digest;
+        let retry_after = self.quarantine.remaining(now, digest)?;
+        Some(self.refuse(now, number, ResultCode::Quarantined, retry_after))
+    }
+
+    /// Refuses a request, or holds it until the verdict on it. Returns `None` if it may run.
+    pub(in crate::direct) fn hold_suspect(
+        &mut self,
+        now: Moment,
+        number: RequestNumber,
+    ) -> Option<Vec<DirectEffect>> {
+        if let Some(refusal) = self.refuse_quarantined(now, number) {
+            return Some(refusal);
+        }
+        let state = self.requests.get(&number)?;
+        if !self.quarantine.is_verdict_pending(now, state.digest) {
+            return None;
+        }
+        info!("request={} decision=hold reason=verdict digest={}", state.attempt_id, state.digest);
+        self.undecided_requests.push(number);
+        Some(Vec::new())
+    }
+
+    /// Continues with a request that waited for the verdict on it.
+    fn resume_held(&mut self, now: Moment, number: RequestNumber) -> Vec<DirectEffect> {
+        if let Some(held) = self.hold_suspect(now, number) {
+            return held;
+        }
+        match self.requests.get(&number) {
+            Some(state) if state.may_have_run => self.retry_lost(now, number),
+            Some(_) => self.dispatch_or_queue(now, number),
+            None => Vec::new(),
+        }
+    }
+}
--- a/mustardrill_core/src/direct/waiting/wait_policy.rs
+++ b/mustardrill_core/src/direct/waiting/wait_policy.rs
@@ -86,14 +86,15 @@
     /// The expected wait behind `ahead` other requests, where the engine profile allows a forecast.
     fn expected_wait(&self, state: &RequestState, ahead: usize) -> Millis {
         let Some(profile) = self.engine_profile(&state.service) else {
-            let queue_limit = self.upstreams.slots(&state.service) as usize * PLAIN_QUEUE_PER_SLOT;
+            let queue_limit =
+                self.upstreams.total_slots(&state.service) as usize * PLAIN_QUEUE_PER_SLOT;
             return if ahead >= queue_limit { Millis(u64::MAX / 4) } else { Millis(0) };
         };
         let forecast = EngineForecast::new(profile);
         let service_ms = forecast.service_ms(profile.slots, forecast.usual_size());
         // Peer entries use the freed slots as well, so this entry gets its share of them.
         let entries = self.peers().len() + 1;
-        let slots = self.upstreams.slots(&state.service).max(1);
+        let slots = self.upstreams.total_slots(&state.service).max(1);
         let slot_interval_ms = service_ms * entries as f64 / f64::from(slots);
         Millis((slot_interval_ms * (ahead + 1) as f64) as u64)
     }
--- a/mustardrill_core/src/lib.rs
+++ b/mustardrill_core/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of mustardrill as reducers and policies, without network or clock.
+//! The logic of mustardrill as reducers and policies, without I/O and without a clock.
 //!
-//! A reducer takes the present time and an event, changes its state and returns effects as
-//! data. Whoever embeds it turns I/O into events and carries the effects out.
+//! A reducer takes the current time and an event, changes its state and returns effects as data.
+//! The process that embeds it turns I/O into events and performs the effects.
 #![deny(missing_docs, unsafe_code, clippy::unwrap_used)]
 
 pub mod admission;
@@ -9,21 +9,20 @@
 pub mod budget;
 pub mod catalogue;
 mod check;
+pub mod chunk_assignment;
 pub mod claim;
-pub mod crash_board;
+pub mod coordinator;
+pub mod crash_report_relay;
 pub mod demand;
 pub mod direct;
 pub mod document;
 pub mod edit;
 pub mod entry;
-pub mod homes;
 pub mod ini_file;
-pub mod keeper;
 pub mod limit;
 pub mod manifest;
 pub mod membership;
 pub mod ownership;
-pub mod pace;
 pub mod partner;
 pub mod placement;
 pub mod quarantine;
@@ -35,4 +34,5 @@
 pub mod session;
 pub mod stock;
 pub mod transfer;
+pub mod transfer_rate;
 pub mod wave;
--- a/mustardrill_core/tests/contention.rs
+++ b/mustardrill_core/tests/contention.rs
@@ -6,7 +6,7 @@
 
 use mustardrill_core::direct::{
     AttemptOutcome, CallerLimits, DirectEffect, DirectEvent, DirectReducer, DirectSettings,
-    EngineNotice, EngineProfile, FleetChange, FleetPage, LoadTeller, PeerLoad, RepeatRule,
+    EngineNotice, EngineProfile, FleetChange, FleetUpdate, LoadBroadcaster, PeerLoad, RepeatRule,
     RequestNumber, RouteDocument, RouteRule, ServedWeights, ServiceProfile, UpstreamRecord,
     WorkSize,
 };
@@ -62,7 +62,12 @@
     let mut changes = vec![FleetChange::Configured(document())];
     changes.extend((1..=1 + pattern.paused_engines).map(engine));
     changes.extend((0..pattern.entries).map(peer));
-    let page = FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() };
+    let page = FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot: false,
+        ..FleetUpdate::default()
+    };
     reducer.reduce(START, DirectEvent::StoreAnswered(page, START));
     reducer
 }
@@ -131,7 +136,7 @@
 fn simulate(pattern: &LoadPattern) -> (u32, u32) {
     let count = pattern.entries;
     let mut entries: Vec<_> = (0..count).map(|index| entry(index, pattern)).collect();
-    let mut broadcasters: Vec<_> = (0..count).map(|_| LoadTeller::default()).collect();
+    let mut broadcasters: Vec<_> = (0..count).map(|_| LoadBroadcaster::default()).collect();
     let mut arrivals: BTreeMap<u64, Vec<Arrival>> = BTreeMap::new();
     let (mut at_engine, mut most, mut ended, mut number) = (0, 0, 0, 0);
     let mut free_at = vec![START; SLOTS as usize];
@@ -189,8 +194,11 @@
                 }
             }
             if step % 10 == 0
-                && let Some(update) =
-                    broadcasters[index].next(now, entry.outstanding_load(), entry.waiting_counts())
+                && let Some(update) = broadcasters[index].next_update(
+                    now,
+                    entry.outstanding_load(),
+                    entry.waiting_counts(),
+                )
             {
                 let load = PeerLoad { from: name(index as u64), update };
                 let to = (0..count as usize).filter(|other| *other != index);
--- a/mustardrill_core/tests/direct.rs
+++ b/mustardrill_core/tests/direct.rs
@@ -4,10 +4,11 @@
 
 use assert_matches::assert_matches;
 use mustardrill_core::direct::{
-    AttemptOutcome, CallerLimits, CustomerRecord, DirectEffect, DirectEvent, DirectReducer,
-    DirectRequest, DirectSettings, EngineNotice, FleetChange, FleetPage, GatherPause, LoadNews,
-    PeerLoad, RefusalPlan, RepeatRule, RequestNumber, RouteDocument, RouteRule, SendPlan,
-    ServedWeights, ServiceProfile, UpstreamLoad, UpstreamRecord, WorkSize, proved_at,
+    AttemptOutcome, CallerLimits, ChangeCoalescer, CustomerRecord, DirectEffect, DirectEvent,
+    DirectReducer, DirectRequest, DirectSettings, EngineNotice, FleetChange, FleetUpdate,
+    LoadUpdate, PeerLoad, RefusalPlan, RepeatRule, RequestNumber, RouteDocument, RouteRule,
+    SendPlan, ServedWeights, ServiceProfile, UpstreamLoad, UpstreamRecord, WorkSize,
+    confirmation_time,
 };
 use mustardrill_types::{
     FastMap, Generation, InstanceId, Millis, Moment, ResultCode, StartStamp, StoreRevision,
@@ -69,8 +70,13 @@
     }
 }
 
-fn fleet_update(changes: Vec<FleetChange>) -> FleetPage {
-    FleetPage { changes, at: StoreRevision(1), whole: false, ..FleetPage::default() }
+fn fleet_update(changes: Vec<FleetChange>) -> FleetUpdate {
+    FleetUpdate {
+        changes,
+        revision: StoreRevision(1),
+        is_snapshot: false,
+        ..FleetUpdate::default()
+    }
 }
 
 /// An entry with one configuration and the given upstreams.
@@ -223,15 +229,15 @@
 fn unchanged_watch_confirms_a_wrong_moment() {
     let wait = Millis(1_500);
     let at = |after: u64| START + Millis(after);
-    assert_eq!(proved_at(START, at(1_504), wait, true), at(1_500));
+    assert_eq!(confirmation_time(START, at(1_504), wait, true), at(1_500));
     assert_eq!(
-        proved_at(START, at(9_000), wait, true),
+        confirmation_time(START, at(9_000), wait, true),
         at(1_500),
         "no later, however late the answer arrives"
     );
-    assert_eq!(proved_at(START, at(1_499), wait, true), START, "the watch was cut short");
+    assert_eq!(confirmation_time(START, at(1_499), wait, true), START, "the watch was cut short");
     assert_eq!(
-        proved_at(START, at(1_504), wait, false),
+        confirmation_time(START, at(1_504), wait, false),
         START,
         "it may be an early answer that arrived late"
     );
@@ -380,9 +386,9 @@
     let from: InstanceId = "entry-2".parse().unwrap();
     let peer_load = PeerLoad {
         from,
-        update: LoadNews {
+        update: LoadUpdate {
             rows: vec![("u1".parse().unwrap(), load)],
-            whole: true,
+            is_snapshot: true,
             waiting: Vec::new(),
         },
     };
@@ -405,7 +411,7 @@
         let load = UpstreamLoad { requests, pending_prefill: Millis(0) };
         let rows = vec![("u1".parse().unwrap(), load)];
         let waiting = waiting.iter().map(|(name, count)| (name.parse().unwrap(), *count));
-        let update = LoadNews { rows, whole: true, waiting: waiting.collect() };
+        let update = LoadUpdate { rows, is_snapshot: true, waiting: waiting.collect() };
         DirectEvent::PeerLoadReceived(PeerLoad { from: "entry-2".parse().unwrap(), update })
     };
     reducer.reduce(START, peer_load(9, &[]));
@@ -569,7 +575,7 @@
 #[test]
 fn requests_start_on_superseded_weights_after_the_version_bound() {
     let mut reducer = entry(&[upstream("u1", "pool", 1), upstream("u2", "pool", 2)]);
-    let announced = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let announced = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     reducer.reduce(START, DirectEvent::StoreAnswered(fleet_update(vec![announced]), START));
     let later = START + Millis(7_000);
     reducer.reduce(later, DirectEvent::StoreAnswered(fleet_update(Vec::new()), later));
@@ -585,7 +591,7 @@
 
 #[test]
 fn entry_start_or_failed_store_call_extends_the_version_bound() {
-    let announced = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let announced = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     let old = upstream("u1", "pool", 1);
     let mut changes = vec![FleetChange::Configured(document(1, &["key-1"])), announced.clone()];
     changes.push(FleetChange::Upstream(old.clone()));
@@ -613,7 +619,7 @@
 /// have been announced before the call.
 #[test]
 fn version_announced_during_debouncing_counts_from_the_later_call() {
-    let announced = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let announced = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     let sends_at = |debounced: u64, waited: u64, due: Moment| {
         let mut reducer = entry(&[upstream("u1", "pool", 1)]);
         let asked_at = START + Millis(debounced);
@@ -639,7 +645,7 @@
 /// A newer version is late; requests may start on the older one until the version bound.
 #[test]
 fn engines_with_superseded_weights_idle_before_the_version_bound() {
-    let announced = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let announced = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     let bound = common::direct_settings().version_bound;
     let mut idle = entry(&[upstream("u1", "pool", 1)]);
     idle.reduce(START, DirectEvent::StoreAnswered(fleet_update(vec![announced.clone()]), START));
@@ -650,7 +656,7 @@
     let mut full = entry(&[upstream("u1", "pool", 1)]);
     let rows =
         vec![("u1".parse().unwrap(), UpstreamLoad { requests: 16, pending_prefill: Millis(70) })];
-    let update = LoadNews { rows, whole: true, waiting: Vec::new() };
+    let update = LoadUpdate { rows, is_snapshot: true, waiting: Vec::new() };
     full.reduce(START, DirectEvent::StoreAnswered(fleet_update(vec![announced]), START));
     full.reduce(late, DirectEvent::StoreAnswered(fleet_update(Vec::new()), late));
     let from = "entry-2".parse().unwrap();
@@ -662,18 +668,18 @@
 /// soon.
 #[test]
 fn membership_changes_are_debounced_as_long_as_other_changes() {
-    let mut debounce = GatherPause::default();
-    let whole = FleetPage {
-        whole: true,
+    let mut debounce = ChangeCoalescer::default();
+    let whole = FleetUpdate {
+        is_snapshot: true,
         ..fleet_update(vec![FleetChange::Upstream(upstream("u1", "pool", 1))])
     };
     assert_eq!(
-        debounce.after(START, &whole).pause,
+        debounce.next_read(START, &whole).pause,
         Millis(0),
         "changes made during the read are asked for at once"
     );
-    assert_eq!(debounce.after(START, &fleet_update(Vec::new())).pause, Millis(0));
-    let mut pause_after = |change| debounce.after(START, &fleet_update(vec![change])).pause;
+    assert_eq!(debounce.next_read(START, &fleet_update(Vec::new())).pause, Millis(0));
+    let mut pause_after = |change| debounce.next_read(START, &fleet_update(vec![change])).pause;
     let loaded_pause = pause_after(FleetChange::Upstream(upstream("u1", "pool", 2)));
     let arrival_pause = pause_after(FleetChange::Upstream(upstream("u2", "pool", 2)));
     assert!(
@@ -699,12 +705,12 @@
 /// While changes are debounced, requests of a service without upstreams are refused.
 #[test]
 fn debouncing_delays_the_first_upstream_of_an_empty_service() {
-    let mut debounce = GatherPause::default();
+    let mut debounce = ChangeCoalescer::default();
     let fleet =
         ["d1", "d2", "e1"].map(|id| upstream(id, if id == "e1" { "pool" } else { "desk" }, 1));
     let changes: Vec<_> = fleet.iter().cloned().map(FleetChange::Upstream).collect();
-    debounce.after(START, &FleetPage { whole: true, ..fleet_update(changes) });
-    let mut pause_after = |change| debounce.after(START, &fleet_update(vec![change])).pause;
+    debounce.next_read(START, &FleetUpdate { is_snapshot: true, ..fleet_update(changes) });
+    let mut pause_after = |change| debounce.next_read(START, &fleet_update(vec![change])).pause;
     let gone = |id: &str| FleetChange::UpstreamGone(id.parse().unwrap());
     assert!(pause_after(gone("d1")) > Millis(0), "the other upstream still serves");
     assert_eq!(
@@ -788,11 +794,11 @@
 /// A watch would transfer each configuration of a series in full, to each entry.
 #[test]
 fn each_configuration_of_a_series_is_transferred() {
-    let mut debounce = GatherPause::default();
+    let mut debounce = ChangeCoalescer::default();
     let update_with =
         |generation| fleet_update(vec![FleetChange::Configured(document(generation, &["key-1"]))]);
-    let first = debounce.after(START, &update_with(2));
-    assert!(!first.anew && first.pause <= Millis(150), "a single change is read soon");
+    let first = debounce.next_read(START, &update_with(2));
+    assert!(!first.is_snapshot && first.pause <= Millis(150), "a single change is read soon");
     // Eight more follow at intervals of 330 ms; only some of them are read.
     let (mut now, mut read, mut latest) = (START, 1, Millis(0));
     for generation in 3..=10 {
@@ -800,16 +806,16 @@
         if written < now {
             continue;
         }
-        let next = debounce.after(written, &update_with(generation));
-        assert!(next.anew, "configurations in between are not transferred");
+        let next = debounce.next_read(written, &update_with(generation));
+        assert!(next.is_snapshot, "configurations in between are not transferred");
         now = written + next.pause;
         latest = next.pause;
         read += 1;
     }
     assert!(read <= 4, "{read} of 9 configurations are transferred");
     assert!(latest <= Millis(1_500), "a change takes effect well within the tightest bound");
-    let later = debounce.after(START + Millis(20_000), &update_with(11));
-    assert!(!later.anew, "the series is over");
+    let later = debounce.next_read(START + Millis(20_000), &update_with(11));
+    assert!(!later.is_snapshot, "the series is over");
 }
 
 #[test]
@@ -1005,7 +1011,7 @@
         UpstreamRecord { data_centre: "hall-b".parse().unwrap(), ..upstream("u3", "pool", 1) };
     let near = UpstreamRecord { address: ([10, 0, 0, 7], 80).into(), ..upstream("u1", "pool", 1) };
     let mut reducer = entry(&[near, far, upstream("d1", "desk", 0)]);
-    let announced = || vec![FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2))];
+    let announced = || vec![FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2))];
     let notified = |effects: &[DirectEffect]| -> Vec<Vec<std::net::IpAddr>> {
         let notices = effects.iter().filter_map(|effect| match effect {
             DirectEffect::NotifyAgents(_, WeightVersion(2), machines) => Some(machines.clone()),
@@ -1024,7 +1030,7 @@
 /// outcome=named`), 10 s after the entries. The rows of a snapshot may come in any order.
 #[test]
 fn starting_entry_does_not_notify_agents_of_the_version_that_it_finds() {
-    let announced = FleetChange::VersionNamed("m".parse().unwrap(), WeightVersion(2));
+    let announced = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
     let near = UpstreamRecord { address: ([10, 0, 0, 7], 80).into(), ..upstream("u1", "pool", 1) };
     let changes = vec![
         announced,
@@ -1033,7 +1039,7 @@
         FleetChange::Upstream(upstream("d1", "desk", 0)),
     ];
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
-    let whole = FleetPage { whole: true, ..fleet_update(changes) };
+    let whole = FleetUpdate { is_snapshot: true, ..fleet_update(changes) };
     let effects = reducer.reduce(START, DirectEvent::StoreAnswered(whole, START));
     let model = "m".parse().unwrap();
     let machines = vec![std::net::IpAddr::from([10, 0, 0, 7])];
--- a/mustardrill_runtime/src/datagram.rs
+++ b/mustardrill_runtime/src/datagram.rs
@@ -5,7 +5,9 @@
 
 use std::net::SocketAddr;
 
-use mustardrill_core::direct::{AnswerSpan, EngineNotice, NamingTime, NamingWord};
+use mustardrill_core::direct::{
+    AnnouncementReport, AnnouncementTime, AvailabilitySpan, EngineNotice,
+};
 use mustardrill_proto::CrashRow;
 use mustardrill_types::{Generation, InstanceId, Millis, ModelName, Moment, WeightVersion};
 use prost::Message;
@@ -192,21 +194,21 @@
 
 impl ContactRow {
     /// What is told at `now`, of the time in which the store answered, to who asked at `asked`.
-    pub fn new(now: Moment, span: AnswerSpan, generation: Generation, asked: u64) -> Self {
+    pub fn new(now: Moment, span: AvailabilitySpan, generation: Generation, asked: u64) -> Self {
         let (since_ms, until_ms) = (now.since(span.since).0, now.since(span.until).0);
         Self { since_ms, until_ms, asked, generation: generation.0, namings: Vec::new() }
     }
 
     /// The same with what is told at `now` of versions.
-    pub fn with_namings(self, now: Moment, mut words: Vec<NamingWord>) -> Self {
-        words.sort_by_key(|word| std::cmp::Reverse(word.time.since()));
+    pub fn with_namings(self, now: Moment, mut words: Vec<AnnouncementReport>) -> Self {
+        words.sort_by_key(|word| std::cmp::Reverse(word.time.effective_at()));
         let rows = words.iter().take(NAMINGS_LIMIT).map(|word| NamingRow::new(now, word));
         Self { namings: rows.collect(), ..self }
     }
 
     /// The namings on the clock of the process that asked and hears them at `now`; nothing where the
     /// answer took too long.
-    pub fn namings(&self, now: Moment) -> Vec<NamingWord> {
+    pub fn namings(&self, now: Moment) -> Vec<AnnouncementReport> {
         let took = now.since(Moment(self.asked));
         if took > ANSWER_LIMIT {
             return Vec::new();
@@ -216,20 +218,20 @@
 
     /// That time on the clock of the process that asked and hears it at `now`; nothing where the
     /// answer took too long, or the time was over before that clock began.
-    pub fn span(&self, now: Moment) -> Option<AnswerSpan> {
+    pub fn span(&self, now: Moment) -> Option<AvailabilitySpan> {
         let took = now.since(Moment(self.asked));
         if took > ANSWER_LIMIT {
             return None;
         }
         // Told at the earliest when it was asked: the last answer of the store is no later than so.
         let until = Moment(now.0.checked_sub(took.0.saturating_add(self.until_ms))?);
-        Some(AnswerSpan { since: now - Millis(self.since_ms), until })
+        Some(AvailabilitySpan { since: now - Millis(self.since_ms), until })
     }
 }
 
 impl NamingRow {
     /// What is told of a version at `now`.
-    fn new(now: Moment, word: &NamingWord) -> Self {
+    fn new(now: Moment, word: &AnnouncementReport) -> Self {
         Self {
             model: word.model.to_string(),
             version: word.version.0,
@@ -238,21 +240,21 @@
                 Moment(0) => u64::MAX,
                 earliest => now.since(earliest).0,
             },
-            known_ms: now.since(word.time.known).0,
-            heard_ms: word.time.heard.map(|heard| now.since(heard).0),
+            known_ms: now.since(word.time.known_at).0,
+            heard_ms: word.time.observed.map(|heard| now.since(heard).0),
         }
     }
 
     /// The word as it is heard at `now`, `took` after it was asked for.
-    fn word(&self, now: Moment, took: Millis) -> Option<NamingWord> {
+    fn word(&self, now: Moment, took: Millis) -> Option<AnnouncementReport> {
         // It was sent some time since the asking: what is told may be older by that.
         let age = |told: u64| now - took - Millis(told);
-        let time = NamingTime {
+        let time = AnnouncementTime {
             earliest: age(self.earliest_ms),
-            known: now - Millis(self.known_ms),
-            heard: self.heard_ms.map(age),
+            known_at: now - Millis(self.known_ms),
+            observed: self.heard_ms.map(age),
         };
-        Some(NamingWord {
+        Some(AnnouncementReport {
             model: self.model.parse().ok()?,
             version: WeightVersion(self.version),
             time,
