--- a/mustardrill_core/src/direct/versions/announcements.rs
+++ b/mustardrill_core/src/direct/versions/announcements.rs
@@ -95,12 +95,12 @@
         sent: Moment,
         was_away: bool,
     ) -> AnnouncementTime {
-        let earliest = self.proof.last_confirmed().unwrap_or_default();
-        if was_away || self.proof.last_confirmed().is_none() {
+        let earliest = self.store_freshness.last_confirmed().unwrap_or_default();
+        if was_away || self.store_freshness.last_confirmed().is_none() {
             return AnnouncementTime::bounded(earliest, now);
         }
-        if now.since(sent) <= sent.since(self.read_at) {
-            return AnnouncementTime::bounded(self.read_at, now);
+        if now.since(sent) <= sent.since(self.store_read_at) {
+            return AnnouncementTime::bounded(self.store_read_at, now);
         }
         AnnouncementTime::observed(earliest, now)
     }
@@ -123,7 +123,7 @@
             now.since(time.effective_at()),
             if is_observed { "heard" } else { "bounded" }
         );
-        self.inquiry.start(now, self.settings.version_bound, is_observed);
+        self.announcement_inquiry.start(now, self.settings.version_bound, is_observed);
         self.refresh_attempt_limits();
     }
 
@@ -133,7 +133,7 @@
         now: Moment,
         reports: &[AnnouncementReport],
     ) {
-        self.inquiry.record_answer();
+        self.announcement_inquiry.record_answer();
         for report in reports {
             if !self.versions.refine(report) {
                 continue;
@@ -152,10 +152,10 @@
     /// the store's return, once the peers had time to report whether the store answered them in the
     /// meantime.
     pub(in crate::direct) fn settle_announcements(&mut self, now: Moment) {
-        if !self.inquiry.take_due_decision(now, !self.peers.is_empty()) {
+        if !self.announcement_inquiry.take_due_decision(now, !self.peers.is_empty()) {
             return;
         }
-        if let Some(span) = self.contact.span() {
+        if let Some(span) = self.store_availability.span() {
             self.versions.count_from_return(span.since, MIN_STORE_OUTAGE);
             self.refresh_attempt_limits();
             info!("weights outcome=settled answering={}", now.since(span.since));
--- a/mustardrill_core/src/direct/versions/superseded.rs
+++ b/mustardrill_core/src/direct/versions/superseded.rs
@@ -49,9 +49,9 @@
     fn log_start(&self, now: Moment, state: &RequestState, upstream: &InstanceId) -> bool {
         let line = format!(
             "request={} instance={upstream} outcome=begun weights={} took={} forecast={}",
-            state.attempt,
+            state.attempt_id,
             self.version,
-            now.since(state.sent),
+            now.since(state.sent_at),
             self.forecast,
         );
         let is_late = now >= self.usable_until;
@@ -113,7 +113,7 @@
         state: &RequestState,
         upstream: &InstanceId,
     ) -> Option<WeightVersion> {
-        self.profile(&state.service)?;
+        self.engine_profile(&state.service)?;
         self.upstreams.get(upstream)?.served_version(state.model.as_ref()?)
     }
 
@@ -124,8 +124,8 @@
         state: &RequestState,
         upstream: &InstanceId,
     ) -> Option<SupersededAttempt> {
-        let version = self.believed_version(state, upstream).or(state.weights)?;
-        self.superseded_attempt(state, version, state.forecast)
+        let version = self.believed_version(state, upstream).or(state.expected_version)?;
+        self.superseded_attempt(state, version, state.start_forecast)
     }
 
     /// Records that the answer to a request has started, on `version` if its upstream reported one.
@@ -137,19 +137,21 @@
     ) {
         self.untrack_attempt(number);
         let Some(state) = self.requests.get_mut(&number) else { return };
-        state.begun = true;
+        state.has_started = true;
         let RequestStage::Sent(upstream) = state.stage.clone() else { return };
         let Some(state) = self.requests.get(&number) else { return };
-        let Some(version) = state.weights.and(version).or(state.weights) else { return };
-        if let Some(attempt) = self.superseded_attempt(state, version, state.forecast) {
-            self.begun_late += u64::from(attempt.log_start(now, state, &upstream.id));
+        let Some(version) = state.expected_version.and(version).or(state.expected_version) else {
+            return;
+        };
+        if let Some(attempt) = self.superseded_attempt(state, version, state.start_forecast) {
+            self.started_late += u64::from(attempt.log_start(now, state, &upstream.id));
         }
     }
 
     pub(in crate::direct) fn untrack_attempt(&mut self, number: RequestNumber) {
         let state = self.requests.get_mut(&number);
-        if let Some(attempt) = state.and_then(|state| state.replaced.take()) {
-            self.unbegun.remove(number, &attempt);
+        if let Some(attempt) = state.and_then(|state| state.superseded_attempt.take()) {
+            self.unstarted_attempts.remove(number, &attempt);
         }
     }
 
@@ -161,9 +163,9 @@
     ) {
         self.untrack_attempt(number);
         let Some(state) = self.requests.get_mut(&number) else { return };
-        state.replaced = attempt;
+        state.superseded_attempt = attempt;
         if let Some(attempt) = &attempt {
-            self.unbegun.insert(number, attempt);
+            self.unstarted_attempts.insert(number, attempt);
         }
     }
 
@@ -171,7 +173,7 @@
     /// announcements changed.
     pub(in crate::direct) fn refresh_attempt_limits(&mut self) {
         let sent_attempts = self.requests.values().filter_map(|state| match &state.stage {
-            RequestStage::Sent(upstream) if !state.begun => {
+            RequestStage::Sent(upstream) if !state.has_started => {
                 Some((state.number, self.current_superseded_attempt(state, &upstream.id)))
             }
             _ => None,
@@ -188,7 +190,7 @@
         now: Moment,
     ) -> Vec<DirectEffect> {
         let mut effects = Vec::new();
-        while let Some(number) = self.unbegun.take_overdue(now) {
+        while let Some(number) = self.unstarted_attempts.take_overdue(now) {
             let Some(state) = self.requests.get(&number) else { continue };
             let RequestStage::Sent(upstream) = &state.stage else { continue };
             match self.current_superseded_attempt(state, &upstream.id) {
@@ -199,10 +201,10 @@
                 Some(attempt) => {
                     info!(
                         "request={} instance={} decision=withdraw weights={} waited={}",
-                        state.attempt,
+                        state.attempt_id,
                         upstream.id,
                         attempt.version,
-                        now.since(state.sent),
+                        now.since(state.sent_at),
                     );
                     effects.push(DirectEffect::Withdraw(number));
                 }
--- a/mustardrill_core/tests/common/mod.rs
+++ b/mustardrill_core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests of the core share.
+//! Fixtures that several tests of the core crate share.
 #![allow(dead_code, reason = "each test uses a part of it")]
 
 use std::collections::BTreeSet;
@@ -30,30 +30,30 @@
     std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
-/// The model `drafts` as an operator's file.
+/// The model `drafts` as an operator's settings file.
 pub fn model_text() -> String {
     "[model drafts]\nservice = mustard-pool\nowner = ana\nclass = urgent\ncallers = comedor, inspector\n\
      requests_per_second = 50\nin_flight = 10\nversion = v1\nreplicas = 4\n"
         .into()
 }
 
-/// The drafts of a file that reads.
+/// Parses a valid settings file.
 pub fn drafts(text: &str) -> Vec<EntryDraft> {
-    read_drafts("edit.ini", text).expect("the file reads")
+    read_drafts("edit.ini", text).expect("the settings file is valid")
 }
 
-/// An edit of drafts.
+/// An edit that applies the drafts.
 pub fn request(id: u128, operator: &str, drafts: Vec<EntryDraft>) -> EditRequest {
     EditRequest { id: EditId(id), operator: operator.into(), change: EditChange::Drafts(drafts) }
 }
 
-/// The catalogue that one edit of a file makes.
+/// The catalogue after one edit that applies a settings file.
 pub fn document_with(text: &str) -> CatalogueDocument {
     let edit = request(1, "ana", drafts(text));
-    apply_edit(&CatalogueDocument::default(), &edit, &facts()).expect("the edit is right")
+    apply_edit(&CatalogueDocument::default(), &edit, &facts()).expect("the edit is accepted")
 }
 
-/// A small fleet.
+/// The facts of a small fleet, against which edits are checked.
 pub fn facts() -> FleetFacts {
     let mut versions = FastMap::default();
     for model in ["drafts", "summaries"] {
@@ -75,32 +75,32 @@
     }
 }
 
-/// When the engines of these tests load.
+/// The rollout schedule of the engines in these tests.
 pub const TURNS: TurnSettings =
     TurnSettings { first: Millis(3_600), last: Millis(6_500), switch: Millis(2_000) };
 
-/// How the entry of these tests decides.
+/// Settings of the entry in these tests.
 pub fn direct_settings() -> DirectSettings {
     DirectSettings {
-        own: "entry-1".parse().unwrap(),
+        own_id: "entry-1".parse().unwrap(),
         data_centre: "hall-a".parse().unwrap(),
-        proof_limit: Millis(4_500),
+        freshness_limit: Millis(4_500),
         version_bound: Millis(7_000),
-        retry: RetryShare { ratio: 0.1, allowance: 8.0, window: Millis(10_000) },
-        ahead: 2,
-        reading_limit: Millis(80),
-        wait_percent: 50,
-        late_percent: 75,
-        late_wait: Millis(1_000),
-        silence: Millis(1_200),
-        forgetting: Millis(2_400),
-        lapse_grace: Millis(2_000),
-        peer_patience: Millis(1_500),
-        ejection: Millis(500),
+        retry_share: RetryShare { ratio: 0.1, allowance: 8.0, window: Millis(10_000) },
+        requests_ahead: 2,
+        prefill_limit: Millis(80),
+        in_time_percent: 50,
+        late_slots_percent: 75,
+        wait_limit: Millis(1_000),
+        silence_timeout: Millis(1_200),
+        forgetting_outage: Millis(2_400),
+        expiry_grace: Millis(2_000),
+        peer_load_timeout: Millis(1_500),
+        base_ejection: Millis(500),
     }
 }
 
-/// How the agent of these tests decides.
+/// Settings of the agent in these tests.
 pub fn stock_settings() -> StockSettings {
     StockSettings {
         own: "10.0.0.1".parse().unwrap(),
@@ -114,20 +114,25 @@
     }
 }
 
-/// A request of so much work for the model `m`, as it comes to a public route.
-pub fn direct_request(number: u64, path: &str, size: WorkSize, arrived: Moment) -> DirectRequest {
+/// A request of the given size for the model `m`, on a public route.
+pub fn direct_request(
+    number: u64,
+    path: &str,
+    size: WorkSize,
+    arrived_at: Moment,
+) -> DirectRequest {
     DirectRequest {
         number: RequestNumber(number),
-        attempt: format!("a{number}").into(),
+        attempt_id: format!("a{number}").into(),
         host: "drafts.example".into(),
         path: path.into(),
-        content: RequestDigest::of(&[path.as_bytes()]),
-        key: None,
-        patience: Some(Millis(6_000)),
-        arrived,
+        content_digest: RequestDigest::of(&[path.as_bytes()]),
+        api_key: None,
+        timeout: Some(Millis(6_000)),
+        arrived_at,
         model: Some("m".parse().unwrap()),
         size,
-        resumes: false,
+        is_resumed: false,
     }
 }
 
@@ -141,38 +146,38 @@
     }
 }
 
-/// A route that anybody may call.
-pub fn public_route(name: &str, prefix: &str, service: &str, repeat: RepeatRule) -> RouteRule {
+/// A route that needs no API key.
+pub fn public_route(name: &str, prefix: &str, service: &str, repeat_rule: RepeatRule) -> RouteRule {
     RouteRule {
         name: name.into(),
         host: "drafts.example".into(),
         prefix: prefix.into(),
-        split: vec![(service.parse().unwrap(), 1)],
-        repeat,
+        traffic_split: vec![(service.parse().unwrap(), 1)],
+        repeat_rule,
         timeout: Millis(6_000),
         objective: Millis(400),
-        gap: Millis(300),
+        event_gap: Millis(300),
         priority: 1,
-        attempts: 2,
-        public: true,
+        attempt_limit: 2,
+        is_public: true,
     }
 }
 
-/// An engine of four slots that holds the model `m`.
+/// The profile of an engine with four slots that serves the model `m`.
 pub fn engine_profile() -> EngineProfile {
     EngineProfile {
         slots: 4,
         models: vec![ModelProfile { name: "m".parse().unwrap(), load_time: Millis(300) }],
-        stride: 6,
+        steps_per_pass: 6,
         step_ms: 7.0,
-        read_per_ms: 30.0,
-        usual_prompt: 960,
-        usual_answer: 120,
+        prefill_tokens_per_ms: 30.0,
+        mean_prompt: 960,
+        mean_answer: 120,
         ..EngineProfile::default()
     }
 }
 
-/// A configuration with a plain service whose requests may be repeated, and its upstreams.
+/// A configuration with a plain service whose requests are idempotent, and its upstreams.
 pub fn desk_fleet(upstreams: u16) -> Vec<FleetChange> {
     let route = RouteRule {
         objective: Millis(300),
@@ -187,7 +192,7 @@
     changes
 }
 
-/// The name of an upstream of `desk_fleet`.
+/// The instance ID of an upstream of `desk_fleet`.
 pub fn desk_id(place: u16) -> InstanceId {
     format!("desk-{place}").parse().unwrap()
 }
@@ -208,12 +213,12 @@
 
 /// A request to the service of `desk_fleet`.
 pub fn desk_request(number: u64, arrived: Moment) -> DirectRequest {
-    let size = WorkSize { prompt: 0, answer: 0 };
+    let size = WorkSize { prompt_tokens: 0, answer_tokens: 0 };
     DirectRequest { model: None, ..direct_request(number, "/x", size, arrived) }
 }
 
-/// The upstreams of a `desk_fleet` to which requests go that come at `now`, as many as there are
-/// upstreams.
+/// Sends as many requests at `now` as there are upstreams, and returns the upstreams that were
+/// reached.
 pub fn reached_desks(
     reducer: &mut DirectReducer,
     upstreams: u16,
@@ -222,16 +227,16 @@
     let numbers = now.0 * 100..now.0 * 100 + u64::from(upstreams);
     let mut reached = BTreeSet::new();
     for number in numbers.clone() {
-        for effect in reducer.reduce(now, DirectEvent::Arrived(desk_request(number, now))) {
+        for effect in reducer.reduce(now, DirectEvent::RequestArrived(desk_request(number, now))) {
             if let DirectEffect::Send(_, plan) = effect {
                 reached.insert(plan.upstream);
             }
         }
     }
     for number in numbers {
-        let ended = DirectEvent::Ended(RequestNumber(number), AttemptOutcome::Whole);
+        let ended = DirectEvent::AttemptEnded(RequestNumber(number), AttemptOutcome::Whole);
         reducer.reduce(now, ended);
-        reducer.reduce(now, DirectEvent::Gone(RequestNumber(number)));
+        reducer.reduce(now, DirectEvent::CallerGone(RequestNumber(number)));
     }
     reached
 }
--- a/mustardrill_core/tests/store_eras.rs
+++ b/mustardrill_core/tests/store_eras.rs
@@ -55,7 +55,7 @@
 /// Applies changes of the era `era`.
 fn apply_changes(reducer: &mut DirectReducer, at: Moment, era: u64, changes: Vec<FleetChange>) {
     let update = FleetUpdate { changes, ..fleet_update(era, 1, false) };
-    reducer.reduce(at, DirectEvent::Fleet(update, at));
+    reducer.reduce(at, DirectEvent::StoreAnswered(update, at));
 }
 
 /// Applies the first snapshot of the restored store.
@@ -65,7 +65,7 @@
 ) -> Vec<DirectEffect> {
     let changes = records.into_iter().map(FleetChange::Upstream).collect();
     let update = FleetUpdate { changes, ..fleet_update(1, 1, true) };
-    reducer.reduce(BACK, DirectEvent::Fleet(update, BACK))
+    reducer.reduce(BACK, DirectEvent::StoreAnswered(update, BACK))
 }
 
 fn entry() -> DirectReducer {
@@ -104,7 +104,7 @@
     apply_older_copy(&mut reducer, (1..UPSTREAMS).map(common::desk));
     // Peers got answers all the time, which proves nothing about registrations that the copy lacks.
     let span = AvailabilitySpan { since: Moment(0), until: BACK };
-    reducer.reduce(BACK, DirectEvent::ContactHeard(span));
+    reducer.reduce(BACK, DirectEvent::AvailabilityReceived(span));
     assert_eq!(
         common::reached_desks(&mut reducer, UPSTREAMS, BACK + Millis(100)),
         desk_ids(0..UPSTREAMS)
@@ -134,7 +134,7 @@
     let mut reducer = entry();
     apply_changes(&mut reducer, START, 0, vec![FleetChange::Upstream(serving(2))]);
     apply_older_copy(&mut reducer, [serving(1)]);
-    let known = reducer.fleet().changes.into_iter().find_map(|change| match change {
+    let known = reducer.fleet_snapshot().changes.into_iter().find_map(|change| match change {
         FleetChange::Upstream(record) if record.id == desk_id(0) => Some(record.serving),
         _ => None,
     });
@@ -160,7 +160,7 @@
     let newer = RouteDocument::new(Generation(2), Vec::new(), services, customers, limits);
     apply_changes(&mut reducer, START, 0, vec![FleetChange::Configured(Arc::new(newer))]);
     let copy = FleetUpdate { changes: common::desk_fleet(UPSTREAMS), ..fleet_update(1, 1, true) };
-    reducer.reduce(BACK, DirectEvent::Fleet(copy, BACK));
+    reducer.reduce(BACK, DirectEvent::StoreAnswered(copy, BACK));
     assert_eq!(reducer.document().unwrap().generation, Generation(2));
 }
 
@@ -170,7 +170,7 @@
     let digest = RequestDigest::of(&[b"one that ends upstreams"]);
     apply_changes(&mut reducer, START, 0, vec![FleetChange::Quarantined(digest)]);
     let effects = apply_older_copy(&mut reducer, (0..UPSTREAMS).map(common::desk));
-    let is_kept = |effect: &DirectEffect| matches!(effect, DirectEffect::KeepQuarantine(it, _) if *it == digest);
+    let is_kept = |effect: &DirectEffect| matches!(effect, DirectEffect::StoreQuarantine(it, _) if *it == digest);
     assert!(effects.iter().any(is_kept), "{effects:?}");
 }
 
@@ -186,12 +186,12 @@
 
 fn keyed_document(generation: u64) -> Arc<RouteDocument> {
     let route = RouteRule {
-        public: false,
+        is_public: false,
         ..common::public_route("status", "/", "desk", RepeatRule::Once)
     };
     let customer = CustomerRecord {
         name: "comedor".parse().unwrap(),
-        keys: vec!["key".into()],
+        api_keys: vec!["key".into()],
         priority: None,
     };
     let mut services = FastMap::default();
@@ -202,8 +202,9 @@
 }
 
 fn keyed_call(reducer: &mut DirectReducer, now: Moment, number: u64) -> Vec<DirectEffect> {
-    let request = DirectRequest { key: Some("key".into()), ..common::desk_request(number, now) };
-    reducer.reduce(now, DirectEvent::Arrived(request))
+    let request =
+        DirectRequest { api_key: Some("key".into()), ..common::desk_request(number, now) };
+    reducer.reduce(now, DirectEvent::RequestArrived(request))
 }
 
 fn count_sends(effects: &[DirectEffect]) -> usize {
@@ -216,7 +217,7 @@
     let effects = keyed_call(&mut reducer, START + Millis(10), 1);
     assert_eq!(count_sends(&effects), 0, "the peers have not answered yet");
     assert!(!reducer.is_ready(START + Millis(10)));
-    let reported = DirectEvent::GenerationHeard(Generation(2));
+    let reported = DirectEvent::GenerationReceived(Generation(2));
     assert_eq!(count_sends(&reducer.reduce(START + Millis(20), reported)), 0);
     assert_eq!(count_sends(&keyed_call(&mut reducer, START + Millis(900), 2)), 0);
     let newer = vec![FleetChange::Configured(keyed_document(2))];
@@ -228,7 +229,7 @@
 fn a_starting_entry_serves_soon_if_its_peers_do_not_answer() {
     let mut reducer = started_entry();
     assert_eq!(count_sends(&keyed_call(&mut reducer, START + Millis(10), 1)), 0);
-    assert_eq!(count_sends(&reducer.reduce(START + Millis(200), DirectEvent::Woke)), 1);
+    assert_eq!(count_sends(&reducer.reduce(START + Millis(200), DirectEvent::TimerFired)), 1);
     assert!(reducer.is_ready(START + Millis(200)));
 }
 
@@ -237,15 +238,18 @@
 #[test]
 fn a_starting_entry_keeps_asking_peers_that_do_not_answer() {
     let mut reducer = started_entry();
-    reducer.reduce(START + Millis(200), DirectEvent::Woke);
-    assert!(reducer.doubts(START + Millis(1_000)).is_some(), "the peers are no longer asked");
+    reducer.reduce(START + Millis(200), DirectEvent::TimerFired);
+    assert!(
+        reducer.peer_query_interval(START + Millis(1_000)).is_some(),
+        "the peers are no longer asked"
+    );
     assert_eq!(count_sends(&keyed_call(&mut reducer, START + Millis(1_000), 1)), 1);
-    reducer.reduce(START + Millis(1_050), DirectEvent::GenerationHeard(Generation(2)));
+    reducer.reduce(START + Millis(1_050), DirectEvent::GenerationReceived(Generation(2)));
     assert_eq!(count_sends(&keyed_call(&mut reducer, START + Millis(1_100), 2)), 0);
-    assert_eq!(reducer.doubts(START + Millis(1_100)), None, "one report is enough");
+    assert_eq!(reducer.peer_query_interval(START + Millis(1_100)), None, "one report is enough");
     let silent = started_entry();
     assert_eq!(
-        silent.doubts(START + Millis(20_000)),
+        silent.peer_query_interval(START + Millis(20_000)),
         None,
         "peers that are gone are not asked for ever"
     );
@@ -255,7 +259,7 @@
 /// cannot know of it until the operator has written again.
 #[test]
 fn a_removed_key_is_refused_in_time_if_the_store_lost_its_removal_unread() {
-    let limit = common::direct_settings().proof_limit;
+    let limit = common::direct_settings().freshness_limit;
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let mut changes = common::desk_fleet(UPSTREAMS);
     changes[0] = FleetChange::Configured(keyed_document(1));
@@ -267,7 +271,7 @@
         let mut copy = common::desk_fleet(UPSTREAMS);
         copy[0] = FleetChange::Configured(keyed_document(1));
         let update = FleetUpdate { changes: copy, ..fleet_update(era, 1, true) };
-        reducer.reduce(restored_at, DirectEvent::Fleet(update, restored_at));
+        reducer.reduce(restored_at, DirectEvent::StoreAnswered(update, restored_at));
         apply_changes(&mut reducer, restored_at + Millis(1_000), era, Vec::new());
     }
     let just_before = confirmed_at + Millis(limit.0 - 1);
@@ -279,7 +283,7 @@
     assert_eq!(count_sends(&keyed_call(&mut reducer, confirmed_at + limit, 2)), 0);
     let rewritten = BACK + Millis(3_500);
     let released =
-        reducer.reduce(rewritten, DirectEvent::Fleet(fleet_update(2, 1, false), rewritten));
+        reducer.reduce(rewritten, DirectEvent::StoreAnswered(fleet_update(2, 1, false), rewritten));
     assert_eq!(count_sends(&released), 1, "held requests are served then");
     assert_eq!(count_sends(&keyed_call(&mut reducer, rewritten, 3)), 1);
 }
@@ -289,13 +293,13 @@
 #[test]
 fn a_cut_off_entry_keeps_serving_when_peers_report_a_newer_configuration() {
     let mut reducer = started_entry();
-    reducer.reduce(START + Millis(10), DirectEvent::GenerationHeard(Generation(1)));
+    reducer.reduce(START + Millis(10), DirectEvent::GenerationReceived(Generation(1)));
     let confirmed_at = START + Millis(20_000);
-    reducer.reduce(confirmed_at, DirectEvent::Fleet(FleetUpdate::default(), confirmed_at));
+    reducer.reduce(confirmed_at, DirectEvent::StoreAnswered(FleetUpdate::default(), confirmed_at));
     reducer.reduce(confirmed_at + Millis(1_500), DirectEvent::StoreFailed);
     let now = confirmed_at + Millis(2_000);
-    reducer.reduce(now, DirectEvent::GenerationHeard(Generation(9)));
+    reducer.reduce(now, DirectEvent::GenerationReceived(Generation(9)));
     assert_eq!(count_sends(&keyed_call(&mut reducer, now, 1)), 1);
-    let limit = confirmed_at + common::direct_settings().proof_limit;
+    let limit = confirmed_at + common::direct_settings().freshness_limit;
     assert_eq!(count_sends(&keyed_call(&mut reducer, limit, 2)), 0);
 }
