--- a/mustardrill_entry/src/direct/actor.rs
+++ b/mustardrill_entry/src/direct/actor.rs
@@ -176,33 +176,33 @@
                 DirectEffect::Withdraw(number) => {
                     self.send_command(number, RequestCommand::Withdraw)
                 }
-                DirectEffect::PassOn(number) => {
+                DirectEffect::ForwardFailure(number) => {
                     self.send_command(number, RequestCommand::ForwardFailure)
                 }
                 DirectEffect::Refuse(number, plan) => {
                     self.send_command(number, RequestCommand::Refuse(plan))
                 }
-                DirectEffect::TellAgents(model, version, machines) => {
+                DirectEffect::NotifyAgents(model, version, machines) => {
                     gossip::notify_agents(self.context.clone(), &model, version, machines);
                 }
-                DirectEffect::KeepQuarantine(digest, span) => {
+                DirectEffect::StoreQuarantine(digest, span) => {
                     quarantine_records::spawn(
                         self.context.clone(),
                         digest,
                         RecordChange::Keep(span),
                     );
                 }
-                DirectEffect::EndQuarantine(digest) => {
+                DirectEffect::RemoveQuarantine(digest) => {
                     quarantine_records::spawn(self.context.clone(), digest, RecordChange::End);
                 }
-                DirectEffect::Wake(at) => schedule_wake(now, at, actor.clone()),
+                DirectEffect::SetTimer(at) => schedule_wake(now, at, actor.clone()),
             }
         }
     }
 
     fn send_command(&self, number: RequestNumber, command: RequestCommand) {
         if let Some(task) = self.command_senders.get(&number) {
-            // A task that has ended has reported so, or is about to: `DirectEvent::Gone`.
+            // A task that has ended has reported so, or is about to: `DirectEvent::CallerGone`.
             let _ = task.send(command);
         }
     }
@@ -211,7 +211,7 @@
 fn schedule_wake(now: Moment, at: Moment, actor: ActorRef<DirectActor>) {
     tokio::spawn(async move {
         tokio::time::sleep(at.since(now).to_std()).await;
-        let _ = actor.tell(Event(DirectEvent::Woke)).await;
+        let _ = actor.tell(Event(DirectEvent::TimerFired)).await;
     });
 }
 
@@ -221,7 +221,7 @@
     async fn handle(&mut self, Event(event): Event, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
         let ended_request = match &event {
-            DirectEvent::Gone(number) => Some(*number),
+            DirectEvent::CallerGone(number) => Some(*number),
             _ => None,
         };
         self.reduce(event, &actor);
@@ -241,7 +241,7 @@
     ) {
         let actor = context.actor_ref().clone();
         self.command_senders.insert(request.number, task);
-        self.reduce(DirectEvent::Arrived(request), &actor);
+        self.reduce(DirectEvent::RequestArrived(request), &actor);
     }
 }
 
@@ -251,10 +251,10 @@
     async fn handle(&mut self, _: GossipQuery, _: &mut Context<Self, GossipReply>) -> GossipReply {
         GossipReply {
             peers: self.reducer.peers().to_vec(),
-            outstanding: self.reducer.outstanding(),
-            waiting: self.reducer.waiting(),
+            outstanding: self.reducer.outstanding_load(),
+            waiting: self.reducer.waiting_counts(),
             crash_reports: self.reducer.due_crash_reports(self.context.clock.now()),
-            query_interval: self.reducer.doubts(self.context.clock.now()),
+            query_interval: self.reducer.peer_query_interval(self.context.clock.now()),
         }
     }
 }
@@ -269,9 +269,9 @@
     ) -> AvailabilityReply {
         let document = self.reducer.document();
         AvailabilityReply {
-            availability_span: self.reducer.answer_span(),
+            availability_span: self.reducer.store_availability_span(),
             generation: document.map_or(Generation::default(), |document| document.generation),
-            announcements: self.reducer.namings(self.context.clock.now()),
+            announcements: self.reducer.announcements(self.context.clock.now()),
         }
     }
 }
@@ -292,7 +292,7 @@
     type Reply = FleetReply;
 
     async fn handle(&mut self, _: FleetQuery, _: &mut Context<Self, FleetReply>) -> FleetReply {
-        let mut update = self.reducer.fleet();
+        let mut update = self.reducer.fleet_snapshot();
         update.changes.push(FleetChange::Peer(own_record(&self.context.config)));
         FleetReply(update)
     }
@@ -333,14 +333,14 @@
         let Ok(StatusReply(status)) = actor.ask(StatusQuery).await else { return };
         let gauges = [
             ("generation", status.generation.map_or(0, |generation| generation.0)),
-            ("proof_age_ms", status.proof_age.map_or(0, |age| age.0)),
+            ("proof_age_ms", status.confirmed_ago.map_or(0, |age| age.0)),
             ("store_era", status.era.0),
             ("upstreams", status.upstreams as u64),
-            ("upstreams_lapsed", status.lapsed as u64),
+            ("upstreams_lapsed", status.expired as u64),
             ("requests_open", status.requests as u64),
             ("requests_waiting", status.waiting as u64),
             ("requests_quarantined", status.quarantined as u64),
-            ("requests_begun_late", status.begun_late),
+            ("requests_begun_late", status.started_late),
         ];
         for (name, value) in gauges {
             let _ = context.metrics.gauge(name, value);
@@ -387,7 +387,7 @@
     HttpServer::bind(config.peer_listen, Box::new(relay), halt.clone()).await?;
     watch::spawn(actor.clone(), context.clone());
     let (address, ready_address) = (caller_server.address, ready.address);
-    log::info!("start instance={} address={address} store={}", config.direct.own, config.store);
+    log::info!("start instance={} address={address} store={}", config.direct.own_id, config.store);
     Ok(DirectHandle { address, ready_address, context, caller_server, stop_callers })
 }
 
@@ -400,7 +400,7 @@
         self.context.is_draining.store(true, Ordering::Relaxed);
         log::info!(
             "stop instance={} linger={} grace={}",
-            config.direct.own,
+            config.direct.own_id,
             config.linger,
             config.grace
         );
@@ -412,7 +412,7 @@
             config.grace.0.saturating_sub(config.linger.0 + EXIT_MARGIN.0),
         );
         let drained = tokio::time::timeout(remaining.to_std(), self.caller_server.drained()).await;
-        log::info!("end instance={} drained={}", config.direct.own, drained.is_ok());
+        log::info!("end instance={} drained={}", config.direct.own_id, drained.is_ok());
         self.halt();
     }
 
--- a/mustardrill_entry/src/direct/attempt.rs
+++ b/mustardrill_entry/src/direct/attempt.rs
@@ -72,7 +72,7 @@
             () = parts.closed() => {}
         }
         // Sent for completed requests too: the actor then drops its state of the task.
-        let _ = self.actor.tell(Event(DirectEvent::Gone(self.number))).await;
+        let _ = self.actor.tell(Event(DirectEvent::CallerGone(self.number))).await;
     }
 
     async fn serve(&self, request: DirectRequest) {
@@ -85,7 +85,7 @@
                     let outcome = self.run_attempt(&plan, &mut progress, &mut commands).await;
                     let label = outcome_label(outcome);
                     let _ = self.context.metrics.count(&format!("attempts.{label}"), 1);
-                    let event = DirectEvent::Ended(self.number, outcome);
+                    let event = DirectEvent::AttemptEnded(self.number, outcome);
                     let _ = self.actor.tell(Event(event)).await;
                     if outcome == AttemptOutcome::Whole {
                         return;
@@ -143,7 +143,7 @@
         stage: &AttemptStage,
     ) -> AttemptOutcome {
         progress.splitter.drop_partial();
-        let runs_once = !plan.repeat.is_repeatable();
+        let runs_once = !plan.repeat_rule.is_repeatable();
         let pool = &self.context.pool;
         let now = self.context.clock.now();
         let Some(connection) = pool.take(now, &plan.upstream, plan.address, runs_once).await else {
@@ -154,7 +154,7 @@
             Ok(answer) => answer,
             Err(outcome) => return outcome,
         };
-        if plan.repeat.is_stream() && answer.response.status() == StatusCode::OK {
+        if plan.repeat_rule.is_stream() && answer.response.status() == StatusCode::OK {
             return self.forward_stream(plan, answer, progress).await;
         }
         if progress.has_started {
@@ -181,9 +181,11 @@
         let request = request.map(|()| Full::new(self.body.clone()));
         let reused = connection.is_reused();
         let sent_at = self.context.clock.now();
-        let response =
-            tokio::time::timeout(plan.silence.to_std(), connection.send(request, plan.begin_by))
-                .await;
+        let response = tokio::time::timeout(
+            plan.silence_timeout.to_std(),
+            connection.send(request, plan.start_by),
+        )
+        .await;
         stage.is_wait_over.store(true, Ordering::Relaxed);
         let response = match response {
             Ok(Ok(response)) => response,
@@ -202,7 +204,7 @@
                     "request={} instance={} outcome=silent after={}",
                     self.caller_request_id,
                     plan.upstream,
-                    plan.silence
+                    plan.silence_timeout
                 );
                 return Err(lost);
             }
@@ -233,7 +235,7 @@
     }
 
     async fn report_answer_start(&self, load: Option<LoadReport>, version: Option<WeightVersion>) {
-        let event = DirectEvent::Answering(self.number, load, version);
+        let event = DirectEvent::AnswerStarted(self.number, load, version);
         let _ = self.actor.tell(Event(event)).await;
     }
 
@@ -260,7 +262,13 @@
     ) {
         if connection.wait_for_answer_end().await {
             let now = self.context.clock.now();
-            self.context.pool.put_back(now, &plan.upstream, connection, headers, plan.connections);
+            self.context.pool.put_back(
+                now,
+                &plan.upstream,
+                connection,
+                headers,
+                plan.connection_limit,
+            );
         }
     }
 
@@ -311,7 +319,7 @@
     ) -> AttemptOutcome {
         let (head, mut body) = answer.response.into_parts();
         loop {
-            let frame = tokio::time::timeout(plan.silence.to_std(), body.frame()).await;
+            let frame = tokio::time::timeout(plan.silence_timeout.to_std(), body.frame()).await;
             let Ok(frame) = frame else {
                 log::info!(
                     "request={} instance={} outcome=silent last={:?}",
--- a/mustardrill_entry/src/direct/availability.rs
+++ b/mustardrill_entry/src/direct/availability.rs
@@ -37,7 +37,7 @@
             return;
         }
         self.last_query_at = now;
-        let mut datagram = Datagram::new(&context.config.direct.own);
+        let mut datagram = Datagram::new(&context.config.direct.own_id);
         datagram.contact_ask = Some(now.0);
         let bytes = datagram.to_bytes();
         let first = rand::rng().random_range(0..peers.len());
@@ -57,7 +57,7 @@
 ) {
     let Ok(reply) = actor.ask(AvailabilityQuery).await else { return };
     let Some(span) = reply.availability_span else { return };
-    let mut datagram = Datagram::new(&context.config.direct.own);
+    let mut datagram = Datagram::new(&context.config.direct.own_id);
     let now = context.clock.now();
     let row = ContactRow::new(now, span, reply.generation, asked);
     datagram.contact = Some(row.with_namings(now, reply.announcements));
@@ -67,13 +67,13 @@
 /// Passes a peer's answer to the reducer; its ages only if it came without delay.
 pub(crate) async fn process_answer(actor: &ActorRef<DirectActor>, now: Moment, row: &ContactRow) {
     if let Some(span) = row.span(now) {
-        let _ = actor.tell(Event(DirectEvent::ContactHeard(span))).await;
+        let _ = actor.tell(Event(DirectEvent::AvailabilityReceived(span))).await;
     }
     let announcements = row.namings(now);
     if !announcements.is_empty() {
-        let _ = actor.tell(Event(DirectEvent::NamingsHeard(announcements))).await;
+        let _ = actor.tell(Event(DirectEvent::AnnouncementsReceived(announcements))).await;
     }
     // Generations only increase, so this one counts however long the answer took.
     let generation = Generation(row.generation);
-    let _ = actor.tell(Event(DirectEvent::GenerationHeard(generation))).await;
+    let _ = actor.tell(Event(DirectEvent::GenerationReceived(generation))).await;
 }
--- a/mustardrill_entry/src/direct/gossip.rs
+++ b/mustardrill_entry/src/direct/gossip.rs
@@ -50,7 +50,7 @@
     machines: Vec<IpAddr>,
 ) {
     let Some(port) = context.config.agent_port else { return };
-    let mut datagram = Datagram::new(&context.config.direct.own);
+    let mut datagram = Datagram::new(&context.config.direct.own_id);
     datagram.named = Some(VersionRow { model: model.to_string(), version: version.0 });
     tokio::spawn(async move {
         let bytes = datagram.to_bytes();
@@ -98,32 +98,32 @@
         return event_of(datagram).into_iter().collect();
     }
     let reports = datagram.crashes.iter().filter_map(|row| crash_word(now, row));
-    reports.map(DirectEvent::CrashHeard).collect()
+    reports.map(DirectEvent::CrashReportReceived).collect()
 }
 
 fn event_of(datagram: Datagram) -> Option<DirectEvent> {
     if let Some(engine) = datagram.engine {
-        return Some(DirectEvent::EngineHeard {
+        return Some(DirectEvent::EngineNoticeReceived {
             address: engine.address.parse::<SocketAddr>().ok()?,
             model: engine.model.parse().ok()?,
-            word: engine.word(),
+            notice: engine.word(),
         });
     }
     let loads = datagram.loads.into_iter();
     let rows = loads.filter_map(|row| Some((row.upstream.parse().ok()?, load_of(&row))));
     let waiting = datagram.waiting.into_iter();
     let waiting = waiting.filter_map(|row| Some((row.service.parse().ok()?, row.count)));
-    let news = LoadUpdate {
+    let update = LoadUpdate {
         rows: rows.collect(),
         is_snapshot: !datagram.partial,
         waiting: waiting.collect(),
     };
-    let load = PeerLoad { from: datagram.from.parse().ok()?, news };
-    Some(DirectEvent::PeerHeard(load))
+    let load = PeerLoad { from: datagram.from.parse().ok()?, update };
+    Some(DirectEvent::PeerLoadReceived(load))
 }
 
 fn load_of(row: &LoadRow) -> UpstreamLoad {
-    UpstreamLoad { requests: row.outstanding, reading: Millis(u64::from(row.reading_ms)) }
+    UpstreamLoad { requests: row.outstanding, pending_prefill: Millis(u64::from(row.reading_ms)) }
 }
 
 async fn broadcast(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
@@ -137,7 +137,7 @@
         }
         let now = context.clock.now();
         for reports in reply.crash_reports.chunks(CRASH_ROWS_PER_DATAGRAM) {
-            let mut datagram = Datagram::new(&context.config.direct.own);
+            let mut datagram = Datagram::new(&context.config.direct.own_id);
             datagram.crashes = reports.iter().map(|report| crash_message(now, report)).collect();
             send_to_all(&context, &reply.peers, &datagram.to_bytes()).await;
         }
@@ -157,12 +157,12 @@
 }
 
 fn load_datagram(context: &DirectContext, update: &LoadUpdate) -> Datagram {
-    let mut datagram = Datagram::new(&context.config.direct.own);
+    let mut datagram = Datagram::new(&context.config.direct.own_id);
     datagram.partial = !update.is_snapshot;
     let rows = update.rows.iter().map(|(id, load)| LoadRow {
         upstream: id.to_string(),
         outstanding: load.requests,
-        reading_ms: load.reading.0 as u32,
+        reading_ms: load.pending_prefill.0 as u32,
     });
     datagram.loads = rows.collect();
     let waiting = update.waiting.iter();
--- a/mustardrill_entry/src/direct/relay.rs
+++ b/mustardrill_entry/src/direct/relay.rs
@@ -201,7 +201,7 @@
         let seeders =
             if from_origin { Vec::new() } else { self.seeders(key, &origin, reply.peers) };
         for relay in seeders {
-            is_seeder = relay.id == self.context.config.direct.own;
+            is_seeder = relay.id == self.context.config.direct.own_id;
             if is_seeder {
                 break;
             }
--- a/mustardrill_entry/src/direct/watch.rs
+++ b/mustardrill_entry/src/direct/watch.rs
@@ -55,7 +55,7 @@
     loop {
         let sent_at = context.clock.now();
         let timing =
-            reader.next_watch(sent_at, context.config.watch, context.config.direct.lapse_grace);
+            reader.next_watch(sent_at, context.config.watch, context.config.direct.expiry_grace);
         match read_store(&context, reader.revision(), timing).await {
             Ok(update) => {
                 backoff.answered();
@@ -69,7 +69,9 @@
                     store_recovered.notify_one();
                 }
                 let next = coalescer.next_read(now, &update);
-                let _ = actor.tell(Event(DirectEvent::Fleet(update, outcome.confirmed_at))).await;
+                let _ = actor
+                    .tell(Event(DirectEvent::StoreAnswered(update, outcome.confirmed_at)))
+                    .await;
                 tokio::time::sleep(next.pause.to_std()).await;
                 if next.is_snapshot {
                     reader.reset();
@@ -111,7 +113,7 @@
 /// The record under which peers and agents know this entry.
 pub(crate) fn own_record(config: &DirectConfig) -> PeerRecord {
     PeerRecord {
-        id: config.direct.own.clone(),
+        id: config.direct.own_id.clone(),
         address: config.peer_listen,
         data_centre: config.direct.data_centre.clone(),
         link_mbps: config.link_mbps as u32,
