--- a/mustardrill_entry/src/actor.rs
+++ b/mustardrill_entry/src/actor.rs
@@ -29,7 +29,7 @@
 use crate::status::FleetStatus;
 use crate::watch;
 
-/// A running entry.
+/// Handle of a running entry: its bound addresses, and the means to stop it.
 #[derive(Debug)]
 pub struct EntryHandle {
     /// Address at which callers are served, with the port that was bound.
--- a/mustardrill_entry/src/config.rs
+++ b/mustardrill_entry/src/config.rs
@@ -98,7 +98,8 @@
     }
 }
 
-/// Reads and checks all settings.
+/// Reads and checks all settings. The outcome holds the settings or every fault found, and
+/// warnings.
 pub fn read(mut reader: SettingsReader) -> SettingsOutcome<EntryConfig> {
     let platform = PlatformConfig::read(&mut reader);
     let config = EntryConfig {
--- a/mustardrill_entry/src/direct/actor.rs
+++ b/mustardrill_entry/src/direct/actor.rs
@@ -40,7 +40,7 @@
     pub origin: Box<dyn ChunkOrigin>,
 }
 
-/// A running entry.
+/// Handle of a running entry: its bound addresses, and the means to stop it.
 #[derive(Debug)]
 pub struct DirectHandle {
     /// Address at which callers are served, with the port that was bound.
@@ -108,7 +108,6 @@
 /// Asks for the peer entries and what is to be broadcast to them.
 pub(crate) struct GossipQuery;
 
-/// The answer to `GossipQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct GossipReply {
     pub(crate) peers: Vec<PeerRecord>,
@@ -123,7 +122,6 @@
 /// announced.
 pub(crate) struct AvailabilityQuery;
 
-/// The answer to `AvailabilityQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct AvailabilityReply {
     pub(crate) availability_span: Option<AvailabilitySpan>,
@@ -134,7 +132,6 @@
 /// Asks for what the relay of weights needs.
 pub(crate) struct RelayQuery;
 
-/// The answer to `RelayQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct RelayReply {
     pub(crate) peers: Vec<PeerRecord>,
@@ -144,7 +141,6 @@
 /// Asks for the state of the fleet, for agents that are starting.
 pub(crate) struct FleetQuery;
 
-/// The answer to `FleetQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct FleetReply(pub(crate) FleetUpdate);
 
@@ -154,14 +150,12 @@
 /// Asks for the limits on callers' requests.
 pub(crate) struct LimitsQuery;
 
-/// The answer to `LimitsQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct LimitsReply(pub(crate) CallerLimits);
 
 /// Asks for the figures that the gauges show.
 pub(crate) struct StatusQuery;
 
-/// The answer to `StatusQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct StatusReply(pub(crate) StatusRow);
 
--- a/mustardrill_entry/src/direct/config.rs
+++ b/mustardrill_entry/src/direct/config.rs
@@ -58,7 +58,8 @@
 /// unavailable.
 const SURVIVED_HEARTBEATS: u64 = 2;
 
-/// Reads and checks all settings.
+/// Reads and checks all settings. The outcome holds the settings or every fault found, and
+/// warnings.
 pub fn read(mut reader: SettingsReader) -> SettingsOutcome<DirectConfig> {
     // Its value was read before, to choose this kind of settings; this marks the key as known.
     let _: Option<PlatformKind> = reader.optional("entry", "platform");
--- a/mustardrill_entry/src/direct/connections.rs
+++ b/mustardrill_entry/src/direct/connections.rs
@@ -41,7 +41,7 @@
 /// upstream closes the connection while such a request is under way, its outcome is unknown.
 const MAX_IDLE_TIME_RUNS_ONCE: Millis = Millis(500);
 
-/// A connection to an upstream.
+/// An open connection to an upstream, with the gate that bounds its writes in time.
 #[derive(Debug)]
 pub(crate) struct UpstreamConnection {
     sender: http1::SendRequest<Full<Bytes>>,
