--- a/mustardrill_core/src/catalogue.rs
+++ b/mustardrill_core/src/catalogue.rs
@@ -1,4 +1,5 @@
-//! The operator's file: catalogue entries as INI, read into drafts and written from a document.
+//! The operator's file format: catalogue entries as INI sections, parsed into drafts and written from
+//! a catalogue document.
 
 use std::fmt::Write;
 use std::str::FromStr;
@@ -9,7 +10,7 @@
 use crate::ini_file::{IniFile, IniKey, IniSection, suggestion};
 use crate::rule::{EditRefusal, EditRule};
 
-/// The keys of an entry, in the order in which they are written.
+/// Every key of an entry, in the order in which they are written.
 const KEYS: [&str; 9] = [
     "revision",
     "service",
@@ -22,43 +23,45 @@
     "replicas",
 ];
 
-/// The keys that only a model has.
-const WEIGHT_KEYS: [&str; 2] = ["version", "replicas"];
+/// The keys that models have and plain entries do not.
+const MODEL_KEYS: [&str; 2] = ["version", "replicas"];
 
-/// The words that begin a section's header.
-const KINDS: [&str; 3] = ["model", "plain", "remove"];
+/// The first word of a section header: `[KIND NAME]`.
+const SECTION_KINDS: [&str; 3] = ["model", "plain", "remove"];
 
-/// One section of the operator's file.
+/// A valid section of the operator's file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryDraft {
-    /// The entry.
+    /// The name of the entry to change.
     pub name: ModelName,
-    /// The header's line.
+    /// The line of the section header, from one.
     pub line: usize,
-    /// The revision the edit was made from.
+    /// The revision that the operator edited; `None` if the section does not give one.
     pub base: Option<Generation>,
-    /// What the entry is to say; nothing where it is to be removed.
+    /// The requested values; `None` to remove the entry.
     pub content: Option<DraftContent>,
 }
 
-/// What a drafted entry is to say.
+/// The values requested for an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DraftContent {
-    /// The service whose upstreams serve it.
+    /// The service whose upstreams serve the entry.
     pub service: ServiceName,
-    /// The operator who may edit it.
+    /// The only operator who may edit the entry.
     pub owner: Box<str>,
-    /// Which requests go first.
+    /// The priority class of requests for the entry.
     pub class: RequestClass,
-    /// Who may call it.
+    /// The customers who may call the entry.
     pub callers: CallerSet,
-    /// The limits of each customer.
+    /// The limits that apply to each customer separately.
     pub limits: CustomerLimits,
-    /// Version and replicas, for a model.
+    /// Version and number of replicas for a model; `None` for a plain service.
     pub weights: Option<(VersionName, u32)>,
 }
 
-/// Reads the operator's file; all that is wrong with it is returned together.
+/// Parses an operator's file; `file` is its name for messages.
+///
+/// On an error every problem found in the file is returned, not just the first.
 pub fn read_drafts(file: &str, text: &str) -> Result<Vec<EntryDraft>, Vec<EditRefusal>> {
     let parsed = IniFile::read(file, text).map_err(|error| {
         vec![EditRefusal::new(file, error.line(), EditRule::UnreadableFile, error.to_string())]
@@ -67,7 +70,7 @@
     let mut drafts: Vec<EntryDraft> = Vec::new();
     for section in &parsed.sections {
         let mut reader = SectionReader { section, refusals: &mut refusals };
-        let Some(draft) = reader.read() else { continue };
+        let Some(draft) = reader.read_draft() else { continue };
         if drafts.iter().any(|other| other.name == draft.name) {
             reader.refuse(section.line, EditRule::DuplicateEntry, "stands twice in the file");
             continue;
@@ -80,7 +83,7 @@
     if refusals.is_empty() { Ok(drafts) } else { Err(refusals) }
 }
 
-/// Writes the entries of a document as an operator's file.
+/// Formats the entries of a document as an operator's file, with the generation in a comment.
 pub fn write_document(document: &CatalogueDocument) -> String {
     let mut text = format!("; generation {}\n", document.generation);
     for (name, entry) in &document.entries {
@@ -90,7 +93,7 @@
     text
 }
 
-/// Writes one entry as a section of an operator's file.
+/// Formats one entry as a section that [`read_drafts`] accepts.
 pub fn write_entry(name: &ModelName, entry: &CatalogueEntry) -> String {
     let kind = if entry.weights.is_some() { "model" } else { "plain" };
     let mut text = format!("[{kind} {name}]\n");
@@ -101,7 +104,7 @@
     line("service", &entry.service);
     line("owner", &entry.owner);
     line("class", &entry.class);
-    line("callers", &write_callers(&entry.callers));
+    line("callers", &format_callers(&entry.callers));
     line("requests_per_second", &entry.limits.requests_per_second);
     line("in_flight", &entry.limits.in_flight);
     if let Some(weights) = &entry.weights {
@@ -111,7 +114,7 @@
     text
 }
 
-fn write_callers(callers: &CallerSet) -> String {
+fn format_callers(callers: &CallerSet) -> String {
     match callers {
         CallerSet::All => "all".into(),
         CallerSet::Only(names) if names.is_empty() => "none".into(),
@@ -127,23 +130,23 @@
 }
 
 impl SectionReader<'_> {
-    fn read(&mut self) -> Option<EntryDraft> {
-        let before = self.refusals.len();
-        let (kind, name) = self.header()?;
+    fn read_draft(&mut self) -> Option<EntryDraft> {
+        let refusals_before = self.refusals.len();
+        let (kind, name) = self.read_header()?;
         self.check_keys(kind);
-        let base = self.number::<u64>("revision", false).map(Generation);
-        let content = if kind == "remove" { None } else { self.content(kind == "model") };
-        if self.refusals.len() > before {
+        let base = self.read_number::<u64>("revision", false).map(Generation);
+        let content = if kind == "remove" { None } else { self.read_content(kind == "model") };
+        if self.refusals.len() > refusals_before {
             return None;
         }
         Some(EntryDraft { name, line: self.section.line, base, content })
     }
 
-    fn header(&mut self) -> Option<(&'static str, ModelName)> {
+    fn read_header(&mut self) -> Option<(&'static str, ModelName)> {
         let title = self.section.name.clone();
         let (word, rest) = title.split_once(' ').unwrap_or((&title, ""));
-        let Some(kind) = KINDS.into_iter().find(|kind| *kind == word) else {
-            let near = suggestion(word, KINDS);
+        let Some(kind) = SECTION_KINDS.into_iter().find(|kind| *kind == word) else {
+            let near = suggestion(word, SECTION_KINDS);
             let message = format!("[{title}] is not a kind of entry{near}");
             self.refuse(self.section.line, EditRule::UnknownSection, message);
             return None;
@@ -167,7 +170,7 @@
             if !KEYS.contains(&name) {
                 let message = format!("no key {name}{}", suggestion(name, KEYS));
                 self.refuse(key.line, EditRule::UnknownKey, message);
-            } else if kind == "plain" && WEIGHT_KEYS.contains(&name) {
+            } else if kind == "plain" && MODEL_KEYS.contains(&name) {
                 let message = format!("{name} in a plain entry");
                 self.refuse(key.line, EditRule::WeightsOnPlain, message);
             } else if kind == "remove" && name != "revision" {
@@ -177,16 +180,16 @@
         }
     }
 
-    fn content(&mut self, is_model: bool) -> Option<DraftContent> {
-        let service = self.name::<ServiceName>("service");
-        let owner = self.required("owner").map(|key| key.value.clone());
-        let class = self.class();
-        let callers = self.callers();
-        let requests_per_second = self.number("requests_per_second", true);
-        let in_flight = self.number("in_flight", true);
+    fn read_content(&mut self, is_model: bool) -> Option<DraftContent> {
+        let service = self.read_name::<ServiceName>("service");
+        let owner = self.require_key("owner").map(|key| key.value.clone());
+        let class = self.read_class();
+        let callers = self.read_callers();
+        let requests_per_second = self.read_number("requests_per_second", true);
+        let in_flight = self.read_number("in_flight", true);
         let weights = if is_model {
-            let version = self.name::<VersionName>("version");
-            let replicas = self.number("replicas", true);
+            let version = self.read_name::<VersionName>("version");
+            let replicas = self.read_number("replicas", true);
             Some((version?, replicas?))
         } else {
             None
@@ -197,8 +200,8 @@
         Some(DraftContent { service, owner, class, callers, limits, weights })
     }
 
-    fn class(&mut self) -> Option<RequestClass> {
-        let key = self.required("class")?.clone();
+    fn read_class(&mut self) -> Option<RequestClass> {
+        let key = self.require_key("class")?.clone();
         let class = key.value.parse().ok();
         if class.is_none() {
             let known = ["urgent", "standard", "background"];
@@ -208,8 +211,8 @@
         class
     }
 
-    fn callers(&mut self) -> Option<CallerSet> {
-        let key = self.required("callers")?.clone();
+    fn read_callers(&mut self) -> Option<CallerSet> {
+        let key = self.require_key("callers")?.clone();
         match &*key.value {
             "all" => return Some(CallerSet::All),
             "none" => return Some(CallerSet::Only(Vec::new())),
@@ -234,8 +237,8 @@
         Some(CallerSet::Only(names))
     }
 
-    fn name<T: FromStr<Err: std::fmt::Display>>(&mut self, key: &str) -> Option<T> {
-        let key = self.required(key)?.clone();
+    fn read_name<T: FromStr<Err: std::fmt::Display>>(&mut self, key: &str) -> Option<T> {
+        let key = self.require_key(key)?.clone();
         match key.value.parse() {
             Ok(name) => Some(name),
             Err(error) => {
@@ -246,8 +249,9 @@
         }
     }
 
-    fn number<T: FromStr>(&mut self, name: &str, required: bool) -> Option<T> {
-        let key = if required { self.required(name) } else { self.section.key(name) }?.clone();
+    fn read_number<T: FromStr>(&mut self, name: &str, is_required: bool) -> Option<T> {
+        let key =
+            if is_required { self.require_key(name) } else { self.section.key(name) }?.clone();
         let number = key.value.parse().ok();
         if number.is_none() {
             let message = format!("{name} = {} is not a whole number", key.value);
@@ -256,7 +260,7 @@
         number
     }
 
-    fn required(&mut self, name: &str) -> Option<&IniKey> {
+    fn require_key(&mut self, name: &str) -> Option<&IniKey> {
         if self.section.key(name).is_none() {
             let message = format!("{name} is missing");
             self.refuse(self.section.line, EditRule::MissingKey, message);
--- a/mustardrill_core/src/check.rs
+++ b/mustardrill_core/src/check.rs
@@ -1,4 +1,5 @@
-//! The checks of one drafted entry: its people, limits and weights, and what may not change.
+//! Validates one drafted entry: the names that it refers to, its limits and weights, and the values
+//! that an edit may not change.
 
 use mustardrill_types::{CustomerName, ManifestDigest, ModelName, ServiceName, VersionName};
 
@@ -8,14 +9,15 @@
 use crate::ini_file::suggestion;
 use crate::rule::{EditRefusal, EditRule};
 
-/// The highest requests a second of one customer that an edit may ask for.
-const RATE_CEILING: u32 = 100_000;
+/// Highest `requests_per_second` per customer that an edit may set.
+const MAX_REQUESTS_PER_SECOND: u32 = 100_000;
 
-/// The highest number of requests in progress of one customer that an edit may ask for.
-const IN_FLIGHT_CEILING: u32 = 10_000;
+/// Highest `in_flight` per customer that an edit may set.
+const MAX_IN_FLIGHT: u32 = 10_000;
 
 impl Editor<'_> {
-    pub(crate) fn check_people(
+    /// Checks owner, callers and service against the settings and the fleet.
+    pub(crate) fn check_references(
         &self,
         draft: &EntryDraft,
         content: &DraftContent,
@@ -66,7 +68,8 @@
             let message = format!("in_flight = {}, in use now: {in_use}", limits.in_flight);
             refusals.push(refuse(EditRule::LimitBelowUse, message));
         }
-        if limits.requests_per_second > RATE_CEILING || limits.in_flight > IN_FLIGHT_CEILING {
+        if limits.requests_per_second > MAX_REQUESTS_PER_SECOND || limits.in_flight > MAX_IN_FLIGHT
+        {
             let (rate, flight) = (limits.requests_per_second, limits.in_flight);
             let message = format!("requests_per_second = {rate}, in_flight = {flight}");
             refusals.push(refuse(EditRule::LimitTooHigh, message));
@@ -74,7 +77,9 @@
         refusals
     }
 
-    pub(crate) fn weights_of(
+    /// Pins the drafted version to a manifest digest; returns `None` for a plain entry and where the
+    /// origin does not have the version.
+    pub(crate) fn resolve_weights(
         &self,
         draft: &EntryDraft,
         content: &DraftContent,
@@ -98,7 +103,7 @@
         let kept = kept.filter(|weights| weights.version == *version);
         let fact = self.facts.versions.get(&(draft.name.clone(), version.clone()));
         let manifest = match (kept, fact) {
-            // A version in force keeps its pinned bytes, whatever the origin shows now.
+            // An unchanged version keeps its pinned digest, even if the origin now has another.
             (Some(weights), _) => weights.manifest,
             (None, None) => {
                 let message = format!("the origin has no version {version} of {}", draft.name);
@@ -111,7 +116,7 @@
                     let message = format!("{version} has {}, an agent stages {limit}", fact.size);
                     refuse(EditRule::VersionTooLarge, message);
                 }
-                if let Some(pinned) = self.pinned_before(&draft.name, version)
+                if let Some(pinned) = self.find_pinned_digest(&draft.name, version)
                     && pinned != fact.manifest
                 {
                     let message = format!("{version} stood for other bytes ({})", pinned.short());
@@ -123,8 +128,12 @@
         Some(ModelWeights { version: version.clone(), manifest, replicas: *replicas })
     }
 
-    /// The digest that a version's name was pinned to by any remembered edit.
-    fn pinned_before(&self, name: &ModelName, version: &VersionName) -> Option<ManifestDigest> {
+    /// The digest to which an edit still in the history pinned this version name, if any.
+    fn find_pinned_digest(
+        &self,
+        name: &ModelName,
+        version: &VersionName,
+    ) -> Option<ManifestDigest> {
         let changes = self.document.edits.iter().flat_map(|record| &record.changes);
         changes
             .filter(|change| change.name == *name)
@@ -135,8 +144,9 @@
     }
 }
 
-/// Checks what may not change between an entry and its successor.
-pub(crate) fn check_kept(
+/// Refuses changes that one edit may not make to an existing entry: owner and limits together, model
+/// to plain or back, and the service while customers may call the entry.
+pub(crate) fn check_immutable_fields(
     draft: &EntryDraft,
     content: &DraftContent,
     current: &CatalogueEntry,
--- a/mustardrill_core/src/document.rs
+++ b/mustardrill_core/src/document.rs
@@ -1,4 +1,4 @@
-//! The catalogue as it is kept in the platform's key-value service: one document, one key.
+//! The catalogue as stored in the platform's key-value service: one JSON document under one key.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -9,80 +9,82 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// How many edits the document remembers, for settling, history and undo.
-pub const HISTORY_LIMIT: usize = 64;
+/// Maximum number of edit records kept in the document, for the history, for undo and for finding out
+/// whether an edit was applied.
+pub const MAX_EDIT_RECORDS: usize = 64;
 
-/// The whole catalogue at one generation.
+/// The complete catalogue at one generation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogueDocument {
-    /// The number of this state.
+    /// Increases by one with each accepted edit.
     pub generation: Generation,
-    /// The entries by the name callers use.
+    /// The entries, keyed by the name that callers use.
     pub entries: BTreeMap<ModelName, CatalogueEntry>,
-    /// The last edits, oldest first.
+    /// The latest edits, oldest first; at most [`MAX_EDIT_RECORDS`].
     pub edits: Vec<EditRecord>,
 }
 
-/// What one name that callers use stands for.
+/// A model or plain service that callers address by one name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogueEntry {
-    /// The generation in which the entry last changed.
+    /// The generation in which the entry last changed. An edit of the entry states the revision that
+    /// it is based on, so that conflicting edits are detected.
     pub revision: Generation,
-    /// The service whose upstreams serve it.
+    /// The service whose upstreams serve the entry.
     pub service: ServiceName,
-    /// The operator who may edit it.
+    /// The only operator who may edit the entry.
     pub owner: Box<str>,
-    /// Which requests go first.
+    /// The priority class of requests for the entry.
     pub class: RequestClass,
-    /// Who may call it.
+    /// The customers who may call the entry.
     pub callers: CallerSet,
-    /// The limits of each customer.
+    /// The limits that apply to each customer separately.
     pub limits: CustomerLimits,
-    /// The weights, for a model; nothing for a plain service.
+    /// The weights of a model; `None` for a plain service.
     pub weights: Option<ModelWeights>,
 }
 
 /// The weights that a model's upstreams are to serve.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelWeights {
-    /// The version wanted.
+    /// The version that upstreams should load.
     pub version: VersionName,
-    /// The digest of its manifest, pinned when the edit was accepted.
+    /// The digest of the version's manifest, pinned when the edit was accepted.
     pub manifest: ManifestDigest,
-    /// How many instances are to serve it.
+    /// The number of instances that should serve the version.
     pub replicas: u32,
 }
 
-/// The limits of each customer on one entry.
+/// Limits on the requests of one customer for one entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CustomerLimits {
-    /// Requests a second.
+    /// Maximum rate of requests, per second; at least 1.
     pub requests_per_second: u32,
-    /// Requests in progress.
+    /// Maximum number of requests in progress at a time; at least 1.
     pub in_flight: u32,
 }
 
-/// Who may call an entry.
+/// The customers who may call an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallerSet {
-    /// Every known customer.
+    /// Every customer in the settings.
     All,
-    /// These customers.
+    /// Only these customers; nobody if the list is empty.
     Only(Vec<CustomerName>),
 }
 
-/// The class of a request; the first goes first.
+/// The priority class of a request, ordered from the highest priority to the lowest.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum RequestClass {
-    /// Hull surveys, dossiers due today.
+    /// Work due now, such as hull surveys and dossiers due today.
     #[display("urgent")]
     Urgent,
-    /// The usual.
+    /// Work without special priority.
     #[display("standard")]
     Standard,
-    /// Status pings and what else can wait.
+    /// Work that can wait, such as status pings.
     #[display("background")]
     Background,
 }
@@ -90,37 +92,37 @@
 /// One accepted edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditRecord {
-    /// The edit's id.
+    /// The id under which the operator submitted the edit.
     pub id: EditId,
-    /// The generation it made.
+    /// The generation that the edit created.
     pub generation: Generation,
-    /// Who made it.
+    /// The operator who submitted the edit.
     pub operator: Box<str>,
-    /// What it changed.
+    /// The changes, one for each changed entry.
     pub changes: Vec<EntryChange>,
 }
 
-/// How an edit changed one entry.
+/// The change that an edit made to one entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryChange {
-    /// The entry.
+    /// The name of the entry.
     pub name: ModelName,
-    /// The entry before; nothing where it is new.
+    /// The entry before the edit; `None` if the edit created it.
     pub before: Option<CatalogueEntry>,
-    /// The entry after; nothing where it was removed.
+    /// The entry after the edit; `None` if the edit removed it.
     pub after: Option<CatalogueEntry>,
 }
 
 impl RequestClass {
-    /// Every class, first served first.
+    /// Every class, highest priority first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Standard, Self::Background];
 
-    /// The place in the order, from zero.
+    /// The index in the order of priority; 0 is the highest.
     pub fn rank(self) -> usize {
         self as usize
     }
 
-    /// The class with this place; the last where there is none.
+    /// The class with this rank; [`Background`](Self::Background) if the rank is out of range.
     pub fn from_rank(rank: usize) -> Self {
         Self::ALL.get(rank).copied().unwrap_or(Self::Background)
     }
@@ -135,7 +137,7 @@
 }
 
 impl CallerSet {
-    /// Whether the customer may call.
+    /// Whether `customer` may call the entry.
     pub fn allows(&self, customer: &CustomerName) -> bool {
         match self {
             Self::All => true,
@@ -145,19 +147,19 @@
 }
 
 impl CatalogueEntry {
-    /// Whether the entry is the same but for the generation of its last change.
-    pub fn says_the_same(&self, other: &Self) -> bool {
+    /// Whether the entries are equal apart from their revisions.
+    pub fn equals_ignoring_revision(&self, other: &Self) -> bool {
         Self { revision: other.revision, ..self.clone() } == *other
     }
 }
 
 impl CatalogueDocument {
-    /// The document as it is kept.
+    /// Encodes the document as stored, in JSON.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a document is plain data")
     }
 
-    /// Reads what is kept; an empty value is the empty catalogue.
+    /// Decodes a stored value; an empty value is the empty catalogue.
     pub fn decode(bytes: &[u8]) -> Result<Self, serde_json::Error> {
         if bytes.is_empty() {
             return Ok(Self::default());
@@ -165,29 +167,30 @@
         serde_json::from_slice(bytes)
     }
 
-    /// The record of an edit, where it is among the last.
+    /// The record of the edit with this id, if the history still has it.
     pub fn edit(&self, id: EditId) -> Option<&EditRecord> {
         self.edits.iter().find(|record| record.id == id)
     }
 
-    /// The record of the edit that made a generation, where it is among the last.
-    pub fn edit_of(&self, generation: Generation) -> Option<&EditRecord> {
+    /// The record of the edit that created `generation`, if the history still has it.
+    pub fn edit_for_generation(&self, generation: Generation) -> Option<&EditRecord> {
         self.edits.iter().find(|record| record.generation == generation)
     }
 
-    /// What an entry said at a generation that changed it, where that is remembered.
+    /// The entry as of `revision`, the generation of one of its changes, if it is current or the
+    /// history still has it.
     pub fn entry_at(&self, name: &ModelName, revision: Generation) -> Option<&CatalogueEntry> {
         let current = self.entries.get(name).filter(|entry| entry.revision == revision);
         let changes = self.edits.iter().flat_map(|record| &record.changes);
-        let remembered = changes
+        let recorded = changes
             .filter(|change| change.name == *name)
             .flat_map(|change| [change.before.as_ref(), change.after.as_ref()])
             .flatten()
             .find(|entry| entry.revision == revision);
-        current.or(remembered)
+        current.or(recorded)
     }
 
-    /// Every version that a service's instances are to serve.
+    /// The models that the instances of `service` should serve, with their weights.
     pub fn weights_of<'a>(
         &'a self,
         service: &'a ServiceName,
--- a/mustardrill_core/src/edit.rs
+++ b/mustardrill_core/src/edit.rs
@@ -1,4 +1,7 @@
-//! Edits of the catalogue: checked, applied as one change, settled by id, undone as a new edit.
+//! Validates edits of the catalogue and applies each one atomically.
+//!
+//! An edit is identified by its id, so a retry of an accepted edit does not apply it again. An
+//! undo is itself a new edit that restores the entries as they were before an earlier one.
 
 use std::sync::Arc;
 
@@ -9,65 +12,66 @@
 };
 
 use crate::catalogue::{DraftContent, EntryDraft};
-use crate::check::check_kept;
+use crate::check::check_immutable_fields;
 use crate::document::{
-    CallerSet, CatalogueDocument, CatalogueEntry, EditRecord, EntryChange, HISTORY_LIMIT,
+    CallerSet, CatalogueDocument, CatalogueEntry, EditRecord, EntryChange, MAX_EDIT_RECORDS,
 };
 use crate::rule::{EditRefusal, EditRule};
 
-/// The largest document that the platform's service holds with room to spare, in bytes.
+/// Maximum size of the encoded document, in bytes. It leaves a margin below the largest value that
+/// the platform's key-value service stores.
 pub const DOCUMENT_LIMIT: usize = 900_000;
 
-/// One edit as an operator sends it.
+/// An edit as submitted by an operator.
 #[derive(Debug, Clone)]
 pub struct EditRequest {
-    /// The id, kept through every retry.
+    /// Identifies the edit; every retry sends the same id.
     pub id: EditId,
-    /// Who makes the edit.
+    /// The operator who submitted the edit; must own each entry that it changes.
     pub operator: Box<str>,
-    /// What is to change.
+    /// The requested change.
     pub change: EditChange,
 }
 
-/// What an edit is to change.
+/// The content of an edit.
 #[derive(Debug, Clone)]
 pub enum EditChange {
-    /// The sections of an operator's file.
+    /// The sections of an operator's file, in the order of the file.
     Drafts(Vec<EntryDraft>),
-    /// The reverse of an earlier edit.
+    /// Reverts the edit with this id, which must be among the last [`MAX_EDIT_RECORDS`] edits.
     Undo(EditId),
 }
 
-/// What the checking process knows of the fleet.
+/// The state of the fleet against which an edit is validated.
 #[derive(Debug, Clone, Default)]
 pub struct FleetFacts {
-    /// The customers of the settings.
+    /// The customers in the settings; `callers` may name only these.
     pub customers: FastSet<CustomerName>,
-    /// The operators of the settings.
+    /// The operators in the settings; `owner` may name only these.
     pub operators: FastSet<Box<str>>,
-    /// How many instances each service has.
+    /// The number of instances of each service; a service without instances is unknown.
     pub instances: FastMap<ServiceName, u32>,
-    /// What the origin has of the versions that the edit names.
+    /// The versions named by the edit that the origin has.
     pub versions: FastMap<(ModelName, VersionName), VersionFact>,
-    /// How much an agent can stage.
+    /// The largest version that an agent can stage.
     pub staging_limit: ByteSize,
-    /// The most requests that one customer has in progress on an entry.
+    /// For each entry, the highest number of requests that any single customer has in progress.
     pub in_use: FastMap<ModelName, u32>,
 }
 
-/// What the origin has of one version.
+/// Digest and size of one version at the origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionFact {
-    /// The digest of its manifest.
+    /// The digest of the manifest that the origin has now.
     pub manifest: ManifestDigest,
-    /// Its size.
+    /// The size of the weights.
     pub size: ByteSize,
 }
 
-/// Checks an edit against a document and returns the document after it.
+/// Validates an edit against `document` and returns the document that results from it.
 ///
-/// The result is to be written only where the key still holds the document that was given; a
-/// refusal is final, and nothing of the edit was or will be written.
+/// The caller must write the result with a compare-and-swap, only if the key still holds `document`.
+/// On an error nothing of the edit has been written and nothing of it will be.
 pub fn apply_edit(
     document: &CatalogueDocument,
     request: &EditRequest,
@@ -76,8 +80,8 @@
     let generation = Generation(document.generation.0 + 1);
     let editor = Editor { document, operator: &request.operator, facts, generation };
     let changes = match &request.change {
-        EditChange::Drafts(drafts) => editor.changes_of(drafts)?,
-        EditChange::Undo(id) => editor.reverse_of(*id)?,
+        EditChange::Drafts(drafts) => editor.build_changes(drafts)?,
+        EditChange::Undo(id) => editor.build_undo(*id)?,
     };
     let mut next = document.clone();
     next.generation = generation;
@@ -87,18 +91,19 @@
             None => next.entries.remove(&change.name),
         };
     }
-    editor.check_whole(&next, &changes, &request.change)?;
+    editor.check_service_capacity(&next, &changes, &request.change)?;
     let operator = request.operator.clone();
     next.edits.push(EditRecord { id: request.id, generation, operator, changes });
-    let excess = next.edits.len().saturating_sub(HISTORY_LIMIT);
+    let excess = next.edits.len().saturating_sub(MAX_EDIT_RECORDS);
     next.edits.drain(..excess);
     check_size(&mut next)?;
     Ok(next)
 }
 
-/// Puts `next` in force in the place of `current`, where it may follow; says whether it did.
+/// Replaces `current` by `next` if `next` is a newer, valid generation; returns whether it did.
 ///
-/// Every reader checks again what it is given, and keeps its last good generation.
+/// Every process that reads the catalogue repeats this check and keeps its last valid generation
+/// if it fails.
 pub fn adopt(current: &mut Arc<CatalogueDocument>, next: Arc<CatalogueDocument>) -> bool {
     if next.generation <= current.generation {
         return false;
@@ -112,28 +117,37 @@
     true
 }
 
-/// Checks that a document may follow the one in force; every reader does so before it applies.
+/// Checks that `next` is a valid successor of `current`, the document in force.
+///
+/// The error says why it is not, for the log.
 pub fn check_successor(
     current: &CatalogueDocument,
     next: &CatalogueDocument,
 ) -> Result<(), Box<str>> {
     if next.generation < current.generation {
         let (next, current) = (next.generation, current.generation);
-        return Err(format!("generation {next} is lower than {current}, which is in force").into());
+        return Err(format!("generation {next} is lower than generation {current} in force").into());
     }
     if next.generation == current.generation && next != current {
-        return Err(format!("two documents of generation {}", next.generation).into());
+        return Err(format!(
+            "a different document of generation {} is already in force",
+            next.generation
+        )
+        .into());
     }
-    let too_new = |entry: &&CatalogueEntry| entry.revision > next.generation;
-    if let Some(entry) = next.entries.values().find(too_new) {
+    let is_too_new = |entry: &&CatalogueEntry| entry.revision > next.generation;
+    if let Some(entry) = next.entries.values().find(is_too_new) {
         let (revision, generation) = (entry.revision, next.generation);
-        return Err(format!("an entry of revision {revision} in generation {generation}").into());
+        return Err(format!(
+            "an entry has revision {revision}, above its document's generation {generation}"
+        )
+        .into());
     }
-    let is_zero = |entry: &&CatalogueEntry| {
+    let has_zero_limit = |entry: &&CatalogueEntry| {
         entry.limits.in_flight == 0 || entry.limits.requests_per_second == 0
     };
-    if next.entries.values().any(|entry| is_zero(&entry)) {
-        return Err("an entry with a limit of zero".into());
+    if next.entries.values().any(|entry| has_zero_limit(&entry)) {
+        return Err("an entry has a limit of zero, at least 1 is required".into());
     }
     Ok(())
 }
@@ -146,11 +160,11 @@
 }
 
 impl Editor<'_> {
-    fn changes_of(&self, drafts: &[EntryDraft]) -> Result<Vec<EntryChange>, Vec<EditRefusal>> {
+    fn build_changes(&self, drafts: &[EntryDraft]) -> Result<Vec<EntryChange>, Vec<EditRefusal>> {
         let mut changes = Vec::new();
         let mut refusals = Vec::new();
         for draft in drafts {
-            match self.change_of(draft) {
+            match self.build_change(draft) {
                 Ok(change) => changes.extend(change),
                 Err(found) => refusals.extend(found),
             }
@@ -166,21 +180,21 @@
         Ok(changes)
     }
 
-    /// The change that a draft asks for; nothing where the operator left the entry as it was.
-    fn change_of(&self, draft: &EntryDraft) -> Result<Option<EntryChange>, Vec<EditRefusal>> {
+    /// Validates one draft; returns `None` if it leaves the entry as it was.
+    fn build_change(&self, draft: &EntryDraft) -> Result<Option<EntryChange>, Vec<EditRefusal>> {
         let current = self.document.entries.get(&draft.name);
         if self.is_untouched(draft, current) {
             return Ok(None);
         }
         self.check_base(draft, current).map_err(|refusal| vec![refusal])?;
         let Some(content) = &draft.content else {
-            return self.removal_of(draft, current).map(Some).map_err(|refusal| vec![refusal]);
+            return self.build_removal(draft, current).map(Some).map_err(|refusal| vec![refusal]);
         };
-        let mut refusals = self.check_people(draft, content, current);
+        let mut refusals = self.check_references(draft, content, current);
         refusals.extend(self.check_limits(draft, content));
-        let weights = self.weights_of(draft, content, current, &mut refusals);
+        let weights = self.resolve_weights(draft, content, current, &mut refusals);
         if let Some(current) = current {
-            refusals.extend(check_kept(draft, content, current));
+            refusals.extend(check_immutable_fields(draft, content, current));
         }
         if !refusals.is_empty() {
             return Err(refusals);
@@ -198,15 +212,17 @@
         Ok(Some(EntryChange { name, before: current.cloned(), after: Some(after) }))
     }
 
-    /// Whether the draft says just what its base said: such a section came along from
-    /// `catalogue show`, and others' later changes to it stay.
+    /// Whether the draft requests no change.
+    ///
+    /// A section that equals its base revision was copied unchanged from `catalogue show`, so
+    /// changes that others made to the entry since then are kept.
     fn is_untouched(&self, draft: &EntryDraft, current: Option<&CatalogueEntry>) -> bool {
         let Some(content) = &draft.content else { return false };
         let base = draft.base.and_then(|base| self.document.entry_at(&draft.name, base));
-        let says_base = base.is_some_and(|entry| content.matches(entry));
-        // What is in force already is no change either, whoever put it there.
-        let says_current = current.is_some_and(|entry| content.matches(entry));
-        says_base || (says_current && draft.base.is_some())
+        let matches_base = base.is_some_and(|entry| content.matches(entry));
+        // A section that equals the current entry is no change either, whoever made that edit.
+        let matches_current = current.is_some_and(|entry| content.matches(entry));
+        matches_base || (matches_current && draft.base.is_some())
     }
 
     fn check_base(
@@ -240,7 +256,7 @@
         }
     }
 
-    /// Names who changed the entry since the base and what.
+    /// Describes the conflict: who changed the entry since `base`, and which values.
     fn describe_race(
         &self,
         name: &ModelName,
@@ -262,7 +278,7 @@
         )
     }
 
-    fn removal_of(
+    fn build_removal(
         &self,
         draft: &EntryDraft,
         current: Option<&CatalogueEntry>,
@@ -281,9 +297,9 @@
         Ok(EntryChange { name, before: Some(entry.clone()), after: None })
     }
 
-    fn reverse_of(&self, id: EditId) -> Result<Vec<EntryChange>, Vec<EditRefusal>> {
+    fn build_undo(&self, id: EditId) -> Result<Vec<EntryChange>, Vec<EditRefusal>> {
         let Some(record) = self.document.edit(id) else {
-            let message = format!("edit {id} is not among the last {HISTORY_LIMIT}");
+            let message = format!("edit {id} is not among the last {MAX_EDIT_RECORDS}");
             return Err(vec![EditRefusal::new("undo", 0, EditRule::UndoUnknown, message)]);
         };
         let mut refusals = Vec::new();
@@ -301,39 +317,42 @@
                 let owner = owner.unwrap_or_default();
                 refuse(EditRule::NotOwner, format!("it belongs to {owner}"));
             }
-            let revived = |entry: &CatalogueEntry| CatalogueEntry {
+            let with_new_revision = |entry: &CatalogueEntry| CatalogueEntry {
                 revision: self.generation,
                 ..entry.clone()
             };
             changes.push(EntryChange {
                 name: change.name.clone(),
                 before: current.cloned(),
-                after: change.before.as_ref().map(revived),
+                after: change.before.as_ref().map(with_new_revision),
             });
         }
         if refusals.is_empty() { Ok(changes) } else { Err(refusals) }
     }
 
-    /// Checks what only the whole catalogue shows: the models of a service share its instances.
-    fn check_whole(
+    /// Checks that the models of each changed service do not need more instances than it has.
+    ///
+    /// This needs the complete new document because all models of a service share its instances.
+    fn check_service_capacity(
         &self,
         next: &CatalogueDocument,
         changes: &[EntryChange],
-        asked: &EditChange,
+        requested_change: &EditChange,
     ) -> Result<(), Vec<EditRefusal>> {
         let mut refusals = Vec::new();
         for change in changes {
             let Some(entry) = &change.after else { continue };
             let Some(instances) = self.facts.instances.get(&entry.service) else { continue };
-            let wanted: u32 =
+            let required_instances: u32 =
                 next.weights_of(&entry.service).map(|(_, weights)| weights.replicas).sum();
-            if entry.weights.is_some() && wanted > *instances {
+            if entry.weights.is_some() && required_instances > *instances {
                 let service = &entry.service;
-                let message = format!("{service} has {instances} instances, {wanted} are wanted");
+                let message =
+                    format!("{service} has {instances} instances, {required_instances} are wanted");
                 let rule = EditRule::ServiceOvercommitted;
                 refusals.push(EditRefusal::of(
                     &change.name,
-                    asked.line_of(&change.name),
+                    requested_change.line_of(&change.name),
                     rule,
                     message,
                 ));
@@ -344,7 +363,7 @@
 }
 
 impl EditChange {
-    /// The line of an entry in the operator's file; zero for an undo.
+    /// The line of the entry's header in the operator's file; zero for an undo.
     fn line_of(&self, name: &ModelName) -> usize {
         let Self::Drafts(drafts) = self else { return 0 };
         drafts.iter().find(|draft| draft.name == *name).map_or(0, |draft| draft.line)
@@ -352,7 +371,7 @@
 }
 
 impl DraftContent {
-    /// Whether the draft says just what the entry says.
+    /// Whether the draft has the same values as the entry, apart from revision and manifest digest.
     pub fn matches(&self, entry: &CatalogueEntry) -> bool {
         let weights = entry.weights.as_ref().map(|it| (it.version.clone(), it.replicas));
         self.service == entry.service
@@ -364,7 +383,8 @@
     }
 }
 
-/// Drops old edits until the document fits; refuses where the entries alone don't.
+/// Removes the oldest edit records, all but the newest, until the document is within
+/// [`DOCUMENT_LIMIT`]; refuses the edit if it still does not fit.
 fn check_size(document: &mut CatalogueDocument) -> Result<(), Vec<EditRefusal>> {
     let mut size = document.encode().len();
     while size > DOCUMENT_LIMIT && document.edits.len() > 1 {
@@ -378,7 +398,9 @@
     Ok(())
 }
 
-/// The values that differ between two states of an entry, as `key: old -> new`.
+/// Lists the values that differ between two states of an entry, each as `key: old -> new`.
+///
+/// The revision is left out, and so is a key that only `old` has.
 pub fn differences(old: &CatalogueEntry, new: &CatalogueEntry) -> Vec<String> {
     let name: ModelName = "entry".parse().expect("a valid name");
     let lines = |entry: &CatalogueEntry| -> Vec<String> {
--- a/mustardrill_core/src/ini_file.rs
+++ b/mustardrill_core/src/ini_file.rs
@@ -1,14 +1,15 @@
-//! An INI file read with the line of each section and key, so that errors can name them.
+//! Parses INI files and records the line of each section and key for error messages.
 
 use derive_more::{Display, Error};
 use ini::{Ini, ParseOption};
 
-/// The sections of one INI file, in the file's order.
+/// A parsed INI file.
 #[derive(Debug, Clone)]
 pub struct IniFile {
-    /// The file's name, for messages.
+    /// The file's name in error messages.
     pub name: Box<str>,
-    /// The sections; keys before the first header stand in one without a name.
+    /// The sections in the order of the file. Keys before the first header are in a section with an
+    /// empty name.
     pub sections: Vec<IniSection>,
 }
 
@@ -19,22 +20,22 @@
     pub name: Box<str>,
     /// The line of the header, from one.
     pub line: usize,
-    /// The keys, in the file's order.
+    /// The keys, in the order of the file.
     pub keys: Vec<IniKey>,
 }
 
-/// One key of a section.
+/// A key of a section with its value.
 #[derive(Debug, Clone)]
 pub struct IniKey {
-    /// The key.
+    /// The text before the separator.
     pub name: Box<str>,
-    /// The value, without blanks around it.
+    /// The value, trimmed of surrounding whitespace.
     pub value: Box<str>,
-    /// The line, from one.
+    /// The line of the key, from one.
     pub line: usize,
 }
 
-/// A file that does not read as INI.
+/// The error for a file that is not valid INI.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 #[display("{file}:{line}: not INI: {reason}; write [section] headers and key = value lines")]
 pub struct IniError {
@@ -44,14 +45,16 @@
 }
 
 impl IniError {
-    /// The line that does not read, from one.
+    /// The line that could not be parsed, from one.
     pub fn line(&self) -> usize {
         self.line
     }
 }
 
 impl IniFile {
-    /// Reads `text`; `name` is the file's name in messages.
+    /// Parses `text`; `name` is the file's name in error messages.
+    ///
+    /// Backslashes in values are not escapes.
     pub fn read(name: &str, text: &str) -> Result<Self, IniError> {
         let option = ParseOption { enabled_escape: false, ..ParseOption::default() };
         let parsed = Ini::load_from_str_opt(text, option).map_err(|error| IniError {
@@ -67,21 +70,22 @@
             }
             let title = title.unwrap_or("");
             if let Some((start, _)) = title.split_once('\n') {
-                // The library takes a header without its bracket for one of several lines.
+                // The parser accepts a header that spans lines, so one without its closing bracket
+                // shows up as a title with a line break.
                 let reason = format!("[{start} lacks its closing bracket").into();
                 return Err(IniError {
                     file: name.into(),
-                    line: finder.open_header(start),
+                    line: finder.find_unclosed_header(start),
                     reason,
                 });
             }
-            let line = finder.section(title);
+            let line = finder.find_section(title);
             let keys = properties
                 .iter()
                 .map(|(key, value)| IniKey {
                     name: key.into(),
                     value: value.trim().into(),
-                    line: finder.key(key),
+                    line: finder.find_key(key),
                 })
                 .collect();
             sections.push(IniSection { name: title.into(), line, keys });
@@ -91,74 +95,77 @@
 }
 
 impl IniSection {
-    /// The last key of this name.
+    /// The last key with this name.
     pub fn key(&self, name: &str) -> Option<&IniKey> {
         self.keys.iter().rev().find(|key| &*key.name == name)
     }
 
-    /// The first key that stands twice.
+    /// The first key that repeats the name of an earlier one.
     pub fn duplicate(&self) -> Option<&IniKey> {
-        self.keys.iter().enumerate().find_map(|(place, key)| {
-            self.keys[..place].iter().any(|other| other.name == key.name).then_some(key)
+        self.keys.iter().enumerate().find_map(|(index, key)| {
+            self.keys[..index].iter().any(|other| other.name == key.name).then_some(key)
         })
     }
 }
 
-/// The known name nearest to `name`, where one is near enough to be what was meant.
+/// The known name most similar to `name`, if one is similar enough to suggest.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    const NEAR_ENOUGH: f64 = 0.7;
+    // Jaro-Winkler similarity, from 0 (unlike) to 1 (equal).
+    const MIN_SIMILARITY: f64 = 0.7;
     known
         .into_iter()
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
-        .filter(|(likeness, _)| *likeness >= NEAR_ENOUGH)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, candidate)| candidate)
 }
 
-/// "did you mean …" for a message, or nothing.
+/// Returns "; did you mean …?" to append to a message, or an empty text if no known name is similar.
 pub fn suggestion<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Box<str> {
     nearest(name, known).map_or("".into(), |near| format!("; did you mean {near}?").into())
 }
 
-/// Finds the lines of headers and keys, which the library does not tell.
+/// Finds the line numbers of headers and keys, which the parser does not report.
 struct LineFinder<'a> {
     lines: Vec<&'a str>,
-    place: usize,
+    next_index: usize,
 }
 
 impl<'a> LineFinder<'a> {
     fn new(text: &'a str) -> Self {
-        Self { lines: text.lines().map(str::trim).collect(), place: 0 }
+        Self { lines: text.lines().map(str::trim).collect(), next_index: 0 }
     }
 
-    fn section(&mut self, title: &str) -> usize {
+    fn find_section(&mut self, title: &str) -> usize {
         if title.is_empty() {
             return 1;
         }
-        self.find(|line| {
+        self.find_line(|line| {
             let inner = line.strip_prefix('[').and_then(|rest| rest.split(']').next());
             inner.is_some_and(|inner| inner.trim() == title)
         })
     }
 
-    fn open_header(&mut self, start: &str) -> usize {
-        self.find(|line| line.strip_prefix('[').is_some_and(|rest| rest.starts_with(start)))
+    fn find_unclosed_header(&mut self, start: &str) -> usize {
+        self.find_line(|line| line.strip_prefix('[').is_some_and(|rest| rest.starts_with(start)))
     }
 
-    fn key(&mut self, key: &str) -> usize {
-        self.find(|line| {
+    fn find_key(&mut self, key: &str) -> usize {
+        self.find_line(|line| {
             let rest = line.strip_prefix(key).map(str::trim_start);
             rest.is_some_and(|rest| rest.starts_with(['=', ':']))
         })
     }
 
-    fn find(&mut self, matches: impl Fn(&str) -> bool) -> usize {
-        let found = self.lines[self.place..].iter().position(|line| matches(line));
-        // The library may hand out keys in another order than the file's; then look from the top.
-        let place = found.map(|offset| self.place + offset);
-        let place = place.or_else(|| self.lines.iter().position(|line| matches(line)));
-        let Some(place) = place else { return self.place + 1 };
-        self.place = place;
-        place + 1
+    /// Searches from the line after the last match; returns the line number, from one.
+    fn find_line(&mut self, matches: impl Fn(&str) -> bool) -> usize {
+        let found = self.lines[self.next_index..].iter().position(|line| matches(line));
+        // The parser may return keys in another order than the file's; if nothing matches from here
+        // on, search from the first line.
+        let index = found.map(|offset| self.next_index + offset);
+        let index = index.or_else(|| self.lines.iter().position(|line| matches(line)));
+        let Some(index) = index else { return self.next_index + 1 };
+        self.next_index = index;
+        index + 1
     }
 }
--- a/mustardrill_core/src/session.rs
+++ b/mustardrill_core/src/session.rs
@@ -1,8 +1,9 @@
-//! One edit on its way into the platform's service: read, check, write, settle.
+//! State machine that applies one edit to the catalogue in the platform's key-value service: read,
+//! validate, compare-and-swap, and determine the outcome.
 //!
-//! A write whose answer was lost may take effect as long as the key still has the revision that
-//! the write expected. So it is settled by reading on, and "refused" is said only when no write
-//! of this edit can take effect any more.
+//! A write whose response was lost may still take effect as long as the key has the revision that
+//! the write expected. The session therefore reads again to find out, and reports a refusal only
+//! when no write of this edit can take effect any more.
 
 use mustardrill_types::{Generation, Moment};
 
@@ -10,99 +11,106 @@
 use crate::edit::{EditRequest, FleetFacts, apply_edit};
 use crate::rule::EditRefusal;
 
-/// What became of an edit.
+/// The result of an edit, as reported to the operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EditOutcome {
-    /// It is written; this generation has it.
+    /// The edit was written and created this generation.
     Accepted(Generation),
-    /// It is not and will not be written.
+    /// The edit violates these rules; it was not written and will not be.
     Refused(Vec<EditRefusal>),
-    /// It is not and will not be written, for the platform's service did not answer.
+    /// The platform's service did not answer before the deadline; the edit was not written and will
+    /// not be.
     Unavailable,
-    /// A write was sent whose answer is lost; the edit's id settles it later.
+    /// The deadline passed after a write whose response was lost. Whether the catalogue's history
+    /// contains the edit's id tells the outcome later.
     NotYetKnown,
 }
 
-/// What came of a write.
+/// The result of a compare-and-swap write of the catalogue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteAnswer {
-    /// It took effect.
+    /// The write took effect.
     Written,
-    /// Another write came first; it took no effect.
+    /// The key had another revision, so the write took no effect.
     Conflict,
-    /// It was not sent.
+    /// The write was not sent and cannot take effect.
     NotSent,
-    /// Its answer was lost.
+    /// The response was lost; the write may have taken effect or may do so later.
     Unknown,
 }
 
-/// What an edit needs next.
+/// The next step that the caller must perform for the session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SessionStep {
-    /// Wait a little, then read the catalogue.
+    /// Read the catalogue, after a short pause on a retry.
     Read,
-    /// Write the document where the key still has this revision.
+    /// Write the document if the key still has the expected revision.
     Write {
-        /// The revision that must still be there.
+        /// The revision of the key that was read.
         expect: u64,
-        /// The new document.
+        /// The document with the edit applied.
         document: Box<CatalogueDocument>,
     },
-    /// It is over. The document is the one in force, where it was read or written.
+    /// The session has ended. An accepted edit comes with the document that contains it, as it was
+    /// read or written.
     Done(EditOutcome, Option<Box<CatalogueDocument>>),
 }
 
-/// The state of one edit on its way.
+/// The state of one edit that is being applied.
 #[derive(Debug)]
 pub struct EditSession {
     request: EditRequest,
     deadline: Moment,
-    /// The revision that a write without an answer expected.
+    /// The revision expected by a write whose response was lost and that may still take effect.
     open_write: Option<u64>,
-    writing: Option<(u64, Box<CatalogueDocument>)>,
+    /// The write in progress: the expected revision and the new document.
+    write_in_progress: Option<(u64, Box<CatalogueDocument>)>,
 }
 
 impl EditSession {
-    /// A session that gives up at `deadline`. It begins with a read.
+    /// Creates a session that stops retrying at `deadline`. Its first step is a read.
     pub fn new(request: EditRequest, deadline: Moment) -> Self {
-        Self { request, deadline, open_write: None, writing: None }
+        Self { request, deadline, open_write: None, write_in_progress: None }
     }
 
-    /// The edit.
+    /// The edit that the session applies.
     pub fn request(&self) -> &EditRequest {
         &self.request
     }
 
-    /// Takes what was read, with the facts for the check; nothing where the read failed.
+    /// Handles the result of a read: the document with the revision of its key, or `None` if the
+    /// read failed.
     pub fn read(
         &mut self,
         now: Moment,
         found: Option<(&CatalogueDocument, u64)>,
         facts: &FleetFacts,
     ) -> SessionStep {
-        let Some((document, revision)) = found else { return self.again(now) };
+        let Some((document, revision)) = found else { return self.retry_or_finish(now) };
         if let Some(record) = document.edit(self.request.id) {
             let outcome = EditOutcome::Accepted(record.generation);
             return SessionStep::Done(outcome, Some(Box::new(document.clone())));
         }
         if self.open_write.is_some_and(|expected| expected != revision) {
-            // Another write came first, so the open one can't take effect any more.
+            // The key has another revision now, so the unresolved write can no longer take effect.
             self.open_write = None;
         }
         match apply_edit(document, &self.request, facts) {
             Ok(next) => {
                 let document = Box::new(next);
-                self.writing = Some((revision, document.clone()));
+                self.write_in_progress = Some((revision, document.clone()));
                 SessionStep::Write { expect: revision, document }
             }
-            Err(_) if self.open_write.is_some() => self.again(now),
+            Err(_) if self.open_write.is_some() => self.retry_or_finish(now),
             Err(refusals) => SessionStep::Done(EditOutcome::Refused(refusals), None),
         }
     }
 
-    /// Takes the answer to the write.
+    /// Handles the result of the write requested by the last step.
     pub fn written(&mut self, now: Moment, answer: WriteAnswer) -> SessionStep {
-        let Some((expected, document)) = self.writing.take() else { return self.again(now) };
+        let Some((expected, document)) = self.write_in_progress.take() else {
+            return self.retry_or_finish(now);
+        };
         match answer {
             WriteAnswer::Written => {
                 let outcome = EditOutcome::Accepted(document.generation);
@@ -111,10 +119,11 @@
             WriteAnswer::Unknown => self.open_write = Some(expected),
             WriteAnswer::Conflict | WriteAnswer::NotSent => {}
         }
-        self.again(now)
+        self.retry_or_finish(now)
     }
 
-    fn again(&self, now: Moment) -> SessionStep {
+    /// Returns another read, or the final outcome once the deadline has passed.
+    fn retry_or_finish(&self, now: Moment) -> SessionStep {
         if now < self.deadline {
             return SessionStep::Read;
         }
