--- a/mustardrill_core/src/catalogue.rs
+++ b/mustardrill_core/src/catalogue.rs
@@ -1,5 +1,5 @@
-//! The operator's file format: catalogue entries as INI sections, parsed into drafts and written from
-//! a catalogue document.
+//! The operator's file format: catalogue entries as INI sections, parsed into drafts and written
+//! from a catalogue document.
 
 use std::fmt::Write;
 use std::str::FromStr;
--- a/mustardrill_core/src/check.rs
+++ b/mustardrill_core/src/check.rs
@@ -77,8 +77,8 @@
         refusals
     }
 
-    /// Pins the drafted version to a manifest digest; returns `None` for a plain entry and where the
-    /// origin does not have the version.
+    /// Pins the drafted version to a manifest digest; returns `None` for a plain entry and where
+    /// the origin does not have the version.
     pub(crate) fn resolve_weights(
         &self,
         draft: &EntryDraft,
@@ -144,8 +144,8 @@
     }
 }
 
-/// Refuses changes that one edit may not make to an existing entry: owner and limits together, model
-/// to plain or back, and the service while customers may call the entry.
+/// Refuses changes that one edit may not make to an existing entry: owner and limits together,
+/// model to plain or back, and the service while customers may call the entry.
 pub(crate) fn check_immutable_fields(
     draft: &EntryDraft,
     content: &DraftContent,
--- a/mustardrill_core/src/document.rs
+++ b/mustardrill_core/src/document.rs
@@ -9,8 +9,8 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of edit records kept in the document, for the history, for undo and for finding out
-/// whether an edit was applied.
+/// Maximum number of edit records kept in the document, for the history, for undo and for finding
+/// out whether an edit was applied.
 pub const MAX_EDIT_RECORDS: usize = 64;
 
 /// The complete catalogue at one generation.
@@ -27,8 +27,8 @@
 /// A model or plain service that callers address by one name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogueEntry {
-    /// The generation in which the entry last changed. An edit of the entry states the revision that
-    /// it is based on, so that conflicting edits are detected.
+    /// The generation in which the entry last changed. An edit of the entry states the revision
+    /// that it is based on, so that conflicting edits are detected.
     pub revision: Generation,
     /// The service whose upstreams serve the entry.
     pub service: ServiceName,
--- a/mustardrill_core/src/edit.rs
+++ b/mustardrill_core/src/edit.rs
@@ -70,8 +70,8 @@
 
 /// Validates an edit against `document` and returns the document that results from it.
 ///
-/// The caller must write the result with a compare-and-swap, only if the key still holds `document`.
-/// On an error nothing of the edit has been written and nothing of it will be.
+/// The caller must write the result with a compare-and-swap, only if the key still holds
+/// `document`. On an error nothing of the edit has been written and nothing of it will be.
 pub fn apply_edit(
     document: &CatalogueDocument,
     request: &EditRequest,
--- a/mustardrill_core/src/ini_file.rs
+++ b/mustardrill_core/src/ini_file.rs
@@ -120,7 +120,8 @@
         .map(|(_, candidate)| candidate)
 }
 
-/// Returns "; did you mean …?" to append to a message, or an empty text if no known name is similar.
+/// Returns "; did you mean …?" to append to a message, or an empty text if no known name is
+/// similar.
 pub fn suggestion<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Box<str> {
     nearest(name, known).map_or("".into(), |near| format!("; did you mean {near}?").into())
 }
--- a/mustardrill_core/src/manifest.rs
+++ b/mustardrill_core/src/manifest.rs
@@ -6,8 +6,8 @@
 
 /// The description of a version's weights as published at the origin.
 ///
-/// It contains the digest of each chunk, so pinning the manifest's own digest pins every byte of the
-/// version.
+/// It contains the digest of each chunk, so pinning the manifest's own digest pins every byte of
+/// the version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
     /// The model the version belongs to.
@@ -50,8 +50,8 @@
 }
 
 impl Manifest {
-    /// Creates the manifest of the weights in `bytes`; a `chunk_size` of zero splits them into chunks of
-    /// one byte.
+    /// Creates the manifest of the weights in `bytes`; a `chunk_size` of zero splits them into
+    /// chunks of one byte.
     pub fn describe(
         model: ModelName,
         version: VersionName,
@@ -167,8 +167,8 @@
         self.count
     }
 
-    /// The chunks that `newer` has and `self` lacks, in ascending order. Both bitmaps must be for the
-    /// same manifest.
+    /// The chunks that `newer` has and `self` lacks, in ascending order. Both bitmaps must be for
+    /// the same manifest.
     pub fn added_in(&self, newer: &Self) -> Vec<ChunkIndex> {
         let mut added = Vec::new();
         for (word_index, (old, new)) in self.words.iter().zip(&newer.words).enumerate() {
@@ -186,8 +186,8 @@
         self.words.iter().flat_map(|word| word.to_le_bytes()).collect()
     }
 
-    /// Decodes a bitmap of `total` chunks from a message. Bits past the end are dropped, and missing
-    /// bytes count as chunks not held.
+    /// Decodes a bitmap of `total` chunks from a message. Bits past the end are dropped, and
+    /// missing bytes count as chunks not held.
     pub fn from_bytes(bytes: &[u8], total: u32) -> Self {
         let mut bitmap = Self::empty(total);
         for (word, part) in bitmap.words.iter_mut().zip(bytes.chunks(8)) {
--- a/mustardrill_core/src/ownership.rs
+++ b/mustardrill_core/src/ownership.rs
@@ -1,19 +1,19 @@
 //! Exclusive ownership of an upstream, by a lease in the platform's service and a fencing number.
 //!
 //! The holder counts its lease on its own clock from the moment it sent the call, and stops giving
-//! orders a margin before the end. A holder that was paused therefore finds its lease expired when it
-//! resumes. If the upstream ignores fencing numbers, a new holder also waits until orders that the old
-//! one may have in flight have arrived (leases as described by Gray and Cheriton).
+//! orders a margin before the end. A holder that was paused therefore finds its lease expired when
+//! it resumes. If the upstream ignores fencing numbers, a new holder also waits until orders that
+//! the old one may have in flight have arrived (leases as described by Gray and Cheriton).
 //!
 //! While the platform's service is down, no lease can be renewed. If the upstream checks fencing
 //! numbers, the last holder continues: its orders are refused once the upstream has seen a higher
-//! number. If the upstream does not check them, the holder stops, because nothing else would prevent
-//! two holders from giving orders at the same time.
+//! number. If the upstream does not check them, the holder stops, because nothing else would
+//! prevent two holders from giving orders at the same time.
 
 use mustardrill_types::{FencingNumber, Millis, Moment};
 
-/// Retries per second that all agents of a fleet together may make while the service is down, so that
-/// it is not overloaded when it becomes available again.
+/// Retries per second that all agents of a fleet together may make while the service is down, so
+/// that it is not overloaded when it becomes available again.
 const FLEET_RETRIES_PER_SECOND: u64 = 100;
 
 /// Number of times that the backoff after failed calls doubles.
@@ -25,7 +25,8 @@
 /// The timing of ownership and the capabilities of the upstream.
 #[derive(Debug, Clone)]
 pub struct OwnerSettings {
-    /// How long a lease lasts unless it is renewed. The holder renews after at most a third of this.
+    /// How long a lease lasts unless it is renewed. The holder renews after at most a third of
+    /// this.
     pub lease: Millis,
     /// How long before the end of its lease the holder stops giving orders to an upstream that does
     /// not check fencing numbers.
@@ -104,7 +105,8 @@
 }
 
 impl OwnerLease {
-    /// Creates the state of an agent that does not hold the ownership; the first call is due at `now`.
+    /// Creates the state of an agent that does not hold the ownership; the first call is due at
+    /// `now`.
     pub fn new(now: Moment, settings: OwnerSettings) -> Self {
         Self {
             settings,
@@ -116,12 +118,14 @@
         }
     }
 
-    /// Sets the number of instances that call the platform's service, which limits the rate of retries.
+    /// Sets the number of instances that call the platform's service, which limits the rate of
+    /// retries.
     pub fn set_fleet(&mut self, instances: usize) {
         self.fleet_size = instances.max(1);
     }
 
-    /// Returns the call to make now, if one is due. No other call is due until its result is recorded.
+    /// Returns the call to make now, if one is due. No other call is due until its result is
+    /// recorded.
     pub fn due(&mut self, now: Moment) -> Option<OwnerCall> {
         if self.pending.is_some() || now < self.next_call_at {
             return None;
@@ -192,8 +196,8 @@
 impl OwnerSettings {
     /// When a holder that acquired the owner key at `now` may give its first order.
     fn orders_from(&self, now: Moment) -> Moment {
-        // The key was free, so the old lease has expired by the platform's clock. All that can still
-        // arrive is an order that the old holder sent just before its margin began.
+        // The key was free, so the old lease has expired by the platform's clock. All that can
+        // still arrive is an order that the old holder sent just before its margin began.
         if self.upstream_checks { now } else { now + self.longest_order }
     }
 }
--- a/mustardrill_core/tests/edit_histories.rs
+++ b/mustardrill_core/tests/edit_histories.rs
@@ -1,7 +1,9 @@
-//! Generated histories of edits against a sequential model: crashes, lost answers, outages, races.
+//! Property test of concurrent edits: each reported outcome must agree with what was stored.
 //!
-//! Several editors share one key. A lost write may arrive late, as long as the key still has the
-//! revision that it expected. What each was told must agree with the key's history.
+//! Three editors write one key through calls that fail, crash or lose their response. A write
+//! without a response may still take effect later, as long as the key has the revision that it
+//! expected. The test guards against reporting such an edit as refused and against
+//! applying it twice on a retry.
 
 mod common;
 
@@ -13,35 +15,35 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// How long an edit is tried.
-const PATIENCE: Millis = Millis(50);
+/// How long a session retries before it ends without an outcome.
+const SESSION_TIMEOUT: Millis = Millis(50);
 
-/// What happens to one call.
+/// The outcome of one call to the key-value service.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum CallOutcome {
     Served,
-    /// The call is not sent.
+    /// The call is never sent.
     NotSent,
-    /// It takes effect and the answer is lost.
+    /// The call takes effect but its response is lost.
     AnswerLost,
-    /// It is lost, and takes effect later if it still can.
+    /// The response is lost, and the write takes effect later if the key still has the revision.
     Late,
-    /// The editor's process ends.
+    /// The editor's process crashes and its session is lost.
     Crash,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Turn {
+struct EditorStep {
     editor: usize,
-    fate: Fate,
+    outcome: CallOutcome,
     edit: u8,
 }
 
-/// The key-value service: one key with compare-and-swap.
+/// A key-value service with one key that is written by compare-and-swap.
 struct FakeKey {
     revision: u64,
     history: Vec<CatalogueDocument>,
-    late: Vec<(u64, CatalogueDocument)>,
+    late_writes: Vec<(u64, CatalogueDocument)>,
 }
 
 struct Editor {
@@ -50,8 +52,8 @@
 }
 
 impl FakeKey {
-    fn now(&self) -> &CatalogueDocument {
-        self.history.last().expect("the history begins with one")
+    fn latest(&self) -> &CatalogueDocument {
+        self.history.last().expect("the history starts with one document")
     }
 
     fn write(&mut self, expect: u64, document: CatalogueDocument) -> bool {
@@ -64,25 +66,28 @@
     }
 
     fn deliver_late(&mut self) {
-        if let Some((expect, document)) = self.late.pop() {
+        if let Some((expect, document)) = self.late_writes.pop() {
             self.write(expect, document);
         }
     }
 }
 
-fn turns() -> impl Strategy<Value = Vec<Turn>> {
-    let fate = prop_oneof![
-        6 => Just(Fate::Served),
-        1 => Just(Fate::NotSent),
-        2 => Just(Fate::AnswerLost),
-        2 => Just(Fate::Late),
-        1 => Just(Fate::Crash),
+fn editor_steps() -> impl Strategy<Value = Vec<EditorStep>> {
+    let outcome = prop_oneof![
+        6 => Just(CallOutcome::Served),
+        1 => Just(CallOutcome::NotSent),
+        2 => Just(CallOutcome::AnswerLost),
+        2 => Just(CallOutcome::Late),
+        1 => Just(CallOutcome::Crash),
     ];
-    let turn = (0..3_usize, fate, 0..6_u8);
-    prop::collection::vec(turn.prop_map(|(editor, fate, edit)| Turn { editor, fate, edit }), 10..80)
+    let editor_step = (0..3_usize, outcome, 0..6_u8);
+    prop::collection::vec(
+        editor_step.prop_map(|(editor, outcome, edit)| EditorStep { editor, outcome, edit }),
+        10..80,
+    )
 }
 
-/// One edit of a base: another limit, class or version, or a file that is wrong.
+/// The file of one edit of `base`: a changed limit, class or version, or an unknown caller.
 fn edit_text(base: &CatalogueDocument, edit: u8, salt: u64) -> String {
     let shown = mustardrill_core::catalogue::write_document(base);
     match edit {
@@ -97,73 +102,92 @@
     }
 }
 
-fn play(turns: &[Turn]) -> Result<(), TestCaseError> {
-    let mut key =
-        FakeKey { revision: 1, history: vec![document_with(&model_text())], late: Vec::new() };
+fn run_steps(editor_steps: &[EditorStep]) -> Result<(), TestCaseError> {
+    let mut key = FakeKey {
+        revision: 1,
+        history: vec![document_with(&model_text())],
+        late_writes: Vec::new(),
+    };
     let mut editors: Vec<_> = (0..3).map(|_| Editor { session: None, base: None }).collect();
-    let mut told: Vec<(EditId, EditOutcome)> = Vec::new();
-    for (number, turn) in turns.iter().enumerate() {
+    let mut reported: Vec<(EditId, EditOutcome)> = Vec::new();
+    for (number, editor_step) in editor_steps.iter().enumerate() {
         let now = Moment(number as u64 * 2 + 1);
-        let editor = &mut editors[turn.editor];
+        let editor = &mut editors[editor_step.editor];
         let Some((session, step)) = editor.session.as_mut() else {
-            begin(editor, &key, turn, number as u64, now);
+            start_session(editor, &key, editor_step, number as u64, now);
             continue;
         };
-        if matches!(turn.fate, Fate::Crash) {
+        if matches!(editor_step.outcome, CallOutcome::Crash) {
             editor.session = None;
             key.deliver_late();
             continue;
         }
-        if matches!(turn.fate, Fate::NotSent) {
+        if matches!(editor_step.outcome, CallOutcome::NotSent) {
             key.deliver_late();
         }
         let next = match step.clone() {
             SessionStep::Read => {
-                let found = matches!(turn.fate, Fate::Served).then(|| (key.now(), key.revision));
+                let found = matches!(editor_step.outcome, CallOutcome::Served)
+                    .then(|| (key.latest(), key.revision));
                 session.read(now, found, &facts())
             }
             SessionStep::Write { expect, document } => {
-                let answer = write(&mut key, turn.fate, expect, *document);
+                let answer = write(&mut key, editor_step.outcome, expect, *document);
                 session.written(now, answer)
             }
             SessionStep::Done(outcome, _) => {
-                told.push((session.request().id, outcome));
+                reported.push((session.request().id, outcome));
                 editor.session = None;
                 continue;
             }
         };
         *step = next;
     }
-    while !key.late.is_empty() {
+    while !key.late_writes.is_empty() {
         key.deliver_late();
     }
-    judge(&key, &told)
+    check_history(&key, &reported)
 }
 
-fn begin(editor: &mut Editor, key: &FakeKey, turn: &Turn, number: u64, now: Moment) {
-    // Every other edit starts from a state that others may have changed since.
-    let base = editor.base.get_or_insert_with(|| key.now().clone()).clone();
-    if turn.edit.is_multiple_of(2) {
-        editor.base = Some(key.now().clone());
+fn start_session(
+    editor: &mut Editor,
+    key: &FakeKey,
+    editor_step: &EditorStep,
+    number: u64,
+    now: Moment,
+) {
+    // After an odd `edit` the editor keeps its base, so that other editors may have changed the
+    // document since.
+    let base = editor.base.get_or_insert_with(|| key.latest().clone()).clone();
+    if editor_step.edit.is_multiple_of(2) {
+        editor.base = Some(key.latest().clone());
     }
-    let edit =
-        request(u128::from(number) + 100, "ana", drafts(&edit_text(&base, turn.edit, number)));
-    let session = EditSession::new(edit, now + PATIENCE);
+    let edit = request(
+        u128::from(number) + 100,
+        "ana",
+        drafts(&edit_text(&base, editor_step.edit, number)),
+    );
+    let session = EditSession::new(edit, now + SESSION_TIMEOUT);
     editor.session = Some((session, SessionStep::Read));
 }
 
-fn write(key: &mut FakeKey, fate: Fate, expect: u64, document: CatalogueDocument) -> WriteAnswer {
-    match fate {
-        Fate::NotSent => WriteAnswer::NotSent,
-        Fate::Late => {
-            key.late.push((expect, document));
+fn write(
+    key: &mut FakeKey,
+    outcome: CallOutcome,
+    expect: u64,
+    document: CatalogueDocument,
+) -> WriteAnswer {
+    match outcome {
+        CallOutcome::NotSent => WriteAnswer::NotSent,
+        CallOutcome::Late => {
+            key.late_writes.push((expect, document));
             WriteAnswer::Unknown
         }
-        Fate::AnswerLost => {
+        CallOutcome::AnswerLost => {
             key.write(expect, document);
             WriteAnswer::Unknown
         }
-        Fate::Served | Fate::Crash => {
+        CallOutcome::Served | CallOutcome::Crash => {
             if key.write(expect, document) {
                 WriteAnswer::Written
             } else {
@@ -173,9 +197,9 @@
     }
 }
 
-fn judge(key: &FakeKey, told: &[(EditId, EditOutcome)]) -> Result<(), TestCaseError> {
-    let last = key.now();
-    for (id, outcome) in told {
+fn check_history(key: &FakeKey, reported: &[(EditId, EditOutcome)]) -> Result<(), TestCaseError> {
+    let last = key.latest();
+    for (id, outcome) in reported {
         let written = last.edit(*id);
         match outcome {
             EditOutcome::Accepted(generation) => {
@@ -191,14 +215,17 @@
     for pair in key.history.windows(2) {
         prop_assert_eq!(pair[1].generation.0, pair[0].generation.0 + 1);
         prop_assert!(check_successor(&pair[0], &pair[1]).is_ok());
-        replay(&pair[0], &pair[1])?;
+        check_single_edit(&pair[0], &pair[1])?;
     }
     Ok(())
 }
 
-/// Each state is the one before with all changes of one edit, and nothing else.
-fn replay(before: &CatalogueDocument, after: &CatalogueDocument) -> Result<(), TestCaseError> {
-    let record = after.edits.last().expect("an edit made it");
+/// Checks that `after` is `before` with all changes of one edit, and nothing else.
+fn check_single_edit(
+    before: &CatalogueDocument,
+    after: &CatalogueDocument,
+) -> Result<(), TestCaseError> {
+    let record = after.edits.last().expect("an edit created the document");
     let mut entries = before.entries.clone();
     for change in &record.changes {
         prop_assert_eq!(entries.get(&change.name), change.before.as_ref());
@@ -208,8 +235,8 @@
         };
     }
     prop_assert_eq!(&entries, &after.entries);
-    let twice = after.edits.iter().filter(|other| other.id == record.id).count();
-    prop_assert_eq!(twice, 1, "an edit took effect twice");
+    let occurrences = after.edits.iter().filter(|other| other.id == record.id).count();
+    prop_assert_eq!(occurrences, 1, "an edit took effect twice");
     Ok(())
 }
 
@@ -217,7 +244,7 @@
     #![proptest_config(ProptestConfig { cases: cases(1_000), rng_seed: RngSeed::Fixed(6), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_an_editor_was_told_holds(turns in turns()) {
-        play(&turns)?;
+    fn reported_outcome_agrees_with_stored_history(editor_steps in editor_steps()) {
+        run_steps(&editor_steps)?;
     }
 }
--- a/mustardrill_core/tests/ownership.rs
+++ b/mustardrill_core/tests/ownership.rs
@@ -1,4 +1,7 @@
-//! Ownership of an upstream: pauses, lapsed leases, lost answers, two agents for one upstream.
+//! Ownership of an upstream: an old holder must not give orders after a new one.
+//!
+//! Two agents compete for one upstream while they are paused, their leases expire, and calls to the
+//! platform's service fail or lose their response.
 
 mod common;
 
@@ -18,11 +21,11 @@
     }
 }
 
-/// The platform's service, with the one key of the owner.
+/// The platform's service with the owner key.
 #[derive(Default)]
 struct FakeKey {
     revision: u64,
-    /// Lease, fencing number and end.
+    /// Lease id, fencing number and end of the lease in milliseconds.
     holder: Option<(u64, u64, u64)>,
 }
 
@@ -46,7 +49,7 @@
     }
 }
 
-/// An upstream that remembers the orders that took effect.
+/// An upstream that records the fencing numbers of the orders that took effect.
 #[derive(Default)]
 struct FakeUpstream {
     checks: bool,
@@ -66,40 +69,41 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Step {
-    /// Which agent may act.
+    /// The index of the agent that acts.
     agent: usize,
-    /// How much time passes first.
-    passes: u64,
-    /// Whether the service answers, and whether its answer comes at all.
+    /// How much time passes before the step, in milliseconds.
+    elapsed_ms: u64,
+    /// Whether the service handles the call.
     is_served: bool,
+    /// Whether the service's response is lost.
     is_lost: bool,
-    /// How late the order reaches the upstream, at most `longest_order`.
-    late: u64,
+    /// The delay until the order reaches the upstream in milliseconds, less than `longest_order`.
+    delay_ms: u64,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let passes = prop_oneof![8 => 1..120_u64, 1 => 500..2_500_u64];
+    let elapsed_ms = prop_oneof![8 => 1..120_u64, 1 => 500..2_500_u64];
     let step =
-        (0..2_usize, passes, prop::bool::weighted(0.85), prop::bool::weighted(0.1), 0..200_u64);
-    let step = step.prop_map(|(agent, passes, is_served, is_lost, late)| Step {
+        (0..2_usize, elapsed_ms, prop::bool::weighted(0.85), prop::bool::weighted(0.1), 0..200_u64);
+    let step = step.prop_map(|(agent, elapsed_ms, is_served, is_lost, delay_ms)| Step {
         agent,
-        passes,
+        elapsed_ms,
         is_served,
         is_lost,
-        late,
+        delay_ms,
     });
     prop::collection::vec(step, 20..200)
 }
 
-/// Plays steps; returns the orders that took effect, in order.
-fn play(steps: &[Step], checks: bool) -> Vec<u64> {
+/// Runs the steps; returns the fencing numbers of the orders that took effect, in order.
+fn run_steps(steps: &[Step], checks: bool) -> Vec<u64> {
     let mut key = FakeKey::default();
     let mut upstream = FakeUpstream { checks, ..FakeUpstream::default() };
     let mut agents: Vec<_> = (0..2).map(|_| OwnerLease::new(Moment(1), settings(checks))).collect();
     let mut pending: Vec<(u64, FencingNumber)> = Vec::new();
     let mut now = 1;
     for step in steps {
-        now += step.passes;
+        now += step.elapsed_ms;
         pending.sort_by_key(|(due, _)| *due);
         while pending.first().is_some_and(|(due, _)| *due <= now) {
             upstream.order(pending.remove(0).1);
@@ -112,7 +116,7 @@
             agent.answered(Moment(now), answer, 0.5);
         }
         if let Some(fence) = agent.may_order(Moment(now)) {
-            pending.push((now + step.late, fence));
+            pending.push((now + step.delay_ms, fence));
         }
     }
     upstream.accepted
@@ -122,65 +126,69 @@
     #![proptest_config(ProptestConfig { cases: cases(2_000), rng_seed: RngSeed::Fixed(4), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_checking_upstream_takes_no_order_out_of_turn(steps in steps()) {
-        let accepted = play(&steps, true);
+    fn checking_upstream_accepts_no_order_of_an_old_holder(steps in steps()) {
+        let accepted = run_steps(&steps, true);
         prop_assert!(accepted.is_sorted(), "{accepted:?}");
     }
 
     #[test]
-    fn an_upstream_that_does_not_check_sees_no_old_holder_after_a_new_one(steps in steps()) {
-        let accepted = play(&steps, false);
+    fn unchecking_upstream_receives_no_order_of_an_old_holder(steps in steps()) {
+        let accepted = run_steps(&steps, false);
         prop_assert!(accepted.is_sorted(), "{accepted:?}");
     }
 }
 
 #[test]
-fn a_holder_that_was_paused_gives_no_order_when_it_wakes() {
+fn paused_holder_gives_no_order_after_its_lease_expired() {
     let mut owner = OwnerLease::new(Moment(1), settings(false));
     assert_eq!(owner.due(Moment(1)), Some(OwnerCall::Acquire));
     let acquired = OwnerAnswer::Acquired { lease: LeaseId(3), fence: FencingNumber(3) };
     owner.answered(Moment(10), acquired, 0.0);
-    assert_eq!(owner.may_order(Moment(100)), None, "an older holder's order may be under way");
+    assert_eq!(owner.may_order(Moment(100)), None, "an older holder's order may be in flight");
     assert_eq!(owner.may_order(Moment(300)), Some(FencingNumber(3)));
     assert_eq!(owner.may_order(Moment(5_000)), None);
 }
 
-/// The calls that a fleet makes in each second of an outage, each agent with a jitter of its own.
+/// Counts the calls that a fleet makes in each second of an outage, each agent with its own jitter.
 fn outage_calls(fleet: usize, seconds: u64) -> Vec<u64> {
-    let mut bins = vec![0; seconds as usize];
-    for place in 0..fleet {
-        let real = OwnerSettings { lease: Millis(10_000), ..OwnerSettings::default() };
-        let mut owner = OwnerLease::new(Moment(1), real);
+    let mut calls_per_second = vec![0; seconds as usize];
+    for index in 0..fleet {
+        let owner_settings = OwnerSettings { lease: Millis(10_000), ..OwnerSettings::default() };
+        let mut owner = OwnerLease::new(Moment(1), owner_settings);
         owner.set_fleet(fleet);
         owner.due(Moment(1));
         let acquired = OwnerAnswer::Acquired { lease: LeaseId(3), fence: FencingNumber(3) };
-        owner.answered(Moment(1), acquired, place as f64 / fleet as f64);
+        owner.answered(Moment(1), acquired, index as f64 / fleet as f64);
         for now in (1..seconds * 1_000).step_by(10) {
             if owner.due(Moment(now)).is_some() {
-                bins[now as usize / 1_000] += 1;
-                let jitter = (place as u64 * 7_919 + now) % 1_000;
+                calls_per_second[now as usize / 1_000] += 1;
+                let jitter = (index as u64 * 7_919 + now) % 1_000;
                 let answer = OwnerAnswer::Unavailable;
                 owner.answered(Moment(now), answer, jitter as f64 / 1_000.0);
             }
         }
     }
-    bins
+    calls_per_second
 }
 
 #[test]
-fn calls_of_an_outage_do_not_grow_with_the_fleet() {
+fn calls_of_an_outage_do_not_grow_with_fleet_size() {
     for fleet in [600, 2_300] {
-        let bins = outage_calls(fleet, 120);
-        // The renewals that first find it out come at the pace of renewals, within a second.
-        let later = bins[12..].iter().max().copied().unwrap();
-        assert!(later <= 200, "{fleet} agents made {later} calls in a second");
+        let calls_per_second = outage_calls(fleet, 120);
+        // The first seconds are left out: the renewals that first fail come at the normal rate of
+        // renewals, within a second.
+        let peak_calls = calls_per_second[12..].iter().max().copied().unwrap();
+        assert!(peak_calls <= 200, "{fleet} agents made {peak_calls} calls in a second");
     }
-    let few: u64 = outage_calls(8, 60).iter().sum();
-    assert!(few >= 8 * 60 / 4, "a small fleet finds the end of an outage soon: {few} calls");
+    let small_fleet_calls: u64 = outage_calls(8, 60).iter().sum();
+    assert!(
+        small_fleet_calls >= 8 * 60 / 4,
+        "a small fleet must keep retrying to notice the end of an outage: {small_fleet_calls} calls"
+    );
 }
 
 #[test]
-fn an_outage_does_not_stop_orders_to_an_upstream_that_checks() {
+fn outage_does_not_stop_orders_to_a_checking_upstream() {
     let mut owner = OwnerLease::new(Moment(1), settings(true));
     owner.due(Moment(1));
     let acquired = OwnerAnswer::Acquired { lease: LeaseId(3), fence: FencingNumber(3) };
--- a/mustardrill_core/tests/wrong_edits.rs
+++ b/mustardrill_core/tests/wrong_edits.rs
@@ -1,4 +1,5 @@
-//! The wrong edits that staff make: each is refused by a rule of its own, before any write.
+//! Validation of operators' files: each kind of wrong edit must be refused by its own rule before
+//! anything is written, and correct edits must not conflict with each other.
 
 mod common;
 
@@ -9,8 +10,8 @@
 use mustardrill_core::rule::EditRule;
 use mustardrill_types::EditId;
 
-/// What a file is refused for, read and then checked as `ana` would send it.
-fn refused(document: &CatalogueDocument, text: &str) -> Vec<(EditRule, usize)> {
+/// The rules, with their lines, for which a file is refused when the operator `ana` submits it.
+fn rules_violated(document: &CatalogueDocument, text: &str) -> Vec<(EditRule, usize)> {
     let refusals = match read_drafts("edit.ini", text) {
         Err(refusals) => refusals,
         Ok(drafts) => apply_edit(document, &request(9, "ana", drafts), &facts())
@@ -19,8 +20,9 @@
     refusals.iter().map(|refusal| (refusal.rule, refusal.line)).collect()
 }
 
-/// The model `drafts` as it stands, with one line in the place of the one with the same key.
-fn with(line: &str) -> String {
+/// The current section of the model `drafts` with `line` in place of the line that has the same
+/// key.
+fn section_with(line: &str) -> String {
     let key = line.split(" = ").next().unwrap();
     let revised =
         format!("[model drafts]\nrevision = 1\n{}", model_text().split_once('\n').unwrap().1);
@@ -37,18 +39,18 @@
     lines.join("\n")
 }
 
-fn without(key: &str) -> String {
-    let text = with("class = urgent");
+fn section_without(key: &str) -> String {
+    let text = section_with("class = urgent");
     let kept = text.lines().filter(|line| line.split(" = ").next() != Some(key));
     kept.collect::<Vec<_>>().join("\n")
 }
 
 #[test]
-fn every_wrong_edit_has_its_rule() {
+fn each_wrong_edit_is_refused_by_its_own_rule() {
     let document = document_with(&model_text());
     let none = CatalogueDocument::default();
     let both = |first: &str, second: &str| format!("{first}\n{second}");
-    let closed = with("callers = none");
+    let closed = section_with("callers = none");
     let cases: Vec<(&str, &CatalogueDocument, String, EditRule)> = vec![
         ("no brackets", &document, "[model drafts\nowner = ana".into(), EditRule::UnreadableFile),
         ("nothing in it", &document, "; only a comment\n".into(), EditRule::EmptyFile),
@@ -63,19 +65,24 @@
         (
             "a key twice",
             &document,
-            with("class = urgent\nclass = standard"),
+            section_with("class = urgent\nclass = standard"),
             EditRule::DuplicateKey,
         ),
-        ("a key misspelt", &document, with("replica = 2"), EditRule::UnknownKey),
-        ("a key forgotten", &document, without("owner"), EditRule::MissingKey),
-        ("a number with a unit", &document, with("in_flight = 10 calls"), EditRule::BadNumber),
-        ("a negative number", &document, with("replicas = -1"), EditRule::BadNumber),
-        ("a class misspelt", &document, with("class = urgnet"), EditRule::UnknownClass),
-        ("nobody in callers", &document, with("callers = ,"), EditRule::EmptyCallers),
+        ("a key misspelt", &document, section_with("replica = 2"), EditRule::UnknownKey),
+        ("a key forgotten", &document, section_without("owner"), EditRule::MissingKey),
+        (
+            "a number with a unit",
+            &document,
+            section_with("in_flight = 10 calls"),
+            EditRule::BadNumber,
+        ),
+        ("a negative number", &document, section_with("replicas = -1"), EditRule::BadNumber),
+        ("a class misspelt", &document, section_with("class = urgnet"), EditRule::UnknownClass),
+        ("nobody in callers", &document, section_with("callers = ,"), EditRule::EmptyCallers),
         (
             "a caller twice",
             &document,
-            with("callers = comedor, comedor"),
+            section_with("callers = comedor, comedor"),
             EditRule::DuplicateCaller,
         ),
         (
@@ -90,48 +97,63 @@
             "[remove drafts]\nrevision = 1\nowner = ana".into(),
             EditRule::RemovalWithKeys,
         ),
-        ("a caller misspelt", &document, with("callers = comedro"), EditRule::UnknownCaller),
+        (
+            "a caller misspelt",
+            &document,
+            section_with("callers = comedro"),
+            EditRule::UnknownCaller,
+        ),
         (
             "a service misspelt",
             &none,
             model_text().replace("mustard-pool", "mustard-poool"),
             EditRule::UnknownService,
         ),
-        ("an owner who left", &document, with("owner = carla"), EditRule::UnknownOwner),
+        ("an owner who left", &document, section_with("owner = carla"), EditRule::UnknownOwner),
         (
             "owner and limits at once",
             &document,
-            with("owner = beto").replace("in_flight = 10", "in_flight = 20"),
+            section_with("owner = beto").replace("in_flight = 10", "in_flight = 20"),
             EditRule::OwnerWithLimits,
         ),
-        ("zero replicas in use", &document, with("replicas = 0"), EditRule::NoReplicas),
-        ("too many replicas", &document, with("replicas = 400"), EditRule::TooManyReplicas),
+        ("zero replicas in use", &document, section_with("replicas = 0"), EditRule::NoReplicas),
+        ("too many replicas", &document, section_with("replicas = 400"), EditRule::TooManyReplicas),
         (
             "two models, too few instances",
             &document,
             model_text().replace("drafts", "summaries"),
             EditRule::ServiceOvercommitted,
         ),
-        ("a version not published", &document, with("version = v99"), EditRule::VersionMissing),
-        ("a version too large", &document, with("version = huge"), EditRule::VersionTooLarge),
-        ("a rate of zero", &document, with("requests_per_second = 0"), EditRule::ZeroLimit),
+        (
+            "a version not published",
+            &document,
+            section_with("version = v99"),
+            EditRule::VersionMissing,
+        ),
+        (
+            "a version too large",
+            &document,
+            section_with("version = huge"),
+            EditRule::VersionTooLarge,
+        ),
+        ("a rate of zero", &document, section_with("requests_per_second = 0"), EditRule::ZeroLimit),
         (
             "three zeros too many",
             &document,
-            with("requests_per_second = 50000000"),
+            section_with("requests_per_second = 50000000"),
             EditRule::LimitTooHigh,
         ),
-        ("below what is in use", &document, with("in_flight = 2"), EditRule::LimitBelowUse),
+        ("below what is in use", &document, section_with("in_flight = 2"), EditRule::LimitBelowUse),
         (
             "a model made plain",
             &document,
-            without("version").replace("[model", "[plain").replace("replicas = 4", ""),
+            section_without("version").replace("[model", "[plain").replace("replicas = 4", ""),
             EditRule::KindChanged,
         ),
         (
             "moved while in use",
             &document,
-            with("service = records-desk").replace("replicas = 4", "replicas = 1"),
+            section_with("service = records-desk").replace("replicas = 4", "replicas = 1"),
             EditRule::ServiceChanged,
         ),
         (
@@ -155,14 +177,14 @@
         (
             "a revision made up",
             &document,
-            with("class = standard").replace("revision = 1", "revision = 77"),
+            section_with("class = standard").replace("revision = 1", "revision = 77"),
             EditRule::RevisionUnknown,
         ),
-        ("nothing changed", &document, with("class = urgent"), EditRule::NoChange),
+        ("nothing changed", &document, section_with("class = urgent"), EditRule::NoChange),
     ];
     let mut seen = Vec::new();
     for (name, document, text, rule) in cases {
-        let found = refused(document, &text);
+        let found = rules_violated(document, &text);
         assert!(found.iter().any(|(other, _)| *other == rule), "{name}: {rule}, found {found:?}");
         seen.push(rule);
     }
@@ -171,7 +193,7 @@
 }
 
 #[test]
-fn a_refusal_names_line_and_remedy() {
+fn refusal_names_line_and_remedy() {
     let found =
         read_drafts("edit.ini", "[model drafts]\nowner = ana\n\nreplica = 2\n").unwrap_err();
     let unknown = found.iter().find(|refusal| refusal.rule == EditRule::UnknownKey).unwrap();
@@ -180,9 +202,9 @@
 }
 
 #[test]
-fn somebody_elses_entry_is_not_edited() {
+fn edit_of_another_operators_entry_is_refused() {
     let document = document_with(&model_text());
-    let edit = request(2, "beto", drafts(&with("class = standard")));
+    let edit = request(2, "beto", drafts(&section_with("class = standard")));
     let refusals = apply_edit(&document, &edit, &facts()).unwrap_err();
     assert_eq!(refusals[0].rule, EditRule::NotOwner);
 }
@@ -192,7 +214,7 @@
     let mut document = document_with(&model_text());
     for (id, version) in [(2, "v2"), (3, "v1")] {
         let revision = document.generation;
-        let text = with(&format!("version = {version}"));
+        let text = section_with(&format!("version = {version}"));
         let text = text.replace("revision = 1", &format!("revision = {revision}"));
         let mut facts = facts();
         if id == 3 {
@@ -211,18 +233,18 @@
 }
 
 #[test]
-fn a_race_on_one_entry_names_the_other_change() {
+fn edit_race_on_one_entry_names_the_other_change() {
     let document = document_with(&model_text());
-    let first = request(2, "ana", drafts(&with("in_flight = 20")));
+    let first = request(2, "ana", drafts(&section_with("in_flight = 20")));
     let document = apply_edit(&document, &first, &facts()).unwrap();
-    let second = request(3, "ana", drafts(&with("class = standard")));
+    let second = request(3, "ana", drafts(&section_with("class = standard")));
     let refusals = apply_edit(&document, &second, &facts()).unwrap_err();
     assert_eq!(refusals[0].rule, EditRule::EditRace);
     assert!(refusals[0].message.contains("in_flight: 10 -> 20"), "{}", refusals[0]);
 }
 
 #[test]
-fn edits_of_different_entries_are_both_accepted() {
+fn edits_of_different_entries_do_not_conflict() {
     let plain = model_text()
         .replace("[model drafts]", "[plain desk]")
         .replace("mustard-pool", "records-desk");
@@ -232,7 +254,7 @@
         .map(|line| format!("{line}\n"))
         .collect();
     let document = document_with(&format!("{}\n{plain}", model_text()));
-    // Both start from the same `catalogue show`, and each changes one entry of it.
+    // Both edits start from the same output of `catalogue show`, and each changes another entry.
     let shown = write_document(&document);
     let first = shown.replacen("in_flight = 10", "in_flight = 20", 1);
     let at = shown.rfind("in_flight = 10").unwrap();
@@ -244,9 +266,9 @@
 }
 
 #[test]
-fn an_edit_is_undone_by_a_new_edit() {
+fn undo_restores_the_entry_as_a_new_edit() {
     let document = document_with(&model_text());
-    let edit = request(2, "ana", drafts(&with("version = v2")));
+    let edit = request(2, "ana", drafts(&section_with("version = v2")));
     let changed = apply_edit(&document, &edit, &facts()).unwrap();
     let name = "drafts".parse().unwrap();
     let version = |document: &CatalogueDocument| document.entries[&name].weights.clone().unwrap();
@@ -262,7 +284,7 @@
 }
 
 #[test]
-fn what_is_shown_can_be_read_again() {
+fn shown_catalogue_parses_back_to_the_same_entries() {
     let document = document_with(&model_text());
     let drafts = read_drafts("shown", &write_document(&document)).unwrap();
     let entry = &document.entries[&drafts[0].name];
--- a/mustardrill_types/src/code.rs
+++ b/mustardrill_types/src/code.rs
@@ -1,61 +1,67 @@
-//! The numbered result codes; `docs/CODES.md` says what a caller does about each.
+//! Numbered result codes of requests and edits; `docs/CODES.md` describes what a caller should do
+//! about each.
 
 use derive_more::Display;
 
-/// What became of a request or an edit. The numbers are stable and never used again.
+/// The result of a request or an edit. The numbers are stable, and the number of a removed code is
+/// never reused.
+///
+/// "Not run" below means that no upstream ran the request.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 #[display("{}", self.number())]
 pub enum ResultCode {
-    /// The whole answer was given.
+    /// The complete answer was delivered.
     Answered,
-    /// The request itself is wrong; not run.
+    /// The request is malformed; not run.
     BadRequest,
-    /// No customer is known by this token; not run.
+    /// The token belongs to no customer; not run.
     UnknownCustomer,
     /// The customer may not call this model; not run.
     NotAllowed,
     /// The catalogue has no such model or service; not run.
     UnknownModel,
-    /// The customer is over its limit; not run.
+    /// The customer has reached one of its limits; not run.
     OverLimit,
-    /// Every upstream is full or the wait would pass the deadline; not run.
+    /// All upstreams are at capacity, or waiting for one would exceed the deadline; not run.
     Overloaded,
-    /// No upstream serves the pinned weights now; not run.
+    /// No upstream currently serves the pinned weights; not run.
     NoUpstream,
     /// The deadline passed before the request was run; not run.
     DeadlinePassed,
-    /// The claim of a non-idempotent request can't be agreed now; not run.
+    /// The claim that lets a non-idempotent request run at most once could not be obtained; not
+    /// run.
     ClaimUnavailable,
-    /// This request key was sent before: this sending is not run, the earlier one may have been.
+    /// The request key was used before: this request is not run, but the earlier one may have been.
     AlreadyClaimed,
-    /// The instance is leaving; not run.
+    /// The instance is shutting down; not run.
     Leaving,
-    /// The request was withdrawn before it was run; not run.
+    /// The request was cancelled before it was run; not run.
     Withdrawn,
-    /// The entry has no configuration yet, or can't prove that the one it has is current; not run.
+    /// The entry has no configuration yet, or cannot confirm that its configuration is current; not
+    /// run.
     NotCurrent,
-    /// The request may or may not have run: its upstream or agent was lost.
+    /// The upstream or its agent was lost, so the request may or may not have run.
     Unknown,
-    /// The upstream ran the request and failed.
+    /// The upstream failed while it ran the request.
     UpstreamFailed,
-    /// The answer was cut and could not be resumed under the same weights.
+    /// The answer broke off and could not be resumed with the same weights.
     AnswerCut,
-    /// The answer was made from other weights than those pinned; dropped.
+    /// The answer came from other weights than the pinned ones and was discarded.
     WrongWeights,
-    /// Upstreams ended each time that they ran this request; for a while it is run no more.
+    /// Upstreams crashed each time they ran this request; it is not run again for a while.
     Quarantined,
     /// The edit was accepted.
     EditAccepted,
     /// The edit was refused and will not take effect.
     EditRefused,
-    /// Whether the edit took effect is not known yet.
+    /// It is not known yet whether the edit took effect.
     EditUnknown,
-    /// The operator is not allowed.
+    /// The caller is not authorised as an operator.
     OperatorRefused,
 }
 
 impl ResultCode {
-    /// Every code, in the order of the numbers.
+    /// Every code, by ascending number.
     pub const ALL: [Self; 23] = [
         Self::Answered,
         Self::BadRequest,
@@ -82,7 +88,8 @@
         Self::OperatorRefused,
     ];
 
-    /// The stable number of the code.
+    /// The number of the code: 1xxx answered, 2xxx not run, 3xxx possibly run but
+    /// without a usable answer, 4xxx edits.
     pub fn number(self) -> u16 {
         match self {
             Self::Answered => 1000,
@@ -111,17 +118,18 @@
         }
     }
 
-    /// The code with this number.
+    /// The code with this number; `None` for an unassigned number.
     pub fn from_number(number: u16) -> Option<Self> {
         Self::ALL.into_iter().find(|code| code.number() == number)
     }
 
-    /// Whether the code is a promise that the request was not run.
+    /// Whether the code guarantees that the request was not run.
     pub fn is_not_run(self) -> bool {
         (2000..3000).contains(&self.number())
     }
 
-    /// What callers are told of whether the request was run.
+    /// The label that tells a caller whether the request was run: `not-run`, `has-run` or
+    /// `unknown`.
     pub fn run_label(self) -> &'static str {
         match self {
             Self::Quarantined => "has-run",
@@ -130,12 +138,12 @@
         }
     }
 
-    /// Whether another upstream may be tried after this refusal.
+    /// Whether the request may be sent to another upstream after this refusal.
     pub fn is_retryable(self) -> bool {
         matches!(self, Self::Overloaded | Self::NoUpstream | Self::Leaving)
     }
 
-    /// The HTTP status a caller sees with the code.
+    /// The HTTP status of responses with this code.
     pub fn http_status(self) -> u16 {
         match self {
             Self::Answered | Self::EditAccepted => 200,
--- a/mustardrill_types/src/id.rs
+++ b/mustardrill_types/src/id.rs
@@ -1,11 +1,11 @@
-//! Names and ids, each a type of its own so that one is never taken for another.
+//! Names and ids. Each has its own type so that one cannot be passed in place of another.
 
 use std::str::FromStr;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// A text that is not a valid name or id.
+/// The error for text that is not a valid name or id.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 #[display("\"{value}\" is not a valid {kind}: {rule}")]
 pub struct ParseIdError {
@@ -14,8 +14,8 @@
     rule: &'static str,
 }
 
-/// The longest name taken, in bytes.
-const NAME_LIMIT: usize = 64;
+/// Maximum length of a name.
+const MAX_NAME_BYTES: usize = 64;
 
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident, $kind:literal) => {
@@ -24,7 +24,7 @@
         pub struct $name(Box<str>);
 
         impl $name {
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -59,8 +59,9 @@
     };
 }
 
-/// Writes and reads a type as its text, for documents that people and other languages read.
-macro_rules! text_serde {
+/// Serialises a type as its text form, for documents read by people or by programs in other
+/// languages.
+macro_rules! serde_as_text {
     ($name:ident) => {
         impl From<$name> for String {
             fn from(id: $name) -> Self {
@@ -78,7 +79,7 @@
     };
 }
 
-macro_rules! random_type {
+macro_rules! hex_id_type {
     ($(#[$doc:meta])* $name:ident, $kind:literal) => {
         $(#[$doc])*
         #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -86,7 +87,7 @@
         #[serde(into = "String", try_from = "String")]
         pub struct $name(pub u128);
 
-        text_serde!($name);
+        serde_as_text!($name);
 
         impl FromStr for $name {
             type Err = ParseIdError;
@@ -104,103 +105,108 @@
 }
 
 name_type!(
-    /// One running machine of the fleet: an entry, or an upstream with its agent.
+    /// The name of a running machine of the fleet: an entry, or an upstream with its agent.
     InstanceId,
     "instance name"
 );
 name_type!(
-    /// A group of upstreams that serve the same models or calls.
+    /// The name of a service: a group of upstreams that serve the same models or calls.
     ServiceName,
     "service name"
 );
 name_type!(
-    /// A model as callers name it.
+    /// The name by which callers request a model or plain service.
     ModelName,
     "model name"
 );
 name_type!(
-    /// A version of a model.
+    /// The name of a version of a model's weights.
     VersionName,
     "version name"
 );
 name_type!(
-    /// Whoever calls and has limits of its own.
+    /// The name of a customer, who calls models and has its own limits.
     CustomerName,
     "customer name"
 );
 name_type!(
-    /// A data centre.
+    /// The name of a data centre.
     DataCentre,
     "data centre name"
 );
 name_type!(
-    /// A region of one or more data centres.
+    /// The name of a region, which contains one or more data centres.
     RegionName,
     "region name"
 );
 number_type!(
-    /// The number of an accepted state of the catalogue; it only grows.
+    /// The number of a state of the catalogue; each accepted edit increases it by one.
     Generation,
     u64
 );
 number_type!(
-    /// The number an owner of an upstream shows with its orders; a later owner's is higher.
+    /// The number that an owner of an upstream sends with its orders. A later owner has a higher
+    /// number, so that the upstream can refuse the orders of an earlier one.
     FencingNumber,
     u64
 );
 number_type!(
-    /// The number of a model's weights; a newer version's is higher.
+    /// The number of a version of a model's weights; a newer version has a higher number.
     WeightVersion,
     u64
 );
 number_type!(
-    /// When an upstream started, in Unix milliseconds by its own clock; zero where it does not say.
+    /// When an upstream started, in Unix milliseconds by its own clock; zero if it does not report
+    /// it.
     ///
-    /// An upstream may start again under the id that it had. The later start knows nothing of the
-    /// earlier one, so what is believed of an upstream belongs to one start of it.
+    /// It identifies one incarnation of an upstream, which may restart under the same id. A
+    /// restarted upstream has no state of the earlier incarnation, so what is known of an upstream
+    /// applies to one incarnation only.
     StartStamp,
     u64
 );
 number_type!(
-    /// A state of the platform's store; each change has a higher one.
+    /// The revision of the platform's store; each change increases it.
     StoreRevision,
     u64
 );
 number_type!(
-    /// How often the platform's store has come back from an older copy of itself.
+    /// How often the platform's store has been restored from an older copy of itself.
     ///
-    /// Revisions and numbers of leases are given out again in each era.
+    /// Revisions and lease numbers are unique only within an era: after a restore the store assigns
+    /// them again.
     StoreEra,
     u64
 );
 number_type!(
-    /// The place of a chunk within its manifest, from zero.
+    /// The index of a chunk within its manifest, from zero.
     ChunkIndex,
     u32
 );
-random_type!(
-    /// One try to have a request run by one upstream.
+hex_id_type!(
+    /// Identifies one attempt to run a request on one upstream.
     AttemptId,
     "attempt id"
 );
-random_type!(
-    /// One edit of the catalogue, kept through every retry of it.
+hex_id_type!(
+    /// Identifies an edit of the catalogue; retries of the edit keep the id.
     EditId,
     "edit id"
 );
-random_type!(
-    /// The key under which a customer's non-idempotent request runs at most once.
+hex_id_type!(
+    /// Identifies a non-idempotent request of a customer, so that it runs at most once.
     RequestKey,
     "request key"
 );
 
-random_type!(
-    /// What a caller asks for; a request that comes again has the same one, at every entry.
+hex_id_type!(
+    /// The digest of a request's content. A repeated request has the same digest at every entry.
     RequestDigest,
     "request digest"
 );
 
-/// The digest of a version's manifest; it pins every byte of the version.
+/// The BLAKE3 digest of a version's manifest, which pins every byte of the version, or of one
+/// chunk.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -208,15 +214,15 @@
 #[serde(into = "String", try_from = "String")]
 pub struct ManifestDigest(pub [u8; 32]);
 
-text_serde!(ManifestDigest);
+serde_as_text!(ManifestDigest);
 
 impl ManifestDigest {
-    /// The digest of `bytes`.
+    /// Computes the BLAKE3 digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
-    /// The first eight digits, for log lines.
+    /// The first eight hexadecimal digits, for log lines.
     pub fn short(&self) -> Box<str> {
         blake3::Hash::from_bytes(self.0).to_hex()[..8].into()
     }
@@ -235,18 +241,19 @@
 }
 
 impl RequestKey {
-    /// The key for what `customer` called `text`; two customers' keys never meet.
+    /// Derives the key from the idempotency key `text` that `customer` sent. The customer is part
+    /// of the hash, so equal texts of two customers give different keys.
     pub fn of(customer: &CustomerName, text: &str) -> Self {
         Self(first_half(blake3::hash(format!("{}\n{text}", customer.as_str()).as_bytes())))
     }
 }
 
 impl RequestDigest {
-    /// The digest of what a request is made of.
+    /// Computes the digest of the parts of a request, in order.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
-            // The length keeps the end of one part from passing for the beginning of the next.
+            // Hashing each length first keeps different splits of the same bytes from colliding.
             hasher.update(&(part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
@@ -263,7 +270,7 @@
 fn check_name(text: &str, kind: &'static str) -> Result<Box<str>, ParseIdError> {
     const RULE: &str = "1 to 64 letters, digits, dots, hyphens or underscores";
     let allowed = |letter: char| letter.is_ascii_alphanumeric() || "._-".contains(letter);
-    if text.is_empty() || text.len() > NAME_LIMIT || !text.chars().all(allowed) {
+    if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.chars().all(allowed) {
         return Err(ParseIdError { value: text.into(), kind, rule: RULE });
     }
     Ok(text.into())
--- a/mustardrill_types/src/lib.rs
+++ b/mustardrill_types/src/lib.rs
@@ -1,4 +1,5 @@
-//! Ids, sizes, rates and result codes shared by every part of mustardrill.
+//! Types that every crate of mustardrill shares: names and ids, times, sizes, rates and result
+//! codes.
 #![deny(missing_docs, unsafe_code, clippy::unwrap_used)]
 
 pub mod code;
--- a/mustardrill_types/src/time.rs
+++ b/mustardrill_types/src/time.rs
@@ -1,4 +1,4 @@
-//! Moments and durations on one process's monotonic clock, in milliseconds.
+//! Moments on a process's monotonic clock and spans of time, both in milliseconds.
 
 use std::ops::{Add, Sub};
 use std::str::FromStr;
@@ -8,12 +8,13 @@
 
 use crate::unit::{ParseUnitError, split_unit};
 
-/// A moment on the monotonic clock of one process. Moments of two processes never compare.
+/// A moment on the monotonic clock of one process, in milliseconds. Moments of two processes cannot
+/// be compared.
 #[derive(Debug, Display, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{_0}ms")]
 pub struct Moment(pub u64);
 
-/// A span of time in milliseconds.
+/// A span of time in milliseconds. It is written in ms; the parser also accepts s and min.
 #[derive(
     Debug,
     Display,
@@ -32,11 +33,11 @@
 pub struct Millis(pub u64);
 
 impl Moment {
-    /// The first moment of each process's clock. What other processes tell of lies before it, and so
-    /// does zero, which stands for long ago.
+    /// The value with which the clock of each process starts, 24 hours above zero. This leaves room
+    /// for events that other processes report from before the start; zero stands for long ago.
     pub const FIRST: Self = Self(86_400_000);
 
-    /// The span since `earlier`; zero where `earlier` is later.
+    /// The span since `earlier`; zero if `earlier` is after `self`.
     pub fn since(self, earlier: Self) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
@@ -59,7 +60,7 @@
 }
 
 impl Millis {
-    /// The span as the standard library writes it.
+    /// Converts to the standard library's type.
     pub fn to_std(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
--- a/mustardrill_types/src/unit.rs
+++ b/mustardrill_types/src/unit.rs
@@ -1,4 +1,5 @@
-//! Sizes in bytes and rates in bytes a second, read and written with decimal units.
+//! Sizes in bytes and rates in bytes per second, parsed from text with decimal units (1 KB is 1,000
+//! B).
 
 use std::str::FromStr;
 
@@ -7,7 +8,7 @@
 
 use crate::time::Millis;
 
-/// A number of bytes.
+/// A size in bytes. It is written in bytes; the parser also accepts KB, MB and GB.
 #[derive(
     Debug,
     Display,
@@ -25,7 +26,8 @@
 #[display("{_0}B")]
 pub struct ByteSize(pub u64);
 
-/// A number of bytes a second.
+/// A data rate in bytes per second. It is written in B/s; the parser also accepts KB/s, MB/s and
+/// GB/s.
 #[derive(
     Debug,
     Display,
@@ -43,7 +45,7 @@
 #[display("{_0}B/s")]
 pub struct ByteRate(pub u64);
 
-/// A value that is not a size, rate or span.
+/// The error for text that is not a valid size, rate or span of time.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 #[display("\"{value}\" is not {expected}")]
 pub struct ParseUnitError {
@@ -58,7 +60,8 @@
 }
 
 impl ByteRate {
-    /// The time `size` takes at this rate, rounded up; a rate of zero means unlimited.
+    /// The time to transfer `size` at this rate, rounded up. A rate of zero is unlimited and takes
+    /// no time.
     pub fn time_for(self, size: ByteSize) -> Millis {
         if self.0 == 0 {
             return Millis(0);
@@ -73,7 +76,7 @@
     fn from_str(text: &str) -> Result<Self, ParseUnitError> {
         const EXPECTED: &str = "a whole number followed by B, KB, MB or GB, such as 64MB";
         let (number, unit) = split_unit(text, EXPECTED)?;
-        scaled(number, unit).map(Self).ok_or(ParseUnitError::new(text, EXPECTED))
+        to_bytes(number, unit).map(Self).ok_or(ParseUnitError::new(text, EXPECTED))
     }
 }
 
@@ -84,11 +87,11 @@
         const EXPECTED: &str = "a whole number followed by B/s, KB/s, MB/s or GB/s, such as 40MB/s";
         let (number, unit) = split_unit(text, EXPECTED)?;
         let unit = unit.strip_suffix("/s").ok_or(ParseUnitError::new(text, EXPECTED))?;
-        scaled(number, unit).map(Self).ok_or(ParseUnitError::new(text, EXPECTED))
+        to_bytes(number, unit).map(Self).ok_or(ParseUnitError::new(text, EXPECTED))
     }
 }
 
-/// Splits `text` into its whole number and the unit behind it.
+/// Splits `text` into a leading whole number and the unit that follows it.
 pub(crate) fn split_unit<'a>(
     text: &'a str,
     expected: &'static str,
@@ -99,7 +102,8 @@
     Ok((number, text[end..].trim()))
 }
 
-fn scaled(number: u64, unit: &str) -> Option<u64> {
+/// Converts to bytes; `None` if the unit is unknown or the result exceeds 64 bits.
+fn to_bytes(number: u64, unit: &str) -> Option<u64> {
     let factor = match unit {
         "B" => 1,
         "KB" => 1_000,
