--- a/mustardrill_core/src/direct/dispatch.rs
+++ b/mustardrill_core/src/direct/dispatch.rs
@@ -46,14 +46,15 @@
         // Once a version has replaced others the one believed is demanded, should the belief be wrong.
         let pinned = state.pinned.or_else(|| {
             let floor = self.floor(now, state, target)?;
-            let believed = target.version_of(state.model.as_ref()?)?;
+            let believed = target.served_version(state.model.as_ref()?)?;
             (floor.0 > 1).then_some(believed)
         });
-        let weights = self.weights_at(state, &upstream);
+        let weights = self.believed_version(state, &upstream);
         // Where nothing replaces them there is nothing to be forecast.
         let newest = state.model.as_ref().and_then(|model| self.versions.newest(model));
         let forecast = if weights < newest { self.begin_time(state, target) } else { Millis(0) };
-        let replaced = weights.and_then(|version| self.replaced_attempt(state, version, forecast));
+        let replaced =
+            weights.and_then(|version| self.superseded_attempt(state, version, forecast));
         let plan = SendPlan {
             upstream: upstream.clone(),
             address,
@@ -72,7 +73,7 @@
             state.attempt,
             now.since(state.arrived),
             state.tried.len() + 1,
-            self.upstreams.present(&upstream).requests,
+            self.upstreams.total_load(&upstream).requests,
             plan.pinned.map_or(0, |version| version.0),
             target.evidence(now, self.proof.age(now).unwrap_or_default()),
             state.digest,
@@ -83,12 +84,12 @@
                 state.attempt,
                 replaced.version,
                 replaced.forecast,
-                replaced.replaced_at.since(now),
+                replaced.usable_until.since(now),
             );
         }
         let reading = self.reading_time(state);
         let start = target.start();
-        self.upstreams.sent(&start, reading);
+        self.upstreams.record_sent(&start, reading);
         if let Some(state) = self.requests.get_mut(&number) {
             state.reading = reading;
             state.begun = false;
@@ -98,7 +99,7 @@
             state.tried.push(upstream);
             state.stage = RequestStage::Sent(start);
         }
-        self.await_begin(number, replaced);
+        self.track_attempt(number, replaced);
         vec![DirectEffect::Send(number, plan)]
     }
 
@@ -109,14 +110,14 @@
         load: Option<LoadReport>,
         version: Option<WeightVersion>,
     ) {
-        self.attempt_begun(now, number, version);
+        self.record_attempt_start(now, number, version);
         let Some(state) = self.requests.get_mut(&number) else { return };
         let RequestStage::Sent(upstream) = state.stage.clone() else { return };
-        self.upstreams.read(&upstream, std::mem::take(&mut state.reading));
+        self.upstreams.record_prefill_end(&upstream, std::mem::take(&mut state.reading));
         if state.pinned.is_none() && state.repeat.is_stream() {
             state.pinned = version;
         }
-        self.upstreams.answering(now, &upstream, load, state.model.as_ref(), version);
+        self.upstreams.record_answer_start(now, &upstream, load, state.model.as_ref(), version);
     }
 
     pub(super) fn ended(
@@ -125,25 +126,27 @@
         number: RequestNumber,
         outcome: AttemptOutcome,
     ) -> Vec<DirectEffect> {
-        self.forget_unbegun(number);
+        self.untrack_attempt(number);
         let Some(state) = self.requests.get_mut(&number) else { return Vec::new() };
         let RequestStage::Sent(upstream) = state.stage.clone() else { return Vec::new() };
         state.stage = RequestStage::Between;
         let service = state.service.clone();
         let (attempt, digest) = (state.attempt.clone(), state.digest);
-        self.upstreams.read(&upstream, std::mem::take(&mut state.reading));
-        self.upstreams.left(&upstream);
-        self.upstreams.judge(now, &upstream, outcome, self.settings.ejection);
+        self.upstreams.record_prefill_end(&upstream, std::mem::take(&mut state.reading));
+        self.upstreams.record_finished(&upstream);
+        self.upstreams.record_outcome(now, &upstream, outcome, self.settings.ejection);
         let mut effects = Vec::new();
         match outcome {
-            AttemptOutcome::Whole => effects.extend(self.run_succeeded(now, digest)),
-            AttemptOutcome::Lost { crashed: true, .. } => self.run_crashed(now, number, &upstream),
+            AttemptOutcome::Whole => effects.extend(self.record_run_success(now, digest)),
+            AttemptOutcome::Lost { crashed: true, .. } => {
+                self.record_run_crash(now, number, &upstream)
+            }
             _ => {}
         }
         if outcome != AttemptOutcome::Whole {
             info!("request={attempt} instance={} outcome={outcome:?} digest={digest}", upstream.id);
         }
-        effects.extend(self.go_on(now, number, outcome));
+        effects.extend(self.continue_after_attempt(now, number, outcome));
         effects.extend(self.pump(now, &service));
         effects
     }
--- /dev/null
+++ b/mustardrill_core/src/direct/fleet/entry_counter.rs
@@ -0,0 +1,42 @@
+//! Counts the live entries, as seen by one of them.
+//!
+//! While the store is unavailable the registrations of all entries expire, although the entries keep
+//! serving. Without further evidence each entry would assume that it is alone and use the whole
+//! shared budget. A peer entry is therefore counted for a full window after its last sign of life,
+//! which is its registration or a load update.
+
+use mustardrill_types::{FastMap, InstanceId, Millis, Moment};
+
+use crate::direct::fleet::update::PeerRecord;
+
+/// Time of the last sign of life of each peer entry.
+#[derive(Debug, Default)]
+pub(crate) struct EntryCounter {
+    last_seen: FastMap<InstanceId, Moment>,
+}
+
+impl EntryCounter {
+    /// Records a sign of life: a message from the peer, or the end of its registration.
+    pub(crate) fn record_activity(&mut self, now: Moment, id: &InstanceId) {
+        match self.last_seen.get_mut(id) {
+            Some(seen) => *seen = now,
+            None => {
+                self.last_seen.insert(id.clone(), now);
+            }
+        }
+    }
+
+    /// Counts the entries that are registered or gave a sign of life within `window`, including this
+    /// one. Peers that have been silent for longer are dropped.
+    pub(crate) fn count_live(
+        &mut self,
+        now: Moment,
+        window: Millis,
+        registered: &[PeerRecord],
+    ) -> usize {
+        self.last_seen.retain(|_, seen| now.since(*seen) < window);
+        let is_registered = |id: &&InstanceId| registered.iter().any(|peer| peer.id == **id);
+        let unregistered = self.last_seen.keys().filter(|id| !is_registered(id)).count();
+        1 + registered.len() + unregistered
+    }
+}
--- /dev/null
+++ b/mustardrill_core/src/direct/fleet/update.rs
@@ -0,0 +1,89 @@
+//! Records and changes of the fleet as read from the platform's store.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use mustardrill_types::{
+    DataCentre, InstanceId, ModelName, RequestDigest, ServiceName, StartStamp, StoreEra,
+    StoreRevision, WeightVersion,
+};
+
+use crate::direct::route::RouteDocument;
+
+/// The registration of an upstream, written by the upstream itself.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct UpstreamRecord {
+    /// The instance. An upstream may keep its id over a restart.
+    pub id: InstanceId,
+    /// Tells incarnations under the same id apart: a later start has a greater stamp.
+    pub start: StartStamp,
+    /// The service that it serves; the configuration may not name it.
+    pub service: ServiceName,
+    /// Where it accepts requests.
+    pub address: SocketAddr,
+    /// The data centre that it runs in.
+    pub data_centre: DataCentre,
+    /// Number of requests that it runs concurrently.
+    pub slots: u32,
+    /// Whether it is shutting down and accepts no further requests.
+    pub leaving: bool,
+    /// The weights that it has loaded completely; empty for a plain service.
+    pub serving: Vec<ServedWeights>,
+}
+
+/// Weights of which an engine holds all layers.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ServedWeights {
+    /// The model that the weights belong to.
+    pub model: ModelName,
+    /// The version of the model that is loaded.
+    pub version: WeightVersion,
+}
+
+/// The registration of a peer entry.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct PeerRecord {
+    /// The instance under which it is registered.
+    pub id: InstanceId,
+    /// Where it accepts datagrams and requests for chunks.
+    pub address: SocketAddr,
+    /// The data centre that it runs in.
+    pub data_centre: DataCentre,
+    /// Bandwidth of its link in Mbit/s.
+    pub link_mbps: u32,
+}
+
+/// One change read from the store.
+#[derive(Debug, Clone)]
+pub enum FleetChange {
+    /// The operator wrote a configuration.
+    Configured(Arc<RouteDocument>),
+    /// An upstream registered, or its registration changed.
+    Upstream(UpstreamRecord),
+    /// The registration of an upstream was removed or expired.
+    UpstreamGone(InstanceId),
+    /// The store holds something under the key of an upstream that is not a valid registration, so
+    /// there is no address to send to.
+    UpstreamInvalid(InstanceId),
+    /// The operator announced a version of a model as current.
+    VersionAnnounced(ModelName, WeightVersion),
+    /// An entry registered, or its registration changed.
+    Peer(PeerRecord),
+    /// The registration of an entry was removed or expired.
+    PeerGone(InstanceId),
+    /// Requests of this digest are refused for a while, as they crash upstreams.
+    Quarantined(RequestDigest),
+}
+
+/// A batch of changes read from the store, in the order in which they were made there.
+#[derive(Debug, Clone, Default)]
+pub struct FleetUpdate {
+    /// The changes since the revision that was read before, or everything in a snapshot.
+    pub changes: Vec<FleetChange>,
+    /// The revision of the store that the changes lead up to.
+    pub revision: StoreRevision,
+    /// The era of the store in which that revision was read.
+    pub era: StoreEra,
+    /// Whether this is a snapshot: what it does not contain does not exist.
+    pub is_snapshot: bool,
+}
--- /dev/null
+++ b/mustardrill_core/src/direct/store/fleet_updates.rs
@@ -0,0 +1,268 @@
+//! Applies the store's answers, and its failure to answer, to the state of an entry.
+
+use std::net::IpAddr;
+
+use log::{info, warn};
+use mustardrill_types::{FastSet, InstanceId, Moment};
+
+use crate::direct::event::DirectEffect;
+use crate::direct::fleet::update::{FleetChange, FleetUpdate, UpstreamRecord};
+use crate::direct::fleet::upstream::ExpiryCause;
+use crate::direct::reducer::DirectReducer;
+use crate::direct::store::freshness::{FreshnessClock, earliest_restore_time};
+use crate::direct::versions::table::AnnouncementTime;
+
+impl DirectReducer {
+    /// Applies an update from the store. `sent` is when the call was sent, or a later moment for which
+    /// its answer confirms the configuration as current.
+    pub(in crate::direct) fn apply_fleet_update(
+        &mut self,
+        now: Moment,
+        update: FleetUpdate,
+        sent: Moment,
+    ) -> Vec<DirectEffect> {
+        let was_unavailable = std::mem::take(&mut self.store_away);
+        self.record_availability(now, sent, was_unavailable);
+        let is_restored = self.detect_restore(now, &update);
+        let is_first_read = self.proof.last_confirmed().is_none();
+        self.revision = update.revision;
+        self.era = update.era;
+        let time = self.announcement_time(now, sent, was_unavailable);
+        self.read_at = now;
+        if update.is_snapshot {
+            self.expire_missing(now, &update, is_restored);
+        }
+        let mut effects = if is_restored {
+            self.apply_older_copy(now, time, update.changes)
+        } else {
+            self.apply_changes(now, time, update.changes, update.is_snapshot)
+        };
+        if update.is_snapshot {
+            effects.extend(self.notify_agents_of_newest());
+        }
+        if is_first_read && !self.peers.is_empty() {
+            self.word.start_wait(now);
+        }
+        self.proof.confirm(sent);
+        self.confirm_config(sent);
+        self.remove_unreturned(now);
+        self.settle_announcements(now);
+        effects.extend(self.pump_all(now));
+        if !self.word.is_awaited(now) {
+            effects.extend(self.release_all_held(now));
+        }
+        effects
+    }
+
+    /// Records that the store was available at `sent`.
+    fn record_availability(&mut self, now: Moment, sent: Moment, was_unavailable: bool) {
+        self.contact.record_answer(now, sent, self.settings.forgetting);
+        if was_unavailable {
+            let answering = self.contact.span().map_or(now, |span| span.since);
+            info!(
+                "dependency=store outcome=regained proof_age={} answering={}",
+                format_age(&self.proof, now),
+                now.since(answering)
+            );
+        }
+    }
+
+    /// Returns whether an update is the first one since the store was restored from an older copy, and
+    /// records the restore.
+    fn detect_restore(&mut self, now: Moment, update: &FleetUpdate) -> bool {
+        let is_restored =
+            update.is_snapshot && self.proof.last_confirmed().is_some() && update.era > self.era;
+        if is_restored {
+            warn!(
+                "dependency=store outcome=returned era={} before={} revision={} read={}",
+                update.era, self.era, update.revision, self.revision
+            );
+            self.contact.record_restore(earliest_restore_time(now, self.proof.last_confirmed()));
+            self.rewritten_at = now + self.settings.lapse_grace;
+        }
+        is_restored
+    }
+
+    /// Records that the store held the newest configuration at `sent`. A store restored from an older
+    /// copy may lack a configuration that no entry had read, until the operator has written again.
+    fn confirm_config(&mut self, sent: Moment) {
+        if sent >= self.rewritten_at {
+            self.config_proof.confirm(sent);
+        }
+    }
+
+    fn apply_changes(
+        &mut self,
+        now: Moment,
+        time: AnnouncementTime,
+        changes: Vec<FleetChange>,
+        is_snapshot: bool,
+    ) -> Vec<DirectEffect> {
+        let mut effects = Vec::new();
+        for change in changes {
+            if let (FleetChange::VersionAnnounced(model, version), false) = (&change, is_snapshot) {
+                let machines = self.local_engine_machines();
+                effects.push(DirectEffect::TellAgents(model.clone(), *version, machines));
+            }
+            if let FleetChange::Quarantined(digest) = &change {
+                effects.extend(self.apply_stored_quarantine(now, *digest));
+            }
+            self.apply_change(now, time, change);
+        }
+        effects
+    }
+
+    /// Applies a snapshot from an older copy of the store, without reverting what is known to be newer.
+    fn apply_older_copy(
+        &mut self,
+        now: Moment,
+        time: AnnouncementTime,
+        changes: Vec<FleetChange>,
+    ) -> Vec<DirectEffect> {
+        for change in changes {
+            match change {
+                FleetChange::Upstream(record) => {
+                    let is_served = self.is_service_configured(&record);
+                    self.upstreams.register_from_older_copy(now, record, is_served);
+                }
+                // Quarantines in force are known here, and others in the copy may have ended since.
+                FleetChange::Quarantined(_) => {}
+                other => self.apply_change(now, time, other),
+            }
+        }
+        self.rewrite_quarantines(now)
+    }
+
+    /// Whether the configuration names an upstream's service; true as long as there is none.
+    fn is_service_configured(&self, record: &UpstreamRecord) -> bool {
+        let document = self.document.as_ref();
+        document.is_none_or(|document| document.service(&record.service).is_some())
+    }
+
+    /// Notifies local agents of the newest versions in a snapshot. A version may have been announced while no
+    /// entry was running, and the agents' calls may hang in a store that had stopped answering.
+    fn notify_agents_of_newest(&self) -> Vec<DirectEffect> {
+        let machines = self.local_engine_machines();
+        let newest = self.versions.all_newest();
+        newest
+            .map(|(model, version)| DirectEffect::TellAgents(model, version, machines.clone()))
+            .collect()
+    }
+
+    /// Returns the machines of this data centre's engines; an agent runs on each of them.
+    ///
+    /// An agent that the store refuses, or whose watch hangs, would learn of a version too late to
+    /// provide it before its engine's older version may no longer be used.
+    fn local_engine_machines(&self) -> Vec<IpAddr> {
+        let ids = self.upstreams.ids();
+        let records = ids.iter().filter_map(|id| Some(&self.upstreams.get(id)?.record));
+        let local = records.filter(|record| record.data_centre == self.settings.data_centre);
+        let is_engine = |service| {
+            let profile = self.document.as_ref().and_then(|document| document.service(service));
+            profile.is_some_and(|profile| profile.engine.is_some())
+        };
+        local
+            .filter(|record| is_engine(&record.service))
+            .map(|record| record.address.ip())
+            .collect()
+    }
+
+    fn expire_missing(&mut self, now: Moment, update: &FleetUpdate, is_restored: bool) {
+        let mut present = FastSet::default();
+        if is_restored {
+            // A missing entry may have registered after the copy was made.
+            self.unconfirmed = self.peers.iter().map(|peer| peer.id.clone()).collect();
+        } else {
+            self.peers.drain(..).for_each(|peer| self.census.record_activity(now, &peer.id));
+        }
+        let cause = if is_restored { ExpiryCause::Restore } else { ExpiryCause::Outage };
+        for change in &update.changes {
+            if let FleetChange::Upstream(record) = change {
+                present.insert(record.id.clone());
+            }
+        }
+        for id in self.upstreams.ids() {
+            if !present.contains(&id) {
+                self.upstreams.expire(now, &id, self.reregistration_deadline(), cause);
+            }
+        }
+    }
+
+    /// Returns the moment until which a missing registration may be one that the store has lost.
+    pub(in crate::direct) fn reregistration_deadline(&self) -> Option<Moment> {
+        self.contact.reregistration_deadline(self.settings.lapse_grace)
+    }
+
+    /// Removes upstreams and peers that are still missing after they had the time to register again.
+    pub(in crate::direct) fn remove_unreturned(&mut self, now: Moment) {
+        if self.reregistration_deadline().is_none_or(|limit| self.proof.is_confirmed_since(limit)) {
+            self.upstreams.remove_expired(now);
+            for id in std::mem::take(&mut self.unconfirmed) {
+                self.remove_peer(now, &id);
+            }
+        }
+    }
+
+    fn remove_peer(&mut self, now: Moment, id: &InstanceId) {
+        self.census.record_activity(now, id);
+        self.peers.retain(|peer| peer.id != *id);
+        self.upstreams.peer_loads.remove_peer(id);
+    }
+
+    fn apply_change(&mut self, now: Moment, time: AnnouncementTime, change: FleetChange) {
+        match change {
+            FleetChange::Configured(document) => {
+                let current = self.document.as_ref().map(|document| document.generation);
+                let is_newer = current.is_none_or(|generation| document.generation > generation);
+                info!(
+                    "config generation={} before={} outcome={}",
+                    document.generation,
+                    current.unwrap_or_default(),
+                    if is_newer { "applied" } else { "kept" }
+                );
+                if is_newer {
+                    self.document = Some(document);
+                }
+            }
+            FleetChange::Upstream(record) => {
+                let is_served = self.is_service_configured(&record);
+                self.upstreams.register(now, record, is_served);
+            }
+            FleetChange::UpstreamInvalid(id) => self.upstreams.remove_invalid(&id),
+            FleetChange::UpstreamGone(id) => {
+                self.upstreams.expire(
+                    now,
+                    &id,
+                    self.reregistration_deadline(),
+                    ExpiryCause::Outage,
+                );
+            }
+            FleetChange::VersionAnnounced(model, version) => {
+                self.record_announcement(now, &model, version, time);
+            }
+            // Handled in `apply_changes`, which collects the effects.
+            FleetChange::Quarantined(_) => {}
+            FleetChange::Peer(record) => {
+                if record.id != self.settings.own {
+                    self.unconfirmed.remove(&record.id);
+                    self.peers.retain(|peer| peer.id != record.id);
+                    self.peers.push(record);
+                }
+            }
+            FleetChange::PeerGone(id) => self.remove_peer(now, &id),
+        }
+    }
+
+    /// Records that the store does not answer, and releases the requests that are held for its answer.
+    pub(in crate::direct) fn record_store_failure(&mut self, now: Moment) -> Vec<DirectEffect> {
+        if !self.store_away {
+            warn!("dependency=store outcome=lost proof_age={}", format_age(&self.proof, now));
+        }
+        self.store_away = true;
+        self.release_all_held(now)
+    }
+}
+
+fn format_age(proof: &FreshnessClock, now: Moment) -> String {
+    proof.age(now).map_or("none".into(), |age| age.to_string())
+}
--- a/mustardrill_core/src/stock/reducer.rs
+++ b/mustardrill_core/src/stock/reducer.rs
@@ -11,7 +11,8 @@
 use rand::{Rng, SeedableRng};
 
 use crate::direct::{
-    EngineWord, FleetChange, FleetPage, NamingTime, RouteDocument, UpstreamRecord, VersionTable,
+    AnnouncementTime, EngineWord, FleetChange, FleetUpdate, RouteDocument, UpstreamRecord,
+    VersionTable,
 };
 use crate::manifest::Manifest;
 use crate::relays::RelayTable;
@@ -124,7 +125,7 @@
             StockEvent::Fleet(page) => self.fleet_seen(now, page),
             StockEvent::VersionHeard(model, version) => self.named(now, &model, version),
             StockEvent::RelaysSeen(relays) => {
-                self.relays.set(relays);
+                self.relays.set_relays(relays);
                 self.tell_plan();
                 Vec::new()
             }
@@ -190,24 +191,26 @@
         }
     }
 
-    fn fleet_seen(&mut self, now: Moment, page: FleetPage) -> Vec<StockEffect> {
+    fn fleet_seen(&mut self, now: Moment, page: FleetUpdate) -> Vec<StockEffect> {
         let mut effects = Vec::new();
         // What an agent finds at its start was named nobody knows when.
-        let is_start = page.whole && self.document.is_none();
+        let is_start = page.is_snapshot && self.document.is_none();
         let named_since = if is_start { Moment(0) } else { now };
-        if page.whole {
+        if page.is_snapshot {
             self.peers.clear();
             self.registered.clear();
-            self.relays.set(Vec::new());
+            self.relays.set_relays(Vec::new());
         }
         for change in page.changes {
             match change {
                 FleetChange::Configured(document) => self.configured(document),
                 FleetChange::Upstream(record) => self.register(&record),
-                FleetChange::UpstreamGone(id) | FleetChange::UpstreamVoid(id) => self.forget(&id),
-                FleetChange::VersionNamed(model, version) => {
+                FleetChange::UpstreamGone(id) | FleetChange::UpstreamInvalid(id) => {
+                    self.forget(&id)
+                }
+                FleetChange::VersionAnnounced(model, version) => {
                     let read_peers = self.named(named_since, &model, version);
-                    if !page.whole {
+                    if !page.is_snapshot {
                         effects.extend(read_peers);
                     }
                 }
@@ -236,7 +239,7 @@
         model: &ModelName,
         version: WeightVersion,
     ) -> Vec<StockEffect> {
-        if !self.versions.name(model, version, NamingTime::heard(since, since)) {
+        if !self.versions.announce(model, version, AnnouncementTime::observed(since, since)) {
             return Vec::new();
         }
         info!("weights model={model} version={version} outcome=named");
@@ -412,7 +415,7 @@
         let mut transfer = self.settings.transfer.clone();
         transfer.origin_pace = self.origin_pace();
         transfer.drawers = self.origin_drawers();
-        let named = self.versions.named_at(&version.model, version.version);
+        let named = self.versions.announced_at(&version.model, version.version);
         transfer.relays_first = named.is_some_and(|named| named > Moment(0));
         let mut plan = TransferPlan::new(now, own, list, transfer, self.random.random());
         plan.set_peers(&peers);
--- a/mustardrill_entry/src/effects.rs
+++ b/mustardrill_entry/src/effects.rs
@@ -6,11 +6,11 @@
 use kameo::prelude::*;
 use mustardrill_core::agent::WeightsProgress;
 use mustardrill_core::claim::ClaimOutcome;
+use mustardrill_core::coordinator::ClaimCoordinator;
 use mustardrill_core::demand::DemandRow;
 use mustardrill_core::document::CatalogueDocument;
 use mustardrill_core::entry::{AgentSync, AttemptEnd, ClaimOrder, EntryEvent, SendOrder};
-use mustardrill_core::keeper::ClaimKeeper;
-use mustardrill_core::quarantine::CrashWord;
+use mustardrill_core::quarantine::CrashReport;
 use mustardrill_core::routing::UpstreamReport;
 use mustardrill_proto as proto;
 use mustardrill_runtime::wire::{
@@ -88,7 +88,7 @@
 async fn call_claim(
     context: &EntryContext,
     order: &ClaimOrder,
-    keeper: &ClaimKeeper,
+    keeper: &ClaimCoordinator,
     release: bool,
 ) -> Option<ClaimOutcome> {
     let mut client = context.agents.client(&keeper.address)?;
@@ -117,7 +117,7 @@
     /// What customers asked for, where it is to be told.
     pub(crate) demand: Option<Vec<DemandRow>>,
     /// What to tell of requests under which upstreams ended.
-    pub(crate) crashes: Vec<CrashWord>,
+    pub(crate) crashes: Vec<CrashReport>,
 }
 
 /// Sends a heartbeat.
