--- a/mustardrill_agent/src/config.rs
+++ b/mustardrill_agent/src/config.rs
@@ -124,7 +124,11 @@
         lease: reader.value("upstream", "lease", default.lease),
         margin: reader.value("upstream", "margin", default.margin),
         longest_order: reader.value("upstream", "longest_order", default.longest_order),
-        upstream_checks: reader.value("upstream", "checks_fencing", default.upstream_checks),
+        upstream_checks_fencing: reader.value(
+            "upstream",
+            "checks_fencing",
+            default.upstream_checks_fencing,
+        ),
         retry_after: reader.value("platform", "retry_after", default.retry_after),
     }
 }
--- a/mustardrill_agent/src/effects.rs
+++ b/mustardrill_agent/src/effects.rs
@@ -116,7 +116,8 @@
                 }
             };
             let opened = fetched.and_then(|bytes| {
-                let manifest = Manifest::open(&bytes, digest).map_err(|error| error.to_string())?;
+                let manifest =
+                    Manifest::decode_verified(&bytes, digest).map_err(|error| error.to_string())?;
                 Ok((Arc::new(manifest), bytes))
             });
             match opened {
--- a/mustardrill_core/src/agent/reducer.rs
+++ b/mustardrill_core/src/agent/reducer.rs
@@ -230,7 +230,7 @@
         now: Moment,
         list: Vec<crate::membership::InstanceRecord>,
     ) -> Vec<AgentEffect> {
-        self.owner.set_fleet(list.len());
+        self.owner.set_fleet_size(list.len());
         if self.members.replace(list) { self.refresh_weights(now) } else { Vec::new() }
     }
 
@@ -239,14 +239,14 @@
     }
 
     fn advance_weights(&mut self, now: Moment) -> Vec<AgentEffect> {
-        let fence = self.owner.may_order(now);
+        let fence = self.owner.fence_for_order(now);
         self.weights.advance(now, &self.members, fence)
     }
 
     fn owner_answered(&mut self, now: Moment, answer: OwnerAnswer) -> Vec<AgentEffect> {
         let before = self.owner.lease();
         let jitter = self.random.random_range(0.0..1.0);
-        self.owner.answered(now, answer, jitter);
+        self.owner.record_result(now, answer, jitter);
         if before != self.owner.lease() {
             info!("owner answer={answer:?} held={}", self.owner.lease().is_some());
         }
--- a/mustardrill_core/src/catalogue.rs
+++ b/mustardrill_core/src/catalogue.rs
@@ -62,7 +62,7 @@
 /// Parses an operator's file; `file` is its name for messages.
 ///
 /// On an error every problem found in the file is returned, not just the first.
-pub fn read_drafts(file: &str, text: &str) -> Result<Vec<EntryDraft>, Vec<EditRefusal>> {
+pub fn parse_drafts(file: &str, text: &str) -> Result<Vec<EntryDraft>, Vec<EditRefusal>> {
     let parsed = IniFile::read(file, text).map_err(|error| {
         vec![EditRefusal::new(file, error.line(), EditRule::UnreadableFile, error.to_string())]
     })?;
@@ -84,17 +84,17 @@
 }
 
 /// Formats the entries of a document as an operator's file, with the generation in a comment.
-pub fn write_document(document: &CatalogueDocument) -> String {
+pub fn format_document(document: &CatalogueDocument) -> String {
     let mut text = format!("; generation {}\n", document.generation);
     for (name, entry) in &document.entries {
         text.push('\n');
-        text.push_str(&write_entry(name, entry));
+        text.push_str(&format_entry(name, entry));
     }
     text
 }
 
-/// Formats one entry as a section that [`read_drafts`] accepts.
-pub fn write_entry(name: &ModelName, entry: &CatalogueEntry) -> String {
+/// Formats one entry as a section that [`parse_drafts`] accepts.
+pub fn format_entry(name: &ModelName, entry: &CatalogueEntry) -> String {
     let kind = if entry.weights.is_some() { "model" } else { "plain" };
     let mut text = format!("[{kind} {name}]\n");
     let mut line = |key: &str, value: &dyn std::fmt::Display| {
@@ -161,7 +161,7 @@
     }
 
     fn check_keys(&mut self, kind: &str) {
-        if let Some(key) = self.section.duplicate() {
+        if let Some(key) = self.section.first_duplicate() {
             let message = format!("{} stands twice", key.name);
             self.refuse(key.line, EditRule::DuplicateKey, message);
         }
--- a/mustardrill_core/src/check.rs
+++ b/mustardrill_core/src/check.rs
@@ -146,7 +146,7 @@
 
 /// Refuses changes that one edit may not make to an existing entry: owner and limits together,
 /// model to plain or back, and the service while customers may call the entry.
-pub(crate) fn check_immutable_fields(
+pub(crate) fn check_restricted_changes(
     draft: &EntryDraft,
     content: &DraftContent,
     current: &CatalogueEntry,
--- a/mustardrill_core/src/document.rs
+++ b/mustardrill_core/src/document.rs
@@ -179,7 +179,11 @@
 
     /// The entry as of `revision`, the generation of one of its changes, if it is current or the
     /// history still has it.
-    pub fn entry_at(&self, name: &ModelName, revision: Generation) -> Option<&CatalogueEntry> {
+    pub fn entry_at_revision(
+        &self,
+        name: &ModelName,
+        revision: Generation,
+    ) -> Option<&CatalogueEntry> {
         let current = self.entries.get(name).filter(|entry| entry.revision == revision);
         let changes = self.edits.iter().flat_map(|record| &record.changes);
         let recorded = changes
@@ -191,7 +195,7 @@
     }
 
     /// The models that the instances of `service` should serve, with their weights.
-    pub fn weights_of<'a>(
+    pub fn weights_for_service<'a>(
         &'a self,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = (&'a ModelName, &'a ModelWeights)> {
--- a/mustardrill_core/src/edit.rs
+++ b/mustardrill_core/src/edit.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::catalogue::{DraftContent, EntryDraft};
-use crate::check::check_immutable_fields;
+use crate::check::check_restricted_changes;
 use crate::document::{
     CallerSet, CatalogueDocument, CatalogueEntry, EditRecord, EntryChange, MAX_EDIT_RECORDS,
 };
@@ -20,7 +20,7 @@
 
 /// Maximum size of the encoded document, in bytes. It leaves a margin below the largest value that
 /// the platform's key-value service stores.
-pub const DOCUMENT_LIMIT: usize = 900_000;
+pub const MAX_DOCUMENT_BYTES: usize = 900_000;
 
 /// An edit as submitted by an operator.
 #[derive(Debug, Clone)]
@@ -38,7 +38,7 @@
 pub enum EditChange {
     /// The sections of an operator's file, in the order of the file.
     Drafts(Vec<EntryDraft>),
-    /// Reverts the edit with this id, which must be among the last [`MAX_EDIT_RECORDS`] edits.
+    /// Reverts the edit with this id, whose record must still be in the history.
     Undo(EditId),
 }
 
@@ -52,7 +52,7 @@
     /// The number of instances of each service; a service without instances is unknown.
     pub instances: FastMap<ServiceName, u32>,
     /// The versions named by the edit that the origin has.
-    pub versions: FastMap<(ModelName, VersionName), VersionFact>,
+    pub versions: FastMap<(ModelName, VersionName), PublishedVersion>,
     /// The largest version that an agent can stage.
     pub staging_limit: ByteSize,
     /// For each entry, the highest number of requests that any single customer has in progress.
@@ -61,7 +61,7 @@
 
 /// Digest and size of one version at the origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct VersionFact {
+pub struct PublishedVersion {
     /// The digest of the manifest that the origin has now.
     pub manifest: ManifestDigest,
     /// The size of the weights.
@@ -119,7 +119,7 @@
 
 /// Checks that `next` is a valid successor of `current`, the document in force.
 ///
-/// The error says why it is not, for the log.
+/// The error is the reason for rejecting it, which is logged.
 pub fn check_successor(
     current: &CatalogueDocument,
     next: &CatalogueDocument,
@@ -194,7 +194,7 @@
         refusals.extend(self.check_limits(draft, content));
         let weights = self.resolve_weights(draft, content, current, &mut refusals);
         if let Some(current) = current {
-            refusals.extend(check_immutable_fields(draft, content, current));
+            refusals.extend(check_restricted_changes(draft, content, current));
         }
         if !refusals.is_empty() {
             return Err(refusals);
@@ -218,7 +218,7 @@
     /// changes that others made to the entry since then are kept.
     fn is_untouched(&self, draft: &EntryDraft, current: Option<&CatalogueEntry>) -> bool {
         let Some(content) = &draft.content else { return false };
-        let base = draft.base.and_then(|base| self.document.entry_at(&draft.name, base));
+        let base = draft.base.and_then(|base| self.document.entry_at_revision(&draft.name, base));
         let matches_base = base.is_some_and(|entry| content.matches(entry));
         // A section that equals the current entry is no change either, whoever made that edit.
         let matches_current = current.is_some_and(|entry| content.matches(entry));
@@ -270,7 +270,10 @@
         let Some(entry) = current else {
             return format!("{who} removed the entry since revision {base}");
         };
-        let what = self.document.entry_at(name, base).map(|old| differences(old, entry).join(", "));
+        let what = self
+            .document
+            .entry_at_revision(name, base)
+            .map(|old| differences(old, entry).join(", "));
         let what = what.unwrap_or_else(|| "the entry".into());
         format!(
             "{who} changed {what} in revision {}, the edit was made from {base}",
@@ -344,7 +347,7 @@
             let Some(entry) = &change.after else { continue };
             let Some(instances) = self.facts.instances.get(&entry.service) else { continue };
             let required_instances: u32 =
-                next.weights_of(&entry.service).map(|(_, weights)| weights.replicas).sum();
+                next.weights_for_service(&entry.service).map(|(_, weights)| weights.replicas).sum();
             if entry.weights.is_some() && required_instances > *instances {
                 let service = &entry.service;
                 let message =
@@ -384,15 +387,15 @@
 }
 
 /// Removes the oldest edit records, all but the newest, until the document is within
-/// [`DOCUMENT_LIMIT`]; refuses the edit if it still does not fit.
+/// [`MAX_DOCUMENT_BYTES`]; refuses the edit if it still does not fit.
 fn check_size(document: &mut CatalogueDocument) -> Result<(), Vec<EditRefusal>> {
     let mut size = document.encode().len();
-    while size > DOCUMENT_LIMIT && document.edits.len() > 1 {
+    while size > MAX_DOCUMENT_BYTES && document.edits.len() > 1 {
         document.edits.remove(0);
         size = document.encode().len();
     }
-    if size > DOCUMENT_LIMIT {
-        let message = format!("{size} bytes, {DOCUMENT_LIMIT} fit");
+    if size > MAX_DOCUMENT_BYTES {
+        let message = format!("{size} bytes, {MAX_DOCUMENT_BYTES} fit");
         return Err(vec![EditRefusal::new("file", 0, EditRule::CatalogueTooLarge, message)]);
     }
     Ok(())
@@ -404,7 +407,7 @@
 pub fn differences(old: &CatalogueEntry, new: &CatalogueEntry) -> Vec<String> {
     let name: ModelName = "entry".parse().expect("a valid name");
     let lines = |entry: &CatalogueEntry| -> Vec<String> {
-        let text = crate::catalogue::write_entry(&name, entry);
+        let text = crate::catalogue::format_entry(&name, entry);
         text.lines().map(str::to_owned).collect()
     };
     let (old, new) = (lines(old), lines(new));
--- a/mustardrill_core/src/ini_file.rs
+++ b/mustardrill_core/src/ini_file.rs
@@ -101,7 +101,7 @@
     }
 
     /// The first key that repeats the name of an earlier one.
-    pub fn duplicate(&self) -> Option<&IniKey> {
+    pub fn first_duplicate(&self) -> Option<&IniKey> {
         self.keys.iter().enumerate().find_map(|(index, key)| {
             self.keys[..index].iter().any(|other| other.name == key.name).then_some(key)
         })
@@ -129,12 +129,12 @@
 /// Finds the line numbers of headers and keys, which the parser does not report.
 struct LineFinder<'a> {
     lines: Vec<&'a str>,
-    next_index: usize,
+    search_start: usize,
 }
 
 impl<'a> LineFinder<'a> {
     fn new(text: &'a str) -> Self {
-        Self { lines: text.lines().map(str::trim).collect(), next_index: 0 }
+        Self { lines: text.lines().map(str::trim).collect(), search_start: 0 }
     }
 
     fn find_section(&mut self, title: &str) -> usize {
@@ -158,15 +158,15 @@
         })
     }
 
-    /// Searches from the line after the last match; returns the line number, from one.
+    /// Searches from the line of the last match on; returns the line number, from one.
     fn find_line(&mut self, matches: impl Fn(&str) -> bool) -> usize {
-        let found = self.lines[self.next_index..].iter().position(|line| matches(line));
+        let found = self.lines[self.search_start..].iter().position(|line| matches(line));
         // The parser may return keys in another order than the file's; if nothing matches from here
         // on, search from the first line.
-        let index = found.map(|offset| self.next_index + offset);
+        let index = found.map(|offset| self.search_start + offset);
         let index = index.or_else(|| self.lines.iter().position(|line| matches(line)));
-        let Some(index) = index else { return self.next_index + 1 };
-        self.next_index = index;
+        let Some(index) = index else { return self.search_start + 1 };
+        self.search_start = index;
         index + 1
     }
 }
--- a/mustardrill_core/src/manifest.rs
+++ b/mustardrill_core/src/manifest.rs
@@ -73,16 +73,16 @@
     }
 
     /// Decodes a published manifest after checking that its digest is `pinned`.
-    pub fn open(bytes: &[u8], pinned: ManifestDigest) -> Result<Self, ManifestError> {
+    pub fn decode_verified(bytes: &[u8], pinned: ManifestDigest) -> Result<Self, ManifestError> {
         let found = ManifestDigest::of(bytes);
         if found != pinned {
             return Err(ManifestError::WrongDigest { pinned, found });
         }
-        Self::read(bytes)
+        Self::decode(bytes)
     }
 
     /// Decodes a published manifest whose digest is not pinned yet.
-    pub fn read(bytes: &[u8]) -> Result<Self, ManifestError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, ManifestError> {
         let malformed = |reason: String| ManifestError::Malformed { reason: reason.into() };
         let manifest: Self =
             serde_json::from_slice(bytes).map_err(|error| malformed(error.to_string()))?;
--- a/mustardrill_core/src/ownership.rs
+++ b/mustardrill_core/src/ownership.rs
@@ -34,7 +34,7 @@
     /// The longest time that an order can be in flight to the upstream.
     pub longest_order: Millis,
     /// Whether the upstream refuses orders with a lower fencing number than it has seen.
-    pub upstream_checks: bool,
+    pub upstream_checks_fencing: bool,
     /// The backoff after a failed call, varied at random by up to half of it either way. It doubles
     /// twice, and is raised for large fleets to limit their total rate of retries.
     pub retry_after: Millis,
@@ -98,7 +98,7 @@
             lease: Millis(10_000),
             margin: Millis(2_000),
             longest_order: Millis(5_000),
-            upstream_checks: true,
+            upstream_checks_fencing: true,
             retry_after: Millis(500),
         }
     }
@@ -120,7 +120,7 @@
 
     /// Sets the number of instances that call the platform's service, which limits the rate of
     /// retries.
-    pub fn set_fleet(&mut self, instances: usize) {
+    pub fn set_fleet_size(&mut self, instances: usize) {
         self.fleet_size = instances.max(1);
     }
 
@@ -139,7 +139,7 @@
 
     /// Records the result of the pending call. `jitter` is a random number from 0 to 1 that spreads
     /// renewals and retries.
-    pub fn answered(&mut self, now: Moment, answer: OwnerAnswer, jitter: f64) {
+    pub fn record_result(&mut self, now: Moment, answer: OwnerAnswer, jitter: f64) {
         let Some(sent) = self.pending.take() else { return };
         let third_of_lease = self.settings.lease.0 as f64 / 3.0;
         let renewal_delay = Millis((third_of_lease * (1.0 - RENEWAL_JITTER * jitter)) as u64);
@@ -177,9 +177,9 @@
     }
 
     /// The fencing number to send with an order, or `None` if this agent may not give orders now.
-    pub fn may_order(&self, now: Moment) -> Option<FencingNumber> {
+    pub fn fence_for_order(&self, now: Moment) -> Option<FencingNumber> {
         let OwnerState::Held { fence, until, orders_from, .. } = self.state else { return None };
-        let is_safe = self.settings.upstream_checks
+        let is_safe = self.settings.upstream_checks_fencing
             || (now + self.settings.margin < until && now >= orders_from);
         is_safe.then_some(fence)
     }
@@ -198,6 +198,6 @@
     fn orders_from(&self, now: Moment) -> Moment {
         // The key was free, so the old lease has expired by the platform's clock. All that can
         // still arrive is an order that the old holder sent just before its margin began.
-        if self.upstream_checks { now } else { now + self.longest_order }
+        if self.upstream_checks_fencing { now } else { now + self.longest_order }
     }
 }
--- a/mustardrill_core/src/placement.rs
+++ b/mustardrill_core/src/placement.rs
@@ -17,7 +17,7 @@
 ) -> Vec<(ModelName, Vec<InstanceId>)> {
     let mut unassigned = live.to_vec();
     let mut assignments = Vec::new();
-    for (model, weights) in document.weights_of(service) {
+    for (model, weights) in document.weights_for_service(service) {
         let ranked = rendezvous::ranked(model.as_str().as_bytes(), &unassigned, |id| id.as_str());
         let mut chosen: Vec<_> =
             ranked.into_iter().take(weights.replicas as usize).cloned().collect();
--- a/mustardrill_core/src/session.rs
+++ b/mustardrill_core/src/session.rs
@@ -28,7 +28,7 @@
 
 /// The result of a compare-and-swap write of the catalogue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteAnswer {
+pub enum WriteResult {
     /// The write took effect.
     Written,
     /// The key had another revision, so the write took no effect.
@@ -80,7 +80,7 @@
 
     /// Handles the result of a read: the document with the revision of its key, or `None` if the
     /// read failed.
-    pub fn read(
+    pub fn handle_read(
         &mut self,
         now: Moment,
         found: Option<(&CatalogueDocument, u64)>,
@@ -107,17 +107,17 @@
     }
 
     /// Handles the result of the write requested by the last step.
-    pub fn written(&mut self, now: Moment, answer: WriteAnswer) -> SessionStep {
+    pub fn handle_write(&mut self, now: Moment, answer: WriteResult) -> SessionStep {
         let Some((expected, document)) = self.write_in_progress.take() else {
             return self.retry_or_finish(now);
         };
         match answer {
-            WriteAnswer::Written => {
+            WriteResult::Written => {
                 let outcome = EditOutcome::Accepted(document.generation);
                 return SessionStep::Done(outcome, Some(document));
             }
-            WriteAnswer::Unknown => self.open_write = Some(expected),
-            WriteAnswer::Conflict | WriteAnswer::NotSent => {}
+            WriteResult::Unknown => self.open_write = Some(expected),
+            WriteResult::Conflict | WriteResult::NotSent => {}
         }
         self.retry_or_finish(now)
     }
--- a/mustardrill_core/tests/agents.rs
+++ b/mustardrill_core/tests/agents.rs
@@ -10,10 +10,10 @@
 use mustardrill_core::agent::{
     AgentEffect, AgentEvent, AgentReducer, AgentSettings, EngineReport, LoadOrder,
 };
-use mustardrill_core::catalogue::read_drafts;
+use mustardrill_core::catalogue::parse_drafts;
 use mustardrill_core::claim::ClaimSettings;
 use mustardrill_core::document::{CatalogueDocument, RequestClass};
-use mustardrill_core::edit::{VersionFact, apply_edit};
+use mustardrill_core::edit::{PublishedVersion, apply_edit};
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::membership::{InstanceRecord, MemberSettings};
 use mustardrill_core::ownership::{LeaseId, OwnerAnswer, OwnerSettings};
@@ -43,7 +43,7 @@
     facts.instances.insert("mustard-pool".parse().unwrap(), AGENTS as u32);
     for version in ["v1", "v2", "v3"] {
         let manifest = manifest(version);
-        let fact = VersionFact { manifest: manifest.digest(), size: manifest.size };
+        let fact = PublishedVersion { manifest: manifest.digest(), size: manifest.size };
         facts.versions.insert((manifest.model.clone(), manifest.version.clone()), fact);
     }
     let mut document = CatalogueDocument::default();
@@ -52,7 +52,7 @@
         let text = text.replace("replicas = 4", "replicas = 8");
         let revision = format!("[model drafts]\nrevision = {place}");
         let text = if place > 0 { text.replace("[model drafts]", &revision) } else { text };
-        let edit = request(place as u128 + 1, "ana", read_drafts("edit.ini", &text).unwrap());
+        let edit = request(place as u128 + 1, "ana", parse_drafts("edit.ini", &text).unwrap());
         document = apply_edit(&document, &edit, &facts).unwrap();
     }
     document
--- a/mustardrill_core/tests/common/mod.rs
+++ b/mustardrill_core/tests/common/mod.rs
@@ -5,14 +5,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use mustardrill_core::catalogue::{EntryDraft, read_drafts};
+use mustardrill_core::catalogue::{EntryDraft, parse_drafts};
 use mustardrill_core::direct::{
     AttemptOutcome, CallerLimits, DirectEffect, DirectEvent, DirectReducer, DirectRequest,
     DirectSettings, EngineProfile, FleetChange, ModelProfile, PeerRecord, RepeatRule,
     RequestNumber, RetryShare, RouteDocument, RouteRule, ServiceProfile, UpstreamRecord, WorkSize,
 };
 use mustardrill_core::document::CatalogueDocument;
-use mustardrill_core::edit::{EditChange, EditRequest, FleetFacts, VersionFact, apply_edit};
+use mustardrill_core::edit::{EditChange, EditRequest, FleetFacts, PublishedVersion, apply_edit};
 use mustardrill_core::stock::{StockSettings, TurnSettings};
 use mustardrill_core::transfer::TransferSettings;
 use mustardrill_types::{
@@ -39,7 +39,7 @@
 
 /// The drafts of a file that reads.
 pub fn drafts(text: &str) -> Vec<EntryDraft> {
-    read_drafts("edit.ini", text).expect("the file reads")
+    parse_drafts("edit.ini", text).expect("the file reads")
 }
 
 /// An edit of drafts.
@@ -58,7 +58,7 @@
     let mut versions = FastMap::default();
     for model in ["drafts", "summaries"] {
         for (version, digest, size) in [("v1", V1, 1_000), ("v2", V2, 1_000), ("huge", V2, 9_000)] {
-            let fact = VersionFact { manifest: digest.parse().unwrap(), size: ByteSize(size) };
+            let fact = PublishedVersion { manifest: digest.parse().unwrap(), size: ByteSize(size) };
             versions.insert((model.parse().unwrap(), version.parse().unwrap()), fact);
         }
     }
--- a/mustardrill_core/tests/edit_histories.rs
+++ b/mustardrill_core/tests/edit_histories.rs
@@ -10,7 +10,7 @@
 use common::{cases, document_with, drafts, facts, model_text, request};
 use mustardrill_core::document::CatalogueDocument;
 use mustardrill_core::edit::check_successor;
-use mustardrill_core::session::{EditOutcome, EditSession, SessionStep, WriteAnswer};
+use mustardrill_core::session::{EditOutcome, EditSession, SessionStep, WriteResult};
 use mustardrill_types::{EditId, Millis, Moment};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -89,7 +89,7 @@
 
 /// The file of one edit of `base`: a changed limit, class or version, or an unknown caller.
 fn edit_text(base: &CatalogueDocument, edit: u8, salt: u64) -> String {
-    let shown = mustardrill_core::catalogue::write_document(base);
+    let shown = mustardrill_core::catalogue::format_document(base);
     match edit {
         0 => shown.replace("in_flight = ", &format!("in_flight = {}", salt % 8 + 1)),
         1 => shown.replace("class = urgent", "class = standard"),
@@ -129,11 +129,11 @@
             SessionStep::Read => {
                 let found = matches!(editor_step.outcome, CallOutcome::Served)
                     .then(|| (key.latest(), key.revision));
-                session.read(now, found, &facts())
+                session.handle_read(now, found, &facts())
             }
             SessionStep::Write { expect, document } => {
                 let answer = write(&mut key, editor_step.outcome, expect, *document);
-                session.written(now, answer)
+                session.handle_write(now, answer)
             }
             SessionStep::Done(outcome, _) => {
                 reported.push((session.request().id, outcome));
@@ -176,22 +176,22 @@
     outcome: CallOutcome,
     expect: u64,
     document: CatalogueDocument,
-) -> WriteAnswer {
+) -> WriteResult {
     match outcome {
-        CallOutcome::NotSent => WriteAnswer::NotSent,
+        CallOutcome::NotSent => WriteResult::NotSent,
         CallOutcome::Late => {
             key.late_writes.push((expect, document));
-            WriteAnswer::Unknown
+            WriteResult::Unknown
         }
         CallOutcome::AnswerLost => {
             key.write(expect, document);
-            WriteAnswer::Unknown
+            WriteResult::Unknown
         }
         CallOutcome::Served | CallOutcome::Crash => {
             if key.write(expect, document) {
-                WriteAnswer::Written
+                WriteResult::Written
             } else {
-                WriteAnswer::Conflict
+                WriteResult::Conflict
             }
         }
     }
--- a/mustardrill_core/tests/naming_doubts.rs
+++ b/mustardrill_core/tests/naming_doubts.rs
@@ -91,13 +91,13 @@
 /// The entry's clock starts with its process, so the first moment that it knows is recent.
 #[test]
 fn a_just_started_entry_grants_superseded_weights_a_second_bound() {
-    let started = Moment::FIRST + Millis(300);
+    let started = Moment::CLOCK_START + Millis(300);
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = vec![configured(), version_announced(1), peer(), engine(1), version_announced(2)];
     let snapshot = FleetUpdate { is_snapshot: true, ..page(changes) };
-    reducer.reduce(started, DirectEvent::Fleet(snapshot, Moment::FIRST + Millis(280)));
+    reducer.reduce(started, DirectEvent::Fleet(snapshot, Moment::CLOCK_START + Millis(280)));
     assert_eq!(
-        send_request(&mut reducer, 1, Moment::FIRST + Millis(600)),
+        send_request(&mut reducer, 1, Moment::CLOCK_START + Millis(600)),
         None,
         "no peer reported that the version is new"
     );
@@ -110,11 +110,11 @@
     let changes = vec![configured(), peer(), engine(1), version_announced(2)];
     let snapshot = FleetUpdate { is_snapshot: true, ..page(changes) };
     reducer.reduce(
-        Moment::FIRST + Millis(300),
-        DirectEvent::Fleet(snapshot, Moment::FIRST + Millis(280)),
+        Moment::CLOCK_START + Millis(300),
+        DirectEvent::Fleet(snapshot, Moment::CLOCK_START + Millis(280)),
     );
     // What `NamingRow::word` makes of an age of 6.5 s that is received at 320 ms.
-    let now = Moment::FIRST + Millis(320);
+    let now = Moment::CLOCK_START + Millis(320);
     let moment_of_age = |age: u64| now - Millis(10) - Millis(age);
     let time = AnnouncementTime {
         earliest: moment_of_age(6_600),
@@ -122,7 +122,7 @@
         observed: Some(moment_of_age(6_500)),
     };
     reducer.reduce(now, DirectEvent::NamingsHeard(vec![announcement_report(2, time)]));
-    let late = Moment::FIRST + Millis(1_320);
+    let late = Moment::CLOCK_START + Millis(1_320);
     reducer.reduce(late, DirectEvent::Fleet(page(Vec::new()), late));
     assert_eq!(
         send_request(&mut reducer, 1, late),
--- a/mustardrill_core/tests/ownership.rs
+++ b/mustardrill_core/tests/ownership.rs
@@ -11,12 +11,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn settings(upstream_checks: bool) -> OwnerSettings {
+fn settings(upstream_checks_fencing: bool) -> OwnerSettings {
     OwnerSettings {
         lease: Millis(1_000),
         margin: Millis(300),
         longest_order: Millis(200),
-        upstream_checks,
+        upstream_checks_fencing,
         retry_after: Millis(50),
     }
 }
@@ -113,9 +113,9 @@
             let answer =
                 if step.is_served { key.answer(now, call) } else { OwnerAnswer::Unavailable };
             let answer = if step.is_lost { OwnerAnswer::Unavailable } else { answer };
-            agent.answered(Moment(now), answer, 0.5);
+            agent.record_result(Moment(now), answer, 0.5);
         }
-        if let Some(fence) = agent.may_order(Moment(now)) {
+        if let Some(fence) = agent.fence_for_order(Moment(now)) {
             pending.push((now + step.delay_ms, fence));
         }
     }
@@ -143,10 +143,14 @@
     let mut owner = OwnerLease::new(Moment(1), settings(false));
     assert_eq!(owner.due(Moment(1)), Some(OwnerCall::Acquire));
     let acquired = OwnerAnswer::Acquired { lease: LeaseId(3), fence: FencingNumber(3) };
-    owner.answered(Moment(10), acquired, 0.0);
-    assert_eq!(owner.may_order(Moment(100)), None, "an older holder's order may be in flight");
-    assert_eq!(owner.may_order(Moment(300)), Some(FencingNumber(3)));
-    assert_eq!(owner.may_order(Moment(5_000)), None);
+    owner.record_result(Moment(10), acquired, 0.0);
+    assert_eq!(
+        owner.fence_for_order(Moment(100)),
+        None,
+        "an older holder's order may be in flight"
+    );
+    assert_eq!(owner.fence_for_order(Moment(300)), Some(FencingNumber(3)));
+    assert_eq!(owner.fence_for_order(Moment(5_000)), None);
 }
 
 /// Counts the calls that a fleet makes in each second of an outage, each agent with its own jitter.
@@ -155,16 +159,16 @@
     for index in 0..fleet {
         let owner_settings = OwnerSettings { lease: Millis(10_000), ..OwnerSettings::default() };
         let mut owner = OwnerLease::new(Moment(1), owner_settings);
-        owner.set_fleet(fleet);
+        owner.set_fleet_size(fleet);
         owner.due(Moment(1));
         let acquired = OwnerAnswer::Acquired { lease: LeaseId(3), fence: FencingNumber(3) };
-        owner.answered(Moment(1), acquired, index as f64 / fleet as f64);
+        owner.record_result(Moment(1), acquired, index as f64 / fleet as f64);
         for now in (1..seconds * 1_000).step_by(10) {
             if owner.due(Moment(now)).is_some() {
                 calls_per_second[now as usize / 1_000] += 1;
                 let jitter = (index as u64 * 7_919 + now) % 1_000;
                 let answer = OwnerAnswer::Unavailable;
-                owner.answered(Moment(now), answer, jitter as f64 / 1_000.0);
+                owner.record_result(Moment(now), answer, jitter as f64 / 1_000.0);
             }
         }
     }
@@ -192,14 +196,14 @@
     let mut owner = OwnerLease::new(Moment(1), settings(true));
     owner.due(Moment(1));
     let acquired = OwnerAnswer::Acquired { lease: LeaseId(3), fence: FencingNumber(3) };
-    owner.answered(Moment(10), acquired, 0.0);
+    owner.record_result(Moment(10), acquired, 0.0);
     for now in (400..60_000).step_by(100) {
         if owner.due(Moment(now)).is_some() {
-            owner.answered(Moment(now), OwnerAnswer::Unavailable, 0.0);
+            owner.record_result(Moment(now), OwnerAnswer::Unavailable, 0.0);
         }
     }
-    assert_eq!(owner.may_order(Moment(60_000)), Some(FencingNumber(3)));
+    assert_eq!(owner.fence_for_order(Moment(60_000)), Some(FencingNumber(3)));
     assert_eq!(owner.due(Moment(61_000)), Some(OwnerCall::Renew(LeaseId(3))));
-    owner.answered(Moment(61_000), OwnerAnswer::Lapsed, 0.0);
-    assert_eq!(owner.may_order(Moment(61_001)), None);
+    owner.record_result(Moment(61_000), OwnerAnswer::Lapsed, 0.0);
+    assert_eq!(owner.fence_for_order(Moment(61_001)), None);
 }
--- a/mustardrill_core/tests/transfers.rs
+++ b/mustardrill_core/tests/transfers.rs
@@ -286,14 +286,14 @@
 fn a_manifest_that_is_not_the_pinned_one_is_refused() {
     let manifest = manifest();
     let bytes = manifest.encode();
-    assert_eq!(Manifest::open(&bytes, manifest.digest()).as_ref(), Ok(&manifest));
+    assert_eq!(Manifest::decode_verified(&bytes, manifest.digest()).as_ref(), Ok(&manifest));
     let mut other = bytes.clone();
     let place = other.len() / 2;
     other[place] ^= 1;
-    let error = Manifest::open(&other, manifest.digest()).unwrap_err();
+    let error = Manifest::decode_verified(&other, manifest.digest()).unwrap_err();
     assert!(matches!(error, ManifestError::WrongDigest { .. }), "{error}");
     let short = Manifest { chunks: manifest.chunks[1..].to_vec(), ..manifest.clone() };
-    let error = Manifest::open(&short.encode(), short.digest()).unwrap_err();
+    let error = Manifest::decode_verified(&short.encode(), short.digest()).unwrap_err();
     assert!(matches!(error, ManifestError::Malformed { .. }), "{error}");
     assert!(manifest.verifies(ChunkIndex(0), &[0, 1, 2, 3]));
     assert!(!manifest.verifies(ChunkIndex(0), &[0, 1, 2, 4]));
--- a/mustardrill_core/tests/wrong_edits.rs
+++ b/mustardrill_core/tests/wrong_edits.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{V1, V2, document_with, drafts, facts, model_text, request};
-use mustardrill_core::catalogue::{read_drafts, write_document};
+use mustardrill_core::catalogue::{format_document, parse_drafts};
 use mustardrill_core::document::CatalogueDocument;
 use mustardrill_core::edit::{EditChange, apply_edit};
 use mustardrill_core::rule::EditRule;
@@ -12,7 +12,7 @@
 
 /// The rules, with their lines, for which a file is refused when the operator `ana` submits it.
 fn rules_violated(document: &CatalogueDocument, text: &str) -> Vec<(EditRule, usize)> {
-    let refusals = match read_drafts("edit.ini", text) {
+    let refusals = match parse_drafts("edit.ini", text) {
         Err(refusals) => refusals,
         Ok(drafts) => apply_edit(document, &request(9, "ana", drafts), &facts())
             .expect_err("the edit is wrong"),
@@ -195,7 +195,7 @@
 #[test]
 fn refusal_names_line_and_remedy() {
     let found =
-        read_drafts("edit.ini", "[model drafts]\nowner = ana\n\nreplica = 2\n").unwrap_err();
+        parse_drafts("edit.ini", "[model drafts]\nowner = ana\n\nreplica = 2\n").unwrap_err();
     let unknown = found.iter().find(|refusal| refusal.rule == EditRule::UnknownKey).unwrap();
     assert_eq!(unknown.line, 4);
     assert!(unknown.to_string().contains("did you mean replicas?"), "{unknown}");
@@ -255,7 +255,7 @@
         .collect();
     let document = document_with(&format!("{}\n{plain}", model_text()));
     // Both edits start from the same output of `catalogue show`, and each changes another entry.
-    let shown = write_document(&document);
+    let shown = format_document(&document);
     let first = shown.replacen("in_flight = 10", "in_flight = 20", 1);
     let at = shown.rfind("in_flight = 10").unwrap();
     let second = format!("{}in_flight = 30{}", &shown[..at], &shown[at + "in_flight = 10".len()..]);
@@ -286,7 +286,7 @@
 #[test]
 fn shown_catalogue_parses_back_to_the_same_entries() {
     let document = document_with(&model_text());
-    let drafts = read_drafts("shown", &write_document(&document)).unwrap();
+    let drafts = parse_drafts("shown", &format_document(&document)).unwrap();
     let entry = &document.entries[&drafts[0].name];
     assert!(drafts[0].content.as_ref().unwrap().matches(entry));
     let decoded = CatalogueDocument::decode(&document.encode()).unwrap();
--- a/mustardrill_entry/src/editor.rs
+++ b/mustardrill_entry/src/editor.rs
@@ -5,11 +5,11 @@
 use kameo::prelude::*;
 use log::{info, warn};
 use mustardrill_core::document::CatalogueDocument;
-use mustardrill_core::edit::{EditChange, EditRequest, FleetFacts, VersionFact, apply_edit};
+use mustardrill_core::edit::{EditChange, EditRequest, FleetFacts, PublishedVersion, apply_edit};
 use mustardrill_core::entry::EntryEvent;
 use mustardrill_core::manifest::Manifest;
 use mustardrill_core::rule::EditRefusal;
-use mustardrill_core::session::{EditOutcome, EditSession, SessionStep, WriteAnswer};
+use mustardrill_core::session::{EditOutcome, EditSession, SessionStep, WriteResult};
 use mustardrill_runtime::platform::{KeyValueError, VersionedValue};
 use mustardrill_types::{EditId, Millis};
 
@@ -63,7 +63,7 @@
                 }
                 SessionStep::Write { expect, document } => {
                     let answer = self.write(expect, &document).await;
-                    session.written(self.context.clock.now(), answer)
+                    session.handle_write(self.context.clock.now(), answer)
                 }
                 SessionStep::Done(outcome, document) => {
                     self.announce(document).await;
@@ -98,16 +98,16 @@
             None => FleetFacts::default(),
         };
         let found = found.as_ref().map(|(document, revision)| (document, *revision));
-        session.read(self.context.clock.now(), found, &facts)
+        session.handle_read(self.context.clock.now(), found, &facts)
     }
 
-    async fn write(&self, expect: u64, document: &CatalogueDocument) -> WriteAnswer {
+    async fn write(&self, expect: u64, document: &CatalogueDocument) -> WriteResult {
         let bytes = document.encode().into();
         match self.context.key_value.write(CATALOGUE_KEY, bytes, expect, None).await {
-            Ok(_) => WriteAnswer::Written,
-            Err(KeyValueError::Conflict) => WriteAnswer::Conflict,
-            Err(KeyValueError::NotSent(_)) => WriteAnswer::NotSent,
-            Err(_) => WriteAnswer::Unknown,
+            Ok(_) => WriteResult::Written,
+            Err(KeyValueError::Conflict) => WriteResult::Conflict,
+            Err(KeyValueError::NotSent(_)) => WriteResult::NotSent,
+            Err(_) => WriteResult::Unknown,
         }
     }
 
@@ -133,12 +133,12 @@
             }
             let found = self.context.origin.manifest(&draft.name, version, MANIFEST_TIMEOUT).await;
             let Ok(Some(bytes)) = found else { continue };
-            if let Ok(manifest) = Manifest::read(&bytes)
+            if let Ok(manifest) = Manifest::decode(&bytes)
                 && manifest.model == draft.name
                 && manifest.version == *version
             {
                 let manifest_digest = mustardrill_types::ManifestDigest::of(&bytes);
-                let fact = VersionFact { manifest: manifest_digest, size: manifest.size };
+                let fact = PublishedVersion { manifest: manifest_digest, size: manifest.size };
                 facts.versions.insert((draft.name.clone(), version.clone()), fact);
             }
         }
--- a/mustardrill_entry/src/operators.rs
+++ b/mustardrill_entry/src/operators.rs
@@ -8,9 +8,9 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode, Uri};
 use kameo::prelude::*;
-use mustardrill_core::catalogue::{read_drafts, write_document};
+use mustardrill_core::catalogue::{format_document, parse_drafts};
 use mustardrill_core::document::CatalogueDocument;
-use mustardrill_core::edit::{DOCUMENT_LIMIT, EditChange, EditRequest, differences};
+use mustardrill_core::edit::{EditChange, EditRequest, MAX_DOCUMENT_BYTES, differences};
 use mustardrill_core::rule::{EditRefusal, EditRule};
 use mustardrill_core::session::EditOutcome;
 use mustardrill_runtime::http::{AnyResponse, HttpHandler, json_response, query, text_response};
@@ -57,7 +57,7 @@
             return coded(ResultCode::OperatorRefused, json!({ "message": message }));
         };
         let (head, body) = request.into_parts();
-        let body = Limited::new(body, DOCUMENT_LIMIT).collect().await;
+        let body = Limited::new(body, MAX_DOCUMENT_BYTES).collect().await;
         let Ok(body) = body.map(http_body_util::Collected::to_bytes) else {
             return text_response(StatusCode::PAYLOAD_TOO_LARGE, "the file is too large\n");
         };
@@ -92,7 +92,7 @@
         }
         let note = "; the key-value service does not answer: this is what is in force here\n";
         let note = if is_newest { "" } else { note };
-        text_response(StatusCode::OK, format!("{note}{}", write_document(&document)))
+        text_response(StatusCode::OK, format!("{note}{}", format_document(&document)))
     }
 
     async fn history(&self) -> AnyResponse {
@@ -157,7 +157,7 @@
 
 fn request_of(operator: Box<str>, uri: &Uri, text: &str) -> Result<EditRequest, Vec<EditRefusal>> {
     let file = query(uri, "file").unwrap_or("file");
-    let change = EditChange::Drafts(read_drafts(file, text)?);
+    let change = EditChange::Drafts(parse_drafts(file, text)?);
     Ok(EditRequest { id: edit_id(uri), operator, change })
 }
 
--- a/mustardrill_runtime/src/clock.rs
+++ b/mustardrill_runtime/src/clock.rs
@@ -23,7 +23,7 @@
 
     /// The present moment; never zero, so that zero can stand for "not yet" or "long ago".
     pub fn now(&self) -> Moment {
-        Moment::FIRST + Millis(since_boot().saturating_sub(self.start).as_millis() as u64)
+        Moment::CLOCK_START + Millis(since_boot().saturating_sub(self.start).as_millis() as u64)
     }
 
     /// The wall clock in seconds; only the retention of claims looks at it.
--- a/mustardrill_runtime/src/settings.rs
+++ b/mustardrill_runtime/src/settings.rs
@@ -181,7 +181,7 @@
             .file
             .sections
             .iter()
-            .filter_map(|section| Some((section.name.clone(), section.duplicate()?.clone())))
+            .filter_map(|section| Some((section.name.clone(), section.first_duplicate()?.clone())))
             .collect();
         for (section, key) in duplicates {
             let message = format!("[{section}] {} stands twice; keep one line", key.name);
--- a/mustardrill_standins/tests/docs.rs
+++ b/mustardrill_standins/tests/docs.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use mustardrill_core::catalogue::read_drafts;
+use mustardrill_core::catalogue::parse_drafts;
 use mustardrill_core::rule::EditRule;
 use mustardrill_runtime::metrics::METRICS;
 use mustardrill_runtime::settings::SettingsReader;
@@ -96,7 +96,7 @@
         outcome.settings.unwrap();
     }
     let name = "settings/sello-limpio-catalogue.ini";
-    assert_eq!(read_drafts(name, &read(name)).unwrap().len(), 3);
+    assert_eq!(parse_drafts(name, &read(name)).unwrap().len(), 3);
 }
 
 #[test]
--- a/mustardrill_types/src/time.rs
+++ b/mustardrill_types/src/time.rs
@@ -35,7 +35,7 @@
 impl Moment {
     /// The value with which the clock of each process starts, 24 hours above zero. This leaves room
     /// for events that other processes report from before the start; zero stands for long ago.
-    pub const FIRST: Self = Self(86_400_000);
+    pub const CLOCK_START: Self = Self(86_400_000);
 
     /// The span since `earlier`; zero if `earlier` is after `self`.
     pub fn since(self, earlier: Self) -> Millis {
