--- a/mustardrill_core/src/direct/admit.rs
+++ b/mustardrill_core/src/direct/admit.rs
@@ -1,63 +1,74 @@
-//! Whether a request may be served, by the configuration and the proof that it is the newest.
+//! Admission: whether a request may be served under the configuration, which must be confirmed as
+//! current.
 
 use log::info;
 use mustardrill_types::{Millis, Moment, ResultCode, ServiceName};
 use rand::Rng;
 
 use crate::direct::event::{DirectEffect, DirectRequest, RefusalPlan, RequestNumber};
-use crate::direct::placing::forecast::EngineForecast;
+use crate::direct::placement::forecast::EngineForecast;
 use crate::direct::reducer::DirectReducer;
 use crate::direct::request::RequestState;
 use crate::direct::route::{CustomerRecord, RouteDocument, RouteRule};
 
-/// When a caller may come back to an entry that has no proof of its configuration.
+/// When a caller may retry at an entry whose configuration is not confirmed as current.
 ///
-/// Another entry may have one, and the balancer gives each new connection to another.
-const PROOF_RETRY: Millis = Millis(300);
+/// Another entry may have a current one, and the load balancer gives each new connection to another
+/// entry.
+const NOT_CURRENT_RETRY: Millis = Millis(300);
 
 impl DirectReducer {
-    /// Takes a request that came now: begins it, holds it for the store's answer, or refuses it.
-    pub(super) fn arrived(&mut self, now: Moment, request: DirectRequest) -> Vec<DirectEffect> {
-        // The store is about to answer, as far as is known.
-        let may_hold = !self.store_away;
-        self.take(now, request, may_hold)
+    /// Admits a new request, holds it until the store answers, or refuses it.
+    pub(super) fn admit_arrival(
+        &mut self,
+        now: Moment,
+        request: DirectRequest,
+    ) -> Vec<DirectEffect> {
+        // The store is expected to answer soon.
+        let may_hold = !self.is_store_unreachable;
+        self.admit_or_hold(now, request, may_hold)
     }
 
-    /// Begins or refuses a request that was held.
+    /// Admits or refuses a request that was held.
     pub(super) fn release_held(
         &mut self,
         now: Moment,
         request: DirectRequest,
     ) -> Vec<DirectEffect> {
-        self.take(now, request, false)
+        self.admit_or_hold(now, request, false)
     }
 
-    fn take(&mut self, now: Moment, request: DirectRequest, may_hold: bool) -> Vec<DirectEffect> {
+    fn admit_or_hold(
+        &mut self,
+        now: Moment,
+        request: DirectRequest,
+        may_hold: bool,
+    ) -> Vec<DirectEffect> {
         let document = self.document.clone();
-        match self.judge(now, document.as_deref(), &request) {
-            Ok((route, customer)) => self.begin(now, request, route, customer),
+        match self.check_admission(now, document.as_deref(), &request) {
+            Ok((route, customer)) => self.begin_request(now, request, route, customer),
             Err(plan) if may_hold && plan.code == ResultCode::NotCurrent => {
-                info!("request={} decision=hold reason=not-current", request.attempt);
-                self.held.hold(request);
+                info!("request={} decision=hold reason=not-current", request.attempt_id);
+                self.held_requests.hold(request);
                 Vec::new()
             }
-            Err(plan) => self.turn_away(now, &request, plan),
+            Err(plan) => self.refuse_arrival(now, &request, plan),
         }
     }
 
-    /// Begins or refuses all requests that were held.
+    /// Admits or refuses all held requests.
     pub(super) fn release_all_held(&mut self, now: Moment) -> Vec<DirectEffect> {
-        let held = self.held.take_all();
+        let held = self.held_requests.take_all();
         held.flat_map(|request| self.release_held(now, request)).collect()
     }
 
-    /// Whether a configuration is proved to be the newest, and the others know no newer one.
+    /// Whether the configuration is confirmed as current and no peer reports a newer one.
     pub(super) fn is_current(&self, now: Moment, document: &RouteDocument) -> bool {
-        self.config_proof.is_fresh(now, self.settings.proof_limit)
-            && self.word.allows(now, document.generation)
+        self.config_freshness.is_fresh(now, self.settings.freshness_limit)
+            && self.peer_generation.allows(now, document.generation)
     }
 
-    fn begin(
+    fn begin_request(
         &mut self,
         now: Moment,
         request: DirectRequest,
@@ -65,18 +76,18 @@
         customer: Option<&CustomerRecord>,
     ) -> Vec<DirectEffect> {
         let number = request.number;
-        let service = route.service_for(self.random.random()).clone();
-        let window = self.windows.entry(service.clone()).or_default();
-        window.record_request(now, &self.settings.retry);
+        let service = route.choose_service(self.random.random()).clone();
+        let window = self.retry_windows.entry(service.clone()).or_default();
+        window.record_request(now, &self.settings.retry_share);
         let customer = customer.map(|customer| (customer.name.clone(), customer.priority));
-        let profile = self.profile(&service);
-        let large = profile.is_some_and(|it| EngineForecast::new(it).is_large(request.size));
-        let state = RequestState::new(request, route, service, customer, large);
+        let profile = self.engine_profile(&service);
+        let is_large = profile.is_some_and(|it| EngineForecast::new(it).is_large(request.size));
+        let state = RequestState::new(request, route, service, customer, is_large);
         self.requests.insert(number, state);
-        self.hold_suspect(now, number).unwrap_or_else(|| self.start(now, number))
+        self.hold_suspect(now, number).unwrap_or_else(|| self.dispatch_or_queue(now, number))
     }
 
-    fn turn_away(
+    fn refuse_arrival(
         &self,
         now: Moment,
         request: &DirectRequest,
@@ -84,16 +95,17 @@
     ) -> Vec<DirectEffect> {
         info!(
             "request={} decision=refuse code={} generation={} proof_age={}",
-            request.attempt,
+            request.attempt_id,
             plan.code,
             self.document.as_ref().map_or(0, |document| document.generation.0),
-            self.config_proof.age(now).map_or(-1, |age| age.0 as i64),
+            self.config_freshness.age(now).map_or(-1, |age| age.0 as i64),
         );
         vec![DirectEffect::Refuse(request.number, plan)]
     }
 
-    /// Checks who calls and what: the route and the customer of a request that may be served.
-    fn judge<'a>(
+    /// Checks the caller and the path. Returns the route and the customer of a request that may be
+    /// served.
+    fn check_admission<'a>(
         &self,
         now: Moment,
         document: Option<&'a RouteDocument>,
@@ -101,54 +113,59 @@
     ) -> Result<(&'a RouteRule, Option<&'a CustomerRecord>), RefusalPlan> {
         let refuse = |code| {
             let is_stale = code == ResultCode::NotCurrent;
-            RefusalPlan { code, retry_after: if is_stale { PROOF_RETRY } else { Millis(0) } }
+            RefusalPlan { code, retry_after: if is_stale { NOT_CURRENT_RETRY } else { Millis(0) } }
         };
         let document = document.ok_or(refuse(ResultCode::NotCurrent))?;
         let is_fresh = self.is_current(now, document);
-        let allowed =
-            allow(document, is_fresh, &request.host, &request.path, request.key.as_deref());
+        let allowed = check_access(
+            document,
+            is_fresh,
+            &request.host,
+            &request.path,
+            request.api_key.as_deref(),
+        );
         allowed.map_err(refuse)
     }
 
-    /// Whether a request that was admitted earlier may still be sent under the configuration in
-    /// force; moves it to another service where its route moved, and to another customer where its
-    /// key did.
+    /// Checks again, under the configuration in force, whether an admitted request may be sent.
+    /// Assigns it to another service or customer where its route or its key now belongs to another.
     pub(super) fn readmit(&mut self, now: Moment, number: RequestNumber) -> Result<(), ResultCode> {
         let document = self.document.clone().ok_or(ResultCode::NotCurrent)?;
         let is_fresh = self.is_current(now, &document);
         let Some(state) = self.requests.get_mut(&number) else { return Err(ResultCode::Withdrawn) };
-        let key = state.key.as_deref();
-        let (route, customer) = allow(&document, is_fresh, &state.host, &state.path, key)?;
+        let key = state.api_key.as_deref();
+        let (route, customer) = check_access(&document, is_fresh, &state.host, &state.path, key)?;
         state.customer = customer.map(|customer| customer.name.clone());
-        if !serves(route, &state.service) && !state.delivered {
-            state.service = route.service_for(self.random.random()).clone();
+        if !splits_to(route, &state.service) && !state.has_delivered {
+            state.service = route.choose_service(self.random.random()).clone();
         }
         Ok(())
     }
 }
 
-/// Checks who calls and what, under a configuration that is proved to be the newest or is not.
-fn allow<'a>(
+/// Checks the caller and the path. `is_fresh` tells whether the configuration is confirmed as
+/// current.
+fn check_access<'a>(
     document: &'a RouteDocument,
     is_fresh: bool,
     host: &str,
     path: &str,
     key: Option<&str>,
 ) -> Result<(&'a RouteRule, Option<&'a CustomerRecord>), ResultCode> {
-    // What an older configuration does not know, the newest one may.
+    // The newest configuration may know what this older one does not.
     let unknown = |code| if is_fresh { code } else { ResultCode::NotCurrent };
     let route = document.route(host, path).ok_or(unknown(ResultCode::UnknownModel))?;
     let customer = key.and_then(|key| document.customer(key));
-    if customer.is_none() && !route.public && document.has_customers() {
+    if customer.is_none() && !route.is_public && document.has_customers() {
         return Err(unknown(ResultCode::UnknownCustomer));
     }
-    // A key may have been taken away since the last proof.
+    // A key may have been revoked since the configuration was last confirmed.
     if customer.is_some() && !is_fresh {
         return Err(ResultCode::NotCurrent);
     }
     Ok((route, customer))
 }
 
-fn serves(route: &RouteRule, service: &ServiceName) -> bool {
-    route.split.iter().any(|(name, _)| name == service)
+fn splits_to(route: &RouteRule, service: &ServiceName) -> bool {
+    route.traffic_split.iter().any(|(name, _)| name == service)
 }
--- a/mustardrill_core/src/direct/fleet/peer_loads.rs
+++ b/mustardrill_core/src/direct/fleet/peer_loads.rs
@@ -30,17 +30,17 @@
     pub(crate) fn apply_update(&mut self, now: Moment, load: PeerLoad) {
         let peer = self.peers.entry(load.from).or_default();
         peer.reported_at = now;
-        peer.waiting = load.news.waiting.into_iter().collect();
-        if load.news.is_snapshot {
+        peer.waiting = load.update.waiting.into_iter().collect();
+        if load.update.is_snapshot {
             peer.loads.drain().for_each(|(id, before)| subtract(&mut self.totals, &id, before));
         }
-        for (id, load) in load.news.rows {
+        for (id, load) in load.update.rows {
             if let Some(before) = peer.loads.insert(id.clone(), load) {
                 subtract(&mut self.totals, &id, before);
             }
             let total = self.totals.entry(id).or_default();
             total.requests += load.requests;
-            total.reading = Millis(total.reading.0 + load.reading.0);
+            total.pending_prefill = Millis(total.pending_prefill.0 + load.pending_prefill.0);
         }
     }
 
@@ -80,7 +80,7 @@
 fn subtract(totals: &mut FastMap<InstanceId, UpstreamLoad>, id: &InstanceId, load: UpstreamLoad) {
     let Some(total) = totals.get_mut(id) else { return };
     total.requests = total.requests.saturating_sub(load.requests);
-    total.reading = Millis(total.reading.0.saturating_sub(load.reading.0));
+    total.pending_prefill = Millis(total.pending_prefill.0.saturating_sub(load.pending_prefill.0));
     if *total == UpstreamLoad::default() {
         totals.remove(id);
     }
--- a/mustardrill_core/src/direct/fleet/upstream_table.rs
+++ b/mustardrill_core/src/direct/fleet/upstream_table.rs
@@ -265,7 +265,7 @@
         let peers = self.peer_loads.total_at(id);
         UpstreamLoad {
             requests: own.requests + peers.requests,
-            reading: Millis(own.reading.0 + peers.reading.0),
+            pending_prefill: Millis(own.pending_prefill.0 + peers.pending_prefill.0),
         }
     }
 
@@ -281,15 +281,16 @@
         if let Some(state) = self.incarnation_mut(start) {
             state.own_load.requests += 1;
             state.sent_since_freed += 1;
-            state.own_load.reading = Millis(state.own_load.reading.0 + prefill_time.0);
+            state.own_load.pending_prefill =
+                Millis(state.own_load.pending_prefill.0 + prefill_time.0);
         }
     }
 
     /// Records that an upstream has completed the prefill of a request, or never will.
     pub(crate) fn record_prefill_end(&mut self, start: &UpstreamStart, prefill_time: Millis) {
         if let Some(state) = self.incarnation_mut(start) {
-            state.own_load.reading =
-                Millis(state.own_load.reading.0.saturating_sub(prefill_time.0));
+            state.own_load.pending_prefill =
+                Millis(state.own_load.pending_prefill.0.saturating_sub(prefill_time.0));
         }
     }
 
--- a/mustardrill_core/tests/budgets.rs
+++ b/mustardrill_core/tests/budgets.rs
@@ -18,7 +18,7 @@
 
 fn settings(own: usize) -> DirectSettings {
     let retry = RetryShare { ratio: 0.0, allowance: ALLOWANCE, window: WINDOW };
-    DirectSettings { own: entry_id(own), retry, ..common::direct_settings() }
+    DirectSettings { own_id: entry_id(own), retry_share: retry, ..common::direct_settings() }
 }
 
 /// An entry that knows of `entries` in total, including itself.
@@ -38,7 +38,7 @@
 ) {
     let page =
         FleetUpdate { changes, revision: StoreRevision(1), is_snapshot, ..FleetUpdate::default() };
-    reducer.reduce(now, DirectEvent::Fleet(page, now));
+    reducer.reduce(now, DirectEvent::StoreAnswered(page, now));
 }
 
 /// How often the entry retries at `now` when every attempt is lost.
@@ -46,12 +46,12 @@
     let mut retries = 0;
     for number in numbers {
         let request = common::desk_request(number, now);
-        reducer.reduce(now, DirectEvent::Arrived(request));
+        reducer.reduce(now, DirectEvent::RequestArrived(request));
         let lost = AttemptOutcome::Lost { delivered: false, crashed: false };
-        let effects = reducer.reduce(now, DirectEvent::Ended(RequestNumber(number), lost));
+        let effects = reducer.reduce(now, DirectEvent::AttemptEnded(RequestNumber(number), lost));
         let is_send = |effect: &&DirectEffect| matches!(effect, DirectEffect::Send(..));
         retries += effects.iter().filter(is_send).count();
-        reducer.reduce(now, DirectEvent::Gone(RequestNumber(number)));
+        reducer.reduce(now, DirectEvent::CallerGone(RequestNumber(number)));
     }
     retries
 }
@@ -93,8 +93,8 @@
     let mut reducer = entry_of(1);
     for index in 1..36 {
         let news = LoadUpdate { rows: Vec::new(), is_snapshot: true, waiting: Vec::new() };
-        let load = PeerLoad { from: entry_id(index), news };
-        reducer.reduce(START, DirectEvent::PeerHeard(load));
+        let load = PeerLoad { from: entry_id(index), update: news };
+        reducer.reduce(START, DirectEvent::PeerLoadReceived(load));
     }
     assert_eq!(count_retries(&mut reducer, START, 1..300), 5);
 }
--- a/mustardrill_core/tests/departures.rs
+++ b/mustardrill_core/tests/departures.rs
@@ -39,13 +39,13 @@
 }
 
 fn apply_answer(reducer: &mut DirectReducer, at: Moment, changes: Vec<FleetChange>) {
-    reducer.reduce(at, DirectEvent::Fleet(fleet_update(changes), at));
+    reducer.reduce(at, DirectEvent::StoreAnswered(fleet_update(changes), at));
 }
 
 /// An entry that got its first answer at `START`.
 fn entry(number: u16) -> DirectReducer {
     let own = format!("entry-{number}").parse().unwrap();
-    let settings = DirectSettings { own, ..common::direct_settings() };
+    let settings = DirectSettings { own_id: own, ..common::direct_settings() };
     let mut reducer = DirectReducer::new(settings, u64::from(number));
     apply_answer(&mut reducer, START, common::desk_fleet(UPSTREAMS));
     reducer
@@ -88,7 +88,7 @@
     let back = START + Millis(5_000);
     let mut reducer = entry_after_outage(Millis(5_000), 0..UPSTREAMS);
     reducer.reduce(back + Millis(500), DirectEvent::StoreFailed);
-    reducer.reduce(back + Millis(2_500), DirectEvent::Woke);
+    reducer.reduce(back + Millis(2_500), DirectEvent::TimerFired);
     assert_eq!(common::reached_desks(&mut reducer, UPSTREAMS, back + Millis(2_500)).len(), 6);
     apply_answer(&mut reducer, back + Millis(4_000), Vec::new());
     assert_eq!(
@@ -104,7 +104,7 @@
     let mut reducer = entry_after_outage(Millis(5_000), 0..3);
     assert_eq!(common::reached_desks(&mut reducer, UPSTREAMS, back).len(), 6);
     let span = AvailabilitySpan { since: Moment(0), until: back - Millis(900) };
-    reducer.reduce(back, DirectEvent::ContactHeard(span));
+    reducer.reduce(back, DirectEvent::AvailabilityReceived(span));
     assert_eq!(common::reached_desks(&mut reducer, UPSTREAMS, back), (3..6).map(desk_id).collect());
 }
 
@@ -280,7 +280,7 @@
 
 impl SimulatedEntry {
     fn advance(&mut self, now: Moment, registry: &Registry, is_cut_off: bool, is_store_down: bool) {
-        self.reducer.reduce(now, DirectEvent::Woke);
+        self.reducer.reduce(now, DirectEvent::TimerFired);
         match self.call {
             CallState::Idle { until } if now >= until => {
                 let span = self.reader.next_watch(now, WATCH, REREGISTRATION_GRACE);
@@ -318,7 +318,7 @@
         }
         self.call = CallState::Idle { until: now };
         if let Some(outcome) = self.reader.record_answer(now, sent, span, &update) {
-            self.reducer.reduce(now, DirectEvent::Fleet(update, outcome.confirmed_at));
+            self.reducer.reduce(now, DirectEvent::StoreAnswered(update, outcome.confirmed_at));
         }
     }
 }
@@ -364,11 +364,12 @@
             entry.advance(now, &registry, has_outage(outages, now), is_store_down);
         }
         if now.since(START).0.is_multiple_of(500) {
-            let spans: Vec<_> = entries.iter().map(|entry| entry.reducer.answer_span()).collect();
+            let spans: Vec<_> =
+                entries.iter().map(|entry| entry.reducer.store_availability_span()).collect();
             for (number, entry) in entries.iter_mut().enumerate() {
                 let peers = spans.iter().enumerate().filter(|(other, _)| *other != number);
                 for span in peers.filter_map(|(_, span)| *span) {
-                    entry.reducer.reduce(now, DirectEvent::ContactHeard(span));
+                    entry.reducer.reduce(now, DirectEvent::AvailabilityReceived(span));
                 }
             }
         }
--- a/mustardrill_core/tests/quarantine.rs
+++ b/mustardrill_core/tests/quarantine.rs
@@ -30,24 +30,24 @@
         is_snapshot: false,
         ..FleetUpdate::default()
     };
-    reducer.reduce(START, DirectEvent::Fleet(page, START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(page, START));
     reducer
 }
 
 fn request(number: u64, path: &str, now: Moment) -> DirectRequest {
     DirectRequest {
         path: path.into(),
-        content: RequestDigest::of(&[path.as_bytes()]),
+        content_digest: RequestDigest::of(&[path.as_bytes()]),
         ..common::desk_request(number, now)
     }
 }
 
 fn arrive(reducer: &mut DirectReducer, now: Moment, number: u64, path: &str) -> Vec<DirectEffect> {
-    reducer.reduce(now, DirectEvent::Arrived(request(number, path, now)))
+    reducer.reduce(now, DirectEvent::RequestArrived(request(number, path, now)))
 }
 
 fn end_attempt(reducer: &mut DirectReducer, now: Moment, number: u64, outcome: AttemptOutcome) {
-    reducer.reduce(now, DirectEvent::Ended(RequestNumber(number), outcome));
+    reducer.reduce(now, DirectEvent::AttemptEnded(RequestNumber(number), outcome));
 }
 
 /// The digest of requests to a path, as an entry reports it when an upstream crashes under one.
@@ -75,12 +75,12 @@
         sent,
         ended: now,
     };
-    reducer.reduce(now, DirectEvent::CrashHeard(CrashReport::Crashed(run)));
+    reducer.reduce(now, DirectEvent::CrashReportReceived(CrashReport::Crashed(run)));
 }
 
 /// Whether a request that arrives now is sent to an upstream, and not refused as quarantined.
 fn is_sent_to_upstream(reducer: &mut DirectReducer, now: Moment, number: u64, path: &str) -> bool {
-    reducer.reduce(now, DirectEvent::Woke);
+    reducer.reduce(now, DirectEvent::TimerFired);
     let effects = arrive(reducer, now, number, path);
     match &effects[..] {
         [DirectEffect::Refuse(_, plan), ..] => {
@@ -170,7 +170,7 @@
 #[test]
 fn a_verdict_of_one_entry_applies_at_all() {
     let mut reducer = entry(1);
-    let limit = 1 + common::direct_settings().ahead + 4;
+    let limit = 1 + common::direct_settings().requests_ahead + 4;
     let mut waiting = Vec::new();
     for number in 1..=u64::from(limit) {
         let effects = arrive(&mut reducer, START, number, "/cause");
@@ -181,7 +181,7 @@
     assert!(!waiting.is_empty());
     let report = CrashReport::Quarantined(digest_of("/cause"), Millis(60_000));
     let received_at = START + Millis(10);
-    let effects = reducer.reduce(received_at, DirectEvent::CrashHeard(report));
+    let effects = reducer.reduce(received_at, DirectEvent::CrashReportReceived(report));
     let refused: Vec<_> = effects
         .iter()
         .filter_map(|effect| match effect {
@@ -192,7 +192,7 @@
         })
         .collect();
     assert_eq!(refused, waiting);
-    assert!(effects.iter().any(|effect| matches!(effect, DirectEffect::KeepQuarantine(..))));
+    assert!(effects.iter().any(|effect| matches!(effect, DirectEffect::StoreQuarantine(..))));
     assert!(!is_sent_to_upstream(&mut reducer, received_at, 100, "/cause"));
 }
 
@@ -208,14 +208,14 @@
         now = now + Millis(100);
         let crashed = AttemptOutcome::Lost { delivered: false, crashed: true };
         end_attempt(&mut reducer, now, number, crashed);
-        reducer.reduce(now, DirectEvent::Gone(RequestNumber(number)));
+        reducer.reduce(now, DirectEvent::CallerGone(RequestNumber(number)));
     }
     now = now + SETTLED;
     assert!(!is_sent_to_upstream(&mut reducer, now, 10, "/sound"));
     let is_verdict = |report: &CrashReport| matches!(report, CrashReport::Quarantined(..));
     assert!(reducer.due_crash_reports(now).iter().any(is_verdict));
     let sound = CrashReport::Sound(digest_of("/sound"), now);
-    reducer.reduce(now + Millis(10), DirectEvent::CrashHeard(sound));
+    reducer.reduce(now + Millis(10), DirectEvent::CrashReportReceived(sound));
     let later = reducer.due_crash_reports(now + Millis(5_000));
     assert!(!later.iter().any(is_verdict), "{later:?}");
     assert!(is_sent_to_upstream(&mut reducer, now + Millis(5_000), 11, "/sound"));
@@ -327,7 +327,7 @@
                 let lost = AttemptOutcome::Lost { delivered: false, crashed: true };
                 end_attempt(&mut fleet[entry_index], now + Millis(5), number, lost);
                 fleet[entry_index]
-                    .reduce(now + Millis(5), DirectEvent::Gone(RequestNumber(number)));
+                    .reduce(now + Millis(5), DirectEvent::CallerGone(RequestNumber(number)));
             }
         }
         let due_reports: Vec<_> =
@@ -338,7 +338,7 @@
             for to in (0..entries).filter(|to| *to != from) {
                 if random.random() {
                     for report in reports.clone() {
-                        fleet[to].reduce(now + Millis(8), DirectEvent::CrashHeard(report));
+                        fleet[to].reduce(now + Millis(8), DirectEvent::CrashReportReceived(report));
                     }
                 }
             }
--- a/mustardrill_entry/src/direct/watch.rs
+++ b/mustardrill_entry/src/direct/watch.rs
@@ -48,7 +48,8 @@
     let mut gathering = ChangeCoalescer::default();
     loop {
         let sent = context.clock.now();
-        let span = reader.next_watch(sent, context.config.watch, context.config.direct.lapse_grace);
+        let span =
+            reader.next_watch(sent, context.config.watch, context.config.direct.expiry_grace);
         match read(&context, reader.revision(), span).await {
             Ok(page) => {
                 backoff.answered();
@@ -62,7 +63,8 @@
                     regained.notify_one();
                 }
                 let next = gathering.next_read(now, &page);
-                let _ = actor.tell(Event(DirectEvent::Fleet(page, outcome.confirmed_at))).await;
+                let _ =
+                    actor.tell(Event(DirectEvent::StoreAnswered(page, outcome.confirmed_at))).await;
                 tokio::time::sleep(next.pause.to_std()).await;
                 if next.is_snapshot {
                     reader.reset();
@@ -104,7 +106,7 @@
 /// The entry as the others and the agents know it.
 pub(crate) fn own_record(config: &DirectConfig) -> PeerRecord {
     PeerRecord {
-        id: config.direct.own.clone(),
+        id: config.direct.own_id.clone(),
         address: config.peer_listen,
         data_centre: config.direct.data_centre.clone(),
         link_mbps: config.link_mbps as u32,
