--- a/mustardrill_core/tests/naming_doubts.rs
+++ b/mustardrill_core/tests/naming_doubts.rs
@@ -95,7 +95,8 @@
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = vec![configured(), version_announced(1), peer(), engine(1), version_announced(2)];
     let snapshot = FleetUpdate { is_snapshot: true, ..page(changes) };
-    reducer.reduce(started, DirectEvent::StoreAnswered(snapshot, Moment::CLOCK_START + Millis(280)));
+    reducer
+        .reduce(started, DirectEvent::StoreAnswered(snapshot, Moment::CLOCK_START + Millis(280)));
     assert_eq!(
         send_request(&mut reducer, 1, Moment::CLOCK_START + Millis(600)),
         None,
