--- a/mustardrill_standins/tests/prepared/crash.rs
+++ b/mustardrill_standins/tests/prepared/crash.rs
@@ -1,4 +1,5 @@
-//! Engines that crash under a request, or for another reason, and what callers see of it.
+//! Engines that crash while they run a request, and the effect on callers: a request that crashes
+//! engines is quarantined, others are served.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,49 +15,49 @@
 use tokio::task::JoinHandle;
 
 use crate::fleet::{
-    caller_request, configuration, entry_settings, listen, machine, register, whole_stream,
+    caller_request, complete_stream, configuration, entry_settings, listen, machine_ip, register,
 };
 use crate::store::Store;
 use crate::worker::{CrashTrigger, Worker};
 
-/// The path of requests under which engines crash.
-pub const CRASHING: &str = "/drafts/crashing";
+/// Path of the requests that crash an engine.
+pub const CRASHING_PATH: &str = "/drafts/crashing";
 
-/// How long a machine has no engine after a crash.
-pub const RESTART: Duration = Duration::from_millis(400);
+/// Time between the crash of an engine and the start of the next one on its machine.
+pub const ENGINE_RESTART_DELAY: Duration = Duration::from_millis(400);
 
-/// Crashes that must be seen before a request can be held to be their cause.
-pub const LESSONS: usize = 3;
+/// Number of crashes that entries must observe before they may quarantine a request as their cause.
+pub const CRASHES_UNTIL_QUARANTINE: usize = 3;
 
-/// How often a request may reach engines after that.
-pub const MORE_REACHES: usize = 3;
+/// Number of further runs of such a request that are allowed after that.
+pub const LATE_RUNS_LIMIT: usize = 3;
 
-/// One machine, on which an engine starts again after each crash, under another id.
-struct Machine {
-    /// Dropping it refuses connections and ends those that are open, as a crash does.
+/// A machine that starts a new engine under another id after each crash.
+struct EngineHost {
+    /// Dropped on a crash: new connections are refused and open ones end.
     link: Option<LabLink>,
     address: SocketAddr,
     engine: Worker,
     crashes: usize,
-    _serving: StandIn,
+    _server: StandIn,
 }
 
-/// The machines; shared with the task that starts engines again.
-type Machines = Arc<Mutex<Vec<Machine>>>;
+/// Shared with the task that restarts engines.
+type EngineHosts = Arc<Mutex<Vec<EngineHost>>>;
 
-/// Entries before engines that crash.
+/// Entries in front of engines that crash on `CRASHING_PATH`.
 struct CrashFleet {
     entries: Vec<LabProcess>,
-    machines: Machines,
+    hosts: EngineHosts,
     folder: PathBuf,
     client: HttpClient,
-    restarting: JoinHandle<()>,
-    _store_at: StandIn,
+    restart_task: JoinHandle<()>,
+    store_server: StandIn,
 }
 
 impl Drop for CrashFleet {
     fn drop(&mut self) {
-        self.restarting.abort();
+        self.restart_task.abort();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -67,53 +68,61 @@
             std::env::temp_dir().join(format!("mustardrill-crash-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let store = Store::new();
-        let store_at = listen(machine(test, 1), Box::new(store.clone())).await;
-        let (crashed, crashes) = mpsc::unbounded_channel();
-        let mut started = Vec::new();
+        let server = listen(machine_ip(test, 1), Box::new(store.clone())).await;
+        let (crash_sender, crashes) = mpsc::unbounded_channel();
+        let mut engine_hosts = Vec::new();
         for place in 0..engines {
-            let engine = new_engine(&format!("i-{place}-0"), &crashed);
-            let hidden = listen(machine(test, 60 + place), Box::new(engine.clone())).await;
-            let address = SocketAddr::new(machine(test, 10 + place), 8_000);
-            let link = LabLink::spawn_at(address, hidden.address).unwrap();
+            let engine = new_engine(&format!("i-{place}-0"), &crash_sender);
+            let engine_server =
+                listen(machine_ip(test, 60 + place), Box::new(engine.clone())).await;
+            let address = SocketAddr::new(machine_ip(test, 10 + place), 8_000);
+            let link = LabLink::spawn_at(address, engine_server.address).unwrap();
             register(&store, &engine, address, "pool");
-            started.push(Machine {
+            engine_hosts.push(EngineHost {
                 link: Some(link),
                 address,
                 engine,
                 crashes: 0,
-                _serving: hidden,
+                _server: engine_server,
             });
         }
-        let origin = SocketAddr::new(machine(test, 2), 9);
+        let origin = SocketAddr::new(machine_ip(test, 2), 9);
         store.write("op/config", &configuration(1, origin, &["key-1", "key-2"]));
-        let machines = Arc::new(Mutex::new(started));
-        let restarting = tokio::spawn(restart(crashes, machines.clone(), store, crashed, test));
+        let hosts = Arc::new(Mutex::new(engine_hosts));
+        let restart_task = tokio::spawn(restart_crashed_engines(
+            crashes,
+            hosts.clone(),
+            store,
+            crash_sender,
+            test,
+        ));
         let mut fleet = Self {
             entries: Vec::new(),
-            machines,
+            hosts,
             folder,
             client: HttpClient::open(Duration::from_secs(1)),
-            restarting,
-            _store_at: store_at,
+            restart_task,
+            store_server: server,
         };
         for place in 0..entries {
             fleet.start_entry(test, place).await;
         }
-        // The entries hear of each other by the store.
+        // Entries discover each other through the store.
         tokio::time::sleep(Duration::from_millis(500)).await;
         fleet
     }
 
     async fn start_entry(&mut self, test: u8, place: u8) {
         let name = format!("entry-{place}");
-        let settings = entry_settings(&name, machine(test, 100 + place), self._store_at.address);
+        let settings =
+            entry_settings(&name, machine_ip(test, 100 + place), self.store_server.address);
         self.entries.push(daemon(&self.folder, "mustardrill-entry", &name, &settings));
         let entry = self.entries.len() - 1;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         while self.call(entry, &format!("ready-{place}"), "/drafts/ready").await.status
             != StatusCode::OK
         {
-            assert!(begun.elapsed() < Duration::from_secs(10), "{}", self.logs());
+            assert!(started_at.elapsed() < Duration::from_secs(10), "{}", self.logs());
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -122,7 +131,7 @@
         let entry = self.entries[entry % self.entries.len()].address;
         let call = caller_request(entry, attempt, path, "key-1");
         let answer = self.client.call(call, Duration::from_secs(10), 1_000_000).await;
-        // A stream that is cut is no whole answer.
+        // A truncated stream counts as a failed answer.
         answer.unwrap_or_else(|_| WholeAnswer {
             status: StatusCode::BAD_GATEWAY,
             headers: Default::default(),
@@ -131,7 +140,7 @@
     }
 
     fn crashes(&self) -> usize {
-        self.machines.lock().unwrap().iter().map(|machine| machine.crashes).sum()
+        self.hosts.lock().unwrap().iter().map(|host| host.crashes).sum()
     }
 
     fn logs(&self) -> String {
@@ -141,100 +150,111 @@
     }
 }
 
-fn new_engine(id: &str, crashed: &mpsc::UnboundedSender<String>) -> Worker {
+fn new_engine(id: &str, crash_sender: &mpsc::UnboundedSender<String>) -> Worker {
     let engine = Worker::new(id, 1);
-    engine.set_pause(Duration::from_millis(15));
+    engine.set_answer_delay(Duration::from_millis(15));
     let after = Duration::from_millis(40);
-    let crashed = crashed.clone();
-    engine.set_crash(CrashTrigger { path: CRASHING, after, silent: false, crashed });
+    let crash_sender = crash_sender.clone();
+    engine.set_crash(CrashTrigger { path: CRASHING_PATH, after, silent: false, crash_sender });
     engine
 }
 
-/// Ends the engines that crash, and starts others in their places.
-async fn restart(
+/// Terminates each engine that reports a crash, and starts its successor after
+/// `ENGINE_RESTART_DELAY`.
+async fn restart_crashed_engines(
     mut crashes: mpsc::UnboundedReceiver<String>,
-    machines: Machines,
+    hosts: EngineHosts,
     store: Store,
-    crashed: mpsc::UnboundedSender<String>,
+    crash_sender: mpsc::UnboundedSender<String>,
     test: u8,
 ) {
     let mut starts = 0;
     while let Some(id) = crashes.recv().await {
         let place = {
-            let mut machines = machines.lock().unwrap();
-            let Some(place) = machines.iter().position(|it| it.engine.id == id) else { continue };
-            // Two requests may have crashed one engine; it ends once.
-            if machines[place].link.take().is_none() {
+            let mut hosts = hosts.lock().unwrap();
+            let Some(place) = hosts.iter().position(|it| it.engine.id == id) else { continue };
+            // Two requests may crash the same engine; it is terminated once.
+            if hosts[place].link.take().is_none() {
                 continue;
             }
-            machines[place].crashes += 1;
+            hosts[place].crashes += 1;
             place
         };
         starts += 1;
-        let next = new_engine(&format!("i-{place}-{starts}"), &crashed);
-        let (machines, store) = (machines.clone(), store.clone());
+        let successor = new_engine(&format!("i-{place}-{starts}"), &crash_sender);
+        let (hosts, store) = (hosts.clone(), store.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(RESTART).await;
+            tokio::time::sleep(ENGINE_RESTART_DELAY).await;
             store.remove(&format!("servers/{id}"));
-            let hidden = listen(machine(test, 60 + place as u8), Box::new(next.clone())).await;
-            let address = machines.lock().unwrap()[place].address;
-            let link = LabLink::spawn_at(address, hidden.address).unwrap();
-            register(&store, &next, address, "pool");
-            let mut machines = machines.lock().unwrap();
-            let crashes = machines[place].crashes;
-            machines[place] =
-                Machine { link: Some(link), address, engine: next, crashes, _serving: hidden };
+            let engine_server =
+                listen(machine_ip(test, 60 + place as u8), Box::new(successor.clone())).await;
+            let address = hosts.lock().unwrap()[place].address;
+            let link = LabLink::spawn_at(address, engine_server.address).unwrap();
+            register(&store, &successor, address, "pool");
+            let mut hosts = hosts.lock().unwrap();
+            let crashes = hosts[place].crashes;
+            hosts[place] = EngineHost {
+                link: Some(link),
+                address,
+                engine: successor,
+                crashes,
+                _server: engine_server,
+            };
         });
     }
 }
 
-/// One request crashed each engine that began to run it, and came again, from its caller and by
-/// callers that tried once more, at every entry. Each entry sent it on anew under each of its
-/// attempt ids: 26 engines ended within ten seconds, and with each the six to fifteen other requests
-/// that it had. Nothing told a request that comes again from a new one, and nobody kept who was
-/// there when an engine ended. What settled it was that each loss had the same content, whatever the
+/// Guards against a request that crashes engine after engine. It is sent again by its caller and by
+/// other callers that retry, at every entry and under new attempt ids: 26 engines crashed within
+/// ten seconds, each with the 6 to 15 other requests that it ran. Nothing distinguished the retries
+/// from new requests, and no entry recorded which requests an engine had when it crashed. What
+/// identifies such a request is the digest of its content, the same in every loss whatever the
 /// attempt: `request=crash-0 instance=i-7-0 outcome=Lost { delivered: true, crashed: true }
 /// digest=da64ba38...`, `request=crash-2 instance=i-3-0 ... digest=da64ba38...`.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_crashes_engines_is_soon_run_no_more() {
+async fn a_request_that_crashes_engines_is_quarantined() {
     let fleet = CrashFleet::start(20, 3, 8).await;
     let mut crashing = Vec::new();
     for round in 0..24 {
-        let answer = fleet.call(round, &format!("crash-{round}"), CRASHING).await;
+        let answer = fleet.call(round, &format!("crash-{round}"), CRASHING_PATH).await;
         assert_ne!(answer.status, StatusCode::OK);
         crashing.push(answer);
         let crashes = fleet.crashes();
         assert!(
-            crashes <= LESSONS + MORE_REACHES,
-            "{crashes} engines ended after {round} sendings\n{}",
+            crashes <= CRASHES_UNTIL_QUARANTINE + LATE_RUNS_LIMIT,
+            "{crashes} engines crashed after {round} calls\n{}",
             fleet.logs()
         );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     for answer in &crashing[12..] {
         let body = String::from_utf8_lossy(&answer.body);
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "it has run: {body}");
+        assert_eq!(
+            answer.status,
+            StatusCode::BAD_GATEWAY,
+            "a request that ran must not get a status for requests that did not: {body}"
+        );
         assert!(body.contains("\"Quarantined\""), "{body}");
         assert!(answer.headers.contains_key("retry-after"));
     }
-    // All others are served, also while it still comes.
+    // Other requests are served while the quarantined one keeps coming.
     for round in 0..12 {
         let (attempt, late) = (format!("other-{round}"), format!("late-{round}"));
         let (other, _) = tokio::join!(
             fleet.call(round, &attempt, "/drafts/other"),
-            fleet.call(round + 1, &late, CRASHING),
+            fleet.call(round + 1, &late, CRASHING_PATH),
         );
-        assert_eq!(other.body, whole_stream(), "{}", fleet.logs());
+        assert_eq!(other.body, complete_stream(), "{}", fleet.logs());
     }
 }
 
-/// Entries that start have heard none of the words on the crashes of before. After a restart of all,
-/// each of them lets the request end engines anew.
+/// Entries that start have received none of the earlier crash reports. Unless they read the stored
+/// quarantines, each of them lets the request crash engines again after a restart of all entries.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_later_knows_what_is_run_no_more() {
+async fn an_entry_that_starts_later_knows_the_quarantined_requests() {
     let mut fleet = CrashFleet::start(21, 2, 6).await;
     for round in 0..4 {
-        fleet.call(round, &format!("crash-{round}"), CRASHING).await;
+        fleet.call(round, &format!("crash-{round}"), CRASHING_PATH).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     let crashes = fleet.crashes();
@@ -244,7 +264,7 @@
         fleet.start_entry(21, place).await;
     }
     for round in 0..4 {
-        let answer = fleet.call(round, &format!("again-{round}"), CRASHING).await;
+        let answer = fleet.call(round, &format!("again-{round}"), CRASHING_PATH).await;
         let body = String::from_utf8_lossy(&answer.body);
         assert!(body.contains("\"Quarantined\""), "{body}\n{}", fleet.logs());
     }
--- a/mustardrill_standins/tests/prepared/fleet.rs
+++ b/mustardrill_standins/tests/prepared/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of processes on the stand-ins of the platform.
+//! A fleet of daemons on stand-ins of the prepared platform, and the documents it is configured
+//! with.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -15,7 +16,7 @@
 use crate::store::Store;
 use crate::worker::{CHUNKS, EVENTS, Origin, Worker};
 
-/// One entry, two engines with their agents and two plain workers.
+/// One entry, engines with an agent each, and two plain workers of the service `desk`.
 pub struct Fleet {
     pub store: Store,
     pub origin: Origin,
@@ -25,8 +26,8 @@
     pub agents: Vec<LabProcess>,
     pub folder: PathBuf,
     pub client: HttpClient,
-    /// Where things listen; dropped with the fleet.
-    pub listening: Vec<StandIn>,
+    /// Servers of the stand-ins; they stop listening when the fleet is dropped.
+    pub stand_ins: Vec<StandIn>,
     pub origin_address: SocketAddr,
 }
 
@@ -36,9 +37,10 @@
     }
 }
 
-/// An address of this machine alone for each machine of a fleet, and others for each test and each run
-/// of the tests: daemons listen at ports that are the same on all machines.
-pub fn machine(test: u8, number: u8) -> IpAddr {
+/// Returns the loopback address that stands for a machine of a test's fleet. Daemons listen at the
+/// same ports on all machines, so each machine, test and run of the tests needs an address of its
+/// own.
+pub fn machine_ip(test: u8, number: u8) -> IpAddr {
     let run = 10 + (std::process::id() % 240) as u8;
     IpAddr::V4(Ipv4Addr::new(127, run, test, number))
 }
@@ -58,27 +60,27 @@
             .join(format!("mustardrill-prepared-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (store, origin) = (Store::new(), Origin::default());
-        let store_at = listen(machine(test, 1), Box::new(store.clone())).await;
-        let origin_at = listen(machine(test, 2), Box::new(origin.clone())).await;
-        let (store_address, origin_address) = (store_at.address, origin_at.address);
-        let mut listening = vec![store_at, origin_at];
+        let store_server = listen(machine_ip(test, 1), Box::new(store.clone())).await;
+        let origin_server = listen(machine_ip(test, 2), Box::new(origin.clone())).await;
+        let (store_address, origin_address) = (store_server.address, origin_server.address);
+        let mut stand_ins = vec![store_server, origin_server];
         let desks = vec![Worker::new("i-desk-1", 0), Worker::new("i-desk-2", 0)];
-        let settings = entry_settings("entry-1", machine(test, 3), store_address);
+        let settings = entry_settings("entry-1", machine_ip(test, 3), store_address);
         let entry = daemon(&folder, "mustardrill-entry", "entry", &settings);
         let mut agents = Vec::new();
         for (place, engine) in engines.iter().enumerate() {
-            let ip = machine(test, 10 + place as u8);
+            let ip = machine_ip(test, 10 + place as u8);
             let at = listen(ip, Box::new(engine.clone())).await;
             register(&store, engine, at.address, "pool");
             let name = format!("agent-{place}");
             let settings = agent_settings(&name, ip, at.address, store_address);
-            listening.push(at);
+            stand_ins.push(at);
             agents.push(daemon(&folder, "mustardrill-agent", &name, &settings));
         }
         for (place, desk) in desks.iter().enumerate() {
-            let at = listen(machine(test, 30 + place as u8), Box::new(desk.clone())).await;
+            let at = listen(machine_ip(test, 30 + place as u8), Box::new(desk.clone())).await;
             register(&store, desk, at.address, "desk");
-            listening.push(at);
+            stand_ins.push(at);
         }
         store.write("op/config", &configuration(1, origin_address, &["key-1", "key-2"]));
         let client = HttpClient::open(Duration::from_secs(1));
@@ -91,27 +93,28 @@
             agents,
             folder,
             client,
-            listening,
+            stand_ins,
             origin_address,
         };
-        fleet.until("the entry is ready", async || fleet.ready().await).await;
+        fleet.wait_until("the entry is ready", async || fleet.is_ready().await).await;
         fleet
     }
 
-    pub async fn ready(&self) -> bool {
+    pub async fn is_ready(&self) -> bool {
         let uri = format!("http://{}/v1/readiness", self.entry.second.unwrap());
         let call = self.client.call(request("GET", &uri, ""), Duration::from_secs(1), 1_000);
         call.await.is_ok_and(|answer| answer.status == StatusCode::OK)
     }
 
-    /// Waits until something holds; how long it took.
-    pub async fn until(&self, what: &str, holds: impl AsyncFn() -> bool) -> Duration {
-        let begun = Instant::now();
+    /// Waits until `holds` returns true and returns the time taken; panics with the logs after 20
+    /// s.
+    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn() -> bool) -> Duration {
+        let started_at = Instant::now();
         while !holds().await {
-            assert!(begun.elapsed() < Duration::from_secs(20), "{what}\n{}", self.logs());
+            assert!(started_at.elapsed() < Duration::from_secs(20), "{what}\n{}", self.logs());
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        begun.elapsed()
+        started_at.elapsed()
     }
 
     pub fn logs(&self) -> String {
@@ -126,7 +129,7 @@
             panic!("{error}\n{}", self.logs());
         })
     }
-    /// How often a request was run, by all workers together.
+    /// Counts the runs of an attempt over all workers.
     pub fn runs(&self, attempt: &str) -> usize {
         let workers = self.engines.iter().chain(&self.desks);
         let runs = workers.flat_map(Worker::runs);
@@ -134,7 +137,8 @@
     }
 }
 
-/// A caller's request.
+/// Builds a caller's request. It carries a forged customer in `x-tenant`, which entries must
+/// replace by that of the key.
 pub fn caller_request(
     entry: SocketAddr,
     attempt: &str,
@@ -159,7 +163,7 @@
     call
 }
 
-/// The settings of an entry, which hears others at port 17700.
+/// Settings of an entry that receives its peers' datagrams at port 17700.
 pub fn entry_settings(name: &str, ip: IpAddr, store: SocketAddr) -> String {
     format!(
         "[entry]\nplatform = prepared\ninstance = {name}\ndata_centre = hall-a\n\
@@ -179,7 +183,8 @@
     )
 }
 
-/// Writes a worker's registration.
+/// Writes a worker's registration to the store, with its weights if it is an engine of the service
+/// `pool`.
 pub fn register(store: &Store, worker: &Worker, address: SocketAddr, service: &str) {
     let models = if service == "pool" && worker.version() > 0 {
         json!([{"name": "m0", "version": worker.version(), "adapters": []}])
@@ -214,7 +219,7 @@
         "tenants": [{"name": "comedor", "api_keys": keys}]})
 }
 
-/// The stream of a draft.
-pub fn whole_stream() -> String {
+/// The complete event stream that engines answer to a draft with.
+pub fn complete_stream() -> String {
     (1..=EVENTS).map(|id| format!("id: {id}\ndata: piece {id}\n\n")).collect()
 }
--- a/mustardrill_standins/tests/prepared/rewound.rs
+++ b/mustardrill_standins/tests/prepared/rewound.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from a copy some seconds old.
+//! A store that is restored from a copy some seconds old.
 
 use std::time::Duration;
 
@@ -6,75 +6,79 @@
 use mustardrill_standins::process::daemon;
 use serde_json::json;
 
-use crate::fleet::{Fleet, caller_request, configuration, entry_settings, machine};
+use crate::fleet::{Fleet, caller_request, configuration, entry_settings, machine_ip};
 use crate::store::Store;
 use crate::worker::Worker;
 
-/// Writes until the store is in a state that it was in before its return, and further.
-fn write_beyond(store: &Store, revision: u64) {
+/// Writes until the store's revision exceeds the one it had before it was restored.
+fn write_past_revision(store: &Store, revision: u64) {
     while store.revision() <= revision {
         store.write("op/other", &json!({}));
     }
 }
 
-/// The watch went on in another history, and what had changed before its revision was never heard of.
+/// The watch continued by revision number in another history, so changes written before that
+/// revision were missed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_taken_away_while_the_store_returned_older_goes_on_being_served() {
+async fn a_key_revoked_while_the_store_was_restored_is_refused() {
     let fleet = Fleet::start(17, vec![Worker::new("i-1", 1)]).await;
-    let copy = fleet.store.copy();
+    let snapshot = fleet.store.snapshot();
     for _ in 0..40 {
         fleet.store.write("op/other", &json!({}));
     }
     tokio::time::sleep(Duration::from_millis(400)).await;
     let before = fleet.store.revision();
     fleet.entry.freeze();
-    fleet.store.return_to(&copy);
+    fleet.store.restore_from(&snapshot);
     fleet.store.write("op/config", &configuration(4, fleet.origin_address, &["key-1"]));
-    write_beyond(&fleet.store, before);
+    write_past_revision(&fleet.store, before);
     fleet.entry.thaw();
     let took = fleet
-        .until("key-2 is refused", async || {
+        .wait_until("key-2 is refused", async || {
             fleet.call("h1", "/notices/x", "key-2").await.status == StatusCode::UNAUTHORIZED
         })
         .await;
     assert!(took < Duration::from_secs(2), "{took:?}");
 }
 
-/// Its lease's number was given to somebody else, and it went on renewing that.
+/// The restored store had given the number of the entry's lease to another process, and the entry
+/// kept renewing that lease.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_stays_unregistered_after_the_store_returned_older() {
+async fn an_entry_registers_again_after_the_store_was_restored() {
     let fleet = Fleet::start(18, vec![Worker::new("i-1", 1)]).await;
     let key = "mustardrill/entry/entry-1";
-    fleet.until("it is registered", async || fleet.store.value(key).is_some()).await;
-    let mut copy = fleet.store.copy();
-    copy.forget(key);
-    fleet.store.return_to(&copy);
-    let took = fleet.until("it registers again", async || fleet.store.value(key).is_some()).await;
+    fleet.wait_until("the entry is registered", async || fleet.store.value(key).is_some()).await;
+    let mut snapshot = fleet.store.snapshot();
+    snapshot.remove(key);
+    fleet.store.restore_from(&snapshot);
+    let took = fleet
+        .wait_until("the entry registers again", async || fleet.store.value(key).is_some())
+        .await;
     assert!(took < Duration::from_millis(2_500), "{took:?}");
 }
 
-/// It read the older configuration, with the key in it, as the newest that there was.
+/// The entry read the older configuration, which still has the key, and took it for the newest one.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_after_the_store_returned_older_serves_a_key_taken_away() {
+async fn an_entry_that_starts_after_the_store_was_restored_refuses_a_revoked_key() {
     let fleet = Fleet::start(20, vec![Worker::new("i-1", 1)]).await;
     let key = "mustardrill/entry/entry-1";
-    fleet.until("it is registered", async || fleet.store.value(key).is_some()).await;
-    let copy = fleet.store.copy();
+    fleet.wait_until("the entry is registered", async || fleet.store.value(key).is_some()).await;
+    let snapshot = fleet.store.snapshot();
     let newer = configuration(4, fleet.origin_address, &["key-1"]);
     fleet.store.write("op/config", &newer);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    fleet.store.return_to(&copy);
-    let store = fleet.listening[0].address;
-    let settings = entry_settings("entry-2", machine(20, 4), store);
-    let started = daemon(&fleet.folder, "mustardrill-entry", "entry-2", &settings);
+    fleet.store.restore_from(&snapshot);
+    let store = fleet.stand_ins[0].address;
+    let settings = entry_settings("entry-2", machine_ip(20, 4), store);
+    let new_entry = daemon(&fleet.folder, "mustardrill-entry", "entry-2", &settings);
     let call = async |number: usize, key: &str| {
-        let call = caller_request(started.address, &format!("j{number}"), "/notices/x", key);
+        let call = caller_request(new_entry.address, &format!("j{number}"), "/notices/x", key);
         fleet.client.call(call, Duration::from_secs(7), 1_000_000).await.unwrap().status
     };
     for number in 0..5 {
         assert_ne!(call(number, "key-2").await, StatusCode::OK, "call {number}");
     }
     fleet.store.write("op/config", &newer);
-    fleet.until("key-1 is served", async || call(9, "key-1").await == StatusCode::OK).await;
+    fleet.wait_until("key-1 is served", async || call(9, "key-1").await == StatusCode::OK).await;
     assert_eq!(call(10, "key-2").await, StatusCode::UNAUTHORIZED);
 }
--- a/mustardrill_standins/tests/prepared/soak.rs
+++ b/mustardrill_standins/tests/prepared/soak.rs
@@ -1,7 +1,8 @@
-//! A seeded soak: real processes under faults from outside, and promises checked from what callers
-//! and workers see, not from our logs.
+//! Seeded fault soak: runs the daemons as processes, injects faults from outside and checks the
+//! promises against what callers and workers observe, not against the daemons' logs.
 //!
-//! `SOAK_SEED` plays one seed, `SOAK_SEEDS` so many from there on, each for `SOAK_SECONDS`.
+//! `SOAK_SEED` runs one seed, `SOAK_SEEDS` that many from there on, each for `SOAK_SECONDS`
+//! seconds.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,105 +20,116 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, block_in_place};
 
-use crate::crash::{CRASHING, LESSONS, MORE_REACHES, RESTART};
+use crate::crash::{
+    CRASHES_UNTIL_QUARANTINE, CRASHING_PATH, ENGINE_RESTART_DELAY, LATE_RUNS_LIMIT,
+};
 use crate::fleet::{
-    agent_settings, caller_request, configuration, entry_settings, listen, machine, register,
-    whole_stream,
+    agent_settings, caller_request, complete_stream, configuration, entry_settings, listen,
+    machine_ip, register,
 };
-use crate::store::{Store, StoreCopy, StoreMode};
+use crate::store::{Store, StoreMode, StoreSnapshot};
 use crate::worker::{CrashTrigger, Origin, Worker, WorkerFault};
 
-/// Seeds that CI plays: those that ever failed, with the cause, and two more.
-/// 220: a version was named while the store was silent; agents, whose calls hung for 13 s, heard of it
-/// too late, as entries did not tell them there.
-/// 2013: an entry that was frozen in an outage took old words for new, and with it all threw away a live
-/// fleet.
-/// 6038: an entry that started in an outage took the store's last answer before it for one of its own
-/// time, with the same end.
-/// 8000: the store lost a configuration that took a key away before any entry had read it, and was
-/// taken to prove the older one.
-/// 8023: the store lost the registration of the only desk before any entry had heard of it.
+/// Seeds that CI runs: those that once failed, with the cause, and two more.
+/// - 220: a version was announced while the store was silent. Agents, whose calls hung for 13 s,
+///   learned of it too late, as entries did not forward it to them.
+/// - 2013: an entry that was suspended in an outage took queued peer reports for new ones, and
+///   removed all upstreams of a live fleet.
+/// - 6038: an entry that started in an outage took the store's last response before it for one of
+///   its own lifetime, with the same result.
+/// - 8000: the store lost a configuration that revoked a key before any entry had read it, and was
+///   taken to confirm the older one.
+/// - 8023: the store lost the only registration of a plain worker before any entry had received
+///   it.
 const SEEDS: [u64; 7] = [1, 2, 220, 2013, 6038, 8000, 8023];
 
-/// Seeds that CI plays with late weights: those that failed while a forecast at the sender was taken for a
-/// bound on the beginning, the first time 3, 7, 103 and 105.
-const LATE_SEEDS: [u64; 4] = [3, 7, 103, 105];
+/// Seeds that CI runs with late weights. They failed while the sender took its forecast of a
+/// request's start for a bound; the first failures were of 3, 7, 103 and 105.
+const LATE_WEIGHTS_SEEDS: [u64; 4] = [3, 7, 103, 105];
 
-/// How long a seed's faults last where nothing else is asked.
-const SECONDS: u64 = 5;
+/// Seconds for which faults are injected by default.
+const DEFAULT_FAULT_SECONDS: u64 = 5;
 
-/// How long after a key was taken away a request with it may still run: the bound in the settings.
-const REVOCATION: Duration = Duration::from_secs(3);
+/// Time after a key's revocation in which a request with it may still run: the bound in the
+/// settings.
+const REVOCATION_BOUND: Duration = Duration::from_secs(3);
 
-/// How long after the naming of newer weights a request may begin on older ones: the bound in the
-/// settings, of entries and agents.
-const VERSION: Duration = Duration::from_secs(3);
+/// Time after the announcement of newer weights in which a request may start on older ones: the
+/// bound in the settings of entries and agents.
+const VERSION_BOUND: Duration = Duration::from_secs(3);
 
-/// The same of entries alone where weights are late: agents take three times as long by design.
-const SHORT_VERSION: Duration = Duration::from_secs(1);
+/// The same bound where weights are late, set for entries only: agents take three times as long by
+/// design.
+const LATE_WEIGHTS_VERSION_BOUND: Duration = Duration::from_secs(1);
 
-/// How long before a request's beginning engines let it wait, in milliseconds; less than the silence
-/// after which an entry gives up.
-const BEGIN_DELAYS: std::ops::Range<u64> = 200..900;
+/// Range of the time for which engines let a request wait before it starts, in milliseconds;
+/// shorter than the silence after which an entry gives up.
+const START_DELAYS_MS: std::ops::Range<u64> = 200..900;
 
-/// When the first fault comes, and where weights are late.
-const FIRST_FAULT: [Duration; 2] = [Duration::from_millis(500), Duration::from_millis(1_500)];
+/// Delay of the first fault: in a standard run, and where weights are late.
+const FIRST_FAULT_DELAYS: [Duration; 2] =
+    [Duration::from_millis(500), Duration::from_millis(1_500)];
 
-/// Within this time after the last fault all is as it should be.
-const RECOVERY: Duration = Duration::from_secs(12);
+/// Time after the last fault within which every entry must serve and every engine must have the
+/// newest weights.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// How long after it has left an upstream may still be sent requests: the platform's bound.
+/// Time after an upstream's deregistration in which entries may still send it requests: the
+/// platform's bound.
 const LEAVE_BOUND: Duration = Duration::from_secs(2);
 
-/// Within this time after the store's return upstreams that it forgot are registered again.
-const REGISTERED_AGAIN: std::ops::Range<u64> = 200..1_500;
+/// Range of the time after data loss in the store at which upstreams register again, in
+/// milliseconds.
+const REREGISTRATION_DELAYS_MS: std::ops::Range<u64> = 200..1_500;
 
-/// Until then all is written again that the store lost.
-const REWRITTEN: Duration = Duration::from_millis(1_500);
+/// Time within which everything that the store lost has been written again.
+const REWRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Within this time an entry has heard of a registration: as soon as of one that leaves.
-const HEARING: Duration = Duration::from_millis(300);
+/// Time within which an entry has received a registration; the same as for a deregistration.
+const REGISTRATION_DELAY: Duration = Duration::from_millis(300);
 
-/// How long an entry must have been without trouble before it is held to what others told it.
-const IN_TOUCH: Duration = Duration::from_secs(3);
+/// Time without disturbance after which an entry must act on what its peers reported.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 const CALLERS: u64 = 6;
 
-/// Callers where weights are late, which soon wait for their answers.
-const LATE_CALLERS: u64 = 18;
+/// Number of callers where weights are late: soon most of them wait for their answers.
+const LATE_WEIGHTS_CALLERS: u64 = 18;
 
 const ENTRIES: u8 = 2;
 const ENGINES: u8 = 3;
 const DESKS: u8 = 2;
 
-/// What a seed plays beside its faults.
+/// What a seed runs in addition to its faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SoakKind {
-    /// Nothing.
-    Usual,
-    /// Newer weights are late, and engines let requests wait before they begin. They are named at
-    /// once, so that their bound ends in peace.
+    /// Faults only.
+    Standard,
+    /// Newer weights are late, and engines let requests wait before they start. The weights are
+    /// announced at the beginning, so that their bound ends before the first faults.
     LateWeights,
 }
 
 impl SoakKind {
-    /// Seeds that were in CI's list before there was another kind are played as they were.
+    /// Odd seeds run with late weights, except those that were in `SEEDS` before this kind existed:
+    /// they run as they did then.
     fn of(seed: u64) -> Self {
-        let late = LATE_SEEDS.contains(&seed) || (seed % 2 == 1 && !SEEDS.contains(&seed));
-        if late { Self::LateWeights } else { Self::Usual }
+        let has_late_weights =
+            LATE_WEIGHTS_SEEDS.contains(&seed) || (seed % 2 == 1 && !SEEDS.contains(&seed));
+        if has_late_weights { Self::LateWeights } else { Self::Standard }
     }
 
-    /// How long a request may begin on weights that were replaced.
+    /// How long a request may start on superseded weights.
     fn version_bound(self) -> Duration {
         match self {
-            Self::Usual => VERSION,
-            Self::LateWeights => SHORT_VERSION,
+            Self::Standard => VERSION_BOUND,
+            Self::LateWeights => LATE_WEIGHTS_VERSION_BOUND,
         }
     }
 }
 
-/// A process that is killed, stopped and started again.
-struct Managed {
+/// A daemon that is killed, stopped and started again.
+struct ManagedProcess {
     program: &'static str,
     name: String,
     settings: String,
@@ -125,46 +137,47 @@
     process: Option<LabProcess>,
 }
 
-/// What ends a fault.
+/// Action that ends a fault or a part of its effects.
 #[derive(Debug, Clone, Copy)]
-enum Remedy {
+enum RecoveryAction {
     Thaw(usize),
     Restart(usize),
     OpenStoreLink(usize),
     OpenDeskLink(usize),
-    SoundStore,
-    /// The store is back without the registrations of upstreams.
-    ForgetfulStore,
-    /// The store is back from a copy that was made when the outage began.
-    ReturnedStore,
+    MakeStoreAvailable,
+    /// Makes the store available without the registrations of upstreams.
+    ReturnStoreWithoutUpstreams,
+    /// Restores the store from the copy made when the outage began.
+    RestoreStore,
     /// The operator writes again what the copy lacks.
-    OperatorWrites,
+    RewriteOperatorKeys,
     StartEngine(usize),
-    /// A desk that left, or that the store forgot, registers again.
+    /// Registers a plain worker that deregistered or that the store lost.
     RegisterDesk(usize),
-    /// The same for an engine.
+    /// Registers an engine that the store lost.
     RegisterEngine(usize),
 }
 
-/// A time in which an entry may not know what the others do.
-struct Trouble {
-    /// The entry; nothing for all of them.
+/// A period in which an entry may lack what its peers know.
+struct Disturbance {
+    /// Index of the entry; `None` stands for all of them.
     entry: Option<usize>,
-    /// Whether the store is away: that concerns only entries that started since the others learned.
-    of_store: bool,
+    /// Whether the store is unavailable, which affects only entries that started after the others
+    /// learned of something.
+    is_store_outage: bool,
     from: Instant,
     until: Instant,
 }
 
-/// What a caller saw of one request.
-struct Outcome {
+/// What a caller observed of one request.
+struct CallOutcome {
     attempt: String,
     path: &'static str,
     key: &'static str,
     sent: Instant,
-    /// The status and body; nothing where the connection ended.
+    /// Status and body, or `None` if the connection ended.
     answer: Option<(u16, String)>,
-    /// Where the entry listens.
+    /// Address of the entry that was called.
     entry: SocketAddr,
 }
 
@@ -172,50 +185,51 @@
     seed: u64,
     kind: SoakKind,
     random: StdRng,
-    /// For how engines let requests wait: `random` goes on drawing the same faults.
-    delays: StdRng,
+    /// Random numbers for the start delays of engines; separate, so that `random` still gives each
+    /// seed the same faults.
+    delay_random: StdRng,
     folder: PathBuf,
     store: Store,
-    /// One for each entry, and one for all agents.
+    /// One link for each entry, and a last one for all agents.
     store_links: Vec<LabLink>,
     desk_links: Vec<LabLink>,
     engines: Vec<Worker>,
-    /// Where engines listen; without a link an engine has ended.
+    /// Address and link of each engine; without a link the engine is down.
     engine_links: Vec<(SocketAddr, Option<LabLink>)>,
     engine_servers: Vec<SocketAddr>,
     crashes: mpsc::UnboundedReceiver<String>,
     desks: Vec<Worker>,
-    /// For each desk the times in which it had left; the last one may go on.
-    left: Vec<Vec<(Instant, Option<Instant>)>>,
-    /// When desks registered again after they had left, or after the store had forgotten them.
+    /// For each plain worker the periods without registration; the last one may be open.
+    absences: Vec<Vec<(Instant, Option<Instant>)>>,
+    /// When plain workers registered again after they had deregistered or the store had lost them.
     registrations: Vec<(usize, Instant)>,
-    /// When the store came back without the registrations of upstreams.
-    forgotten: Vec<Instant>,
-    /// From what the store comes back.
-    copy: Option<StoreCopy>,
-    /// The entries first, then the agents.
-    processes: Vec<Managed>,
+    /// When the store became available without the registrations of upstreams.
+    registration_losses: Vec<Instant>,
+    /// The copy from which the store is restored.
+    snapshot: Option<StoreSnapshot>,
+    /// The entries, then the agents.
+    processes: Vec<ManagedProcess>,
     addresses: Arc<Mutex<Vec<SocketAddr>>>,
-    remedies: Vec<(Instant, Remedy)>,
-    troubles: Vec<Trouble>,
-    /// When the store was away, or links to it were disturbed: the bound on versions is counted in
-    /// between. Links of desks and of engines have no part in it.
-    unrest: Vec<Trouble>,
-    /// When versions were written.
-    named: Vec<(u64, Instant)>,
-    /// When entries were started again.
+    recovery_actions: Vec<(Instant, RecoveryAction)>,
+    entry_disturbances: Vec<Disturbance>,
+    /// Periods in which the store was unavailable or links to it were disturbed. The version bound
+    /// is counted outside of them; links of plain workers and engines have no influence on it.
+    store_disturbances: Vec<Disturbance>,
+    /// Announced versions, with the time at which the store accepted each.
+    announcements: Vec<(u64, Instant)>,
+    /// Restarted entries, with the times.
     starts: Vec<(usize, Instant)>,
-    /// Which entry listens, or listened, at an address.
-    listeners: Vec<(SocketAddr, usize)>,
+    /// Every address at which an entry has listened, with the entry's index.
+    entry_addresses: Vec<(SocketAddr, usize)>,
     version: u64,
     generation: u64,
     origin_address: SocketAddr,
     revoked: Option<Instant>,
     faults: Vec<String>,
-    _listening: Vec<StandIn>,
+    _stand_ins: Vec<StandIn>,
 }
 
-impl Managed {
+impl ManagedProcess {
     fn start(&mut self, folder: &std::path::Path) {
         self.starts += 1;
         let name = format!("{}-{}", self.name, self.starts);
@@ -231,30 +245,35 @@
             std::env::temp_dir().join(format!("mustardrill-soak-{seed}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let store = Store::new();
-        let store_at = listen(machine(test, 1), Box::new(store.clone())).await;
-        let origin_at = listen(machine(test, 2), Box::new(Origin::default())).await;
-        let origin_address = origin_at.address;
+        let store_server = listen(machine_ip(test, 1), Box::new(store.clone())).await;
+        let origin_server = listen(machine_ip(test, 2), Box::new(Origin::default())).await;
+        let origin_address = origin_server.address;
         let link = |to| LabLink::spawn(to).unwrap();
-        let store_links: Vec<_> = (0..=ENTRIES).map(|_| link(store_at.address)).collect();
-        let mut listening = vec![store_at, origin_at];
+        let store_links: Vec<_> = (0..=ENTRIES).map(|_| link(store_server.address)).collect();
+        let mut stand_ins = vec![store_server, origin_server];
         let mut processes = Vec::new();
         for place in 0..ENTRIES {
             let name = format!("entry-{place}");
             let store = store_links[usize::from(place)].address;
-            let settings = entry_settings(&name, machine(test, 3 + place), store);
+            let settings = entry_settings(&name, machine_ip(test, 3 + place), store);
             let bound = format!("version = {}ms", kind.version_bound().as_millis());
             let settings = settings.replace("version = 3s", &bound);
             let program = "mustardrill-entry";
-            processes.push(Managed { program, name, settings, starts: 0, process: None });
+            processes.push(ManagedProcess { program, name, settings, starts: 0, process: None });
         }
         let engines: Vec<_> =
             (0..ENGINES).map(|place| Worker::new(&format!("i-{place}"), 1)).collect();
-        let (crashed, crashes) = mpsc::unbounded_channel();
+        let (crash_sender, crashes) = mpsc::unbounded_channel();
         let (mut engine_links, mut engine_servers) = (Vec::new(), Vec::new());
         for (place, engine) in engines.iter().enumerate() {
-            let (after, crashed) = (Duration::from_millis(10), crashed.clone());
-            engine.set_crash(CrashTrigger { path: CRASHING, after, silent: true, crashed });
-            let ip = machine(test, 10 + place as u8);
+            let (after, crash_sender) = (Duration::from_millis(10), crash_sender.clone());
+            engine.set_crash(CrashTrigger {
+                path: CRASHING_PATH,
+                after,
+                silent: true,
+                crash_sender,
+            });
+            let ip = machine_ip(test, 10 + place as u8);
             let at = listen(ip, Box::new(engine.clone())).await;
             let engine_link = LabLink::spawn_at(SocketAddr::new(ip, 0), at.address).unwrap();
             register(&store, engine, engine_link.address, "pool");
@@ -264,19 +283,19 @@
             engine_servers.push(at.address);
             engine_links.push((engine_link.address, Some(engine_link)));
             let program = "mustardrill-agent";
-            processes.push(Managed { program, name, settings, starts: 0, process: None });
-            listening.push(at);
+            processes.push(ManagedProcess { program, name, settings, starts: 0, process: None });
+            stand_ins.push(at);
         }
         let desks: Vec<_> = (0..DESKS).map(|at| Worker::new(&format!("i-desk-{at}"), 0)).collect();
-        // Long enough that a fault of a link or an entry finds calls under way.
-        desks.iter().for_each(|desk| desk.set_pause(Duration::from_millis(20)));
+        // Long enough that a fault of a link or an entry hits calls in progress.
+        desks.iter().for_each(|desk| desk.set_answer_delay(Duration::from_millis(20)));
         let mut desk_links = Vec::new();
         for (place, desk) in desks.iter().enumerate() {
-            let at = listen(machine(test, 30 + place as u8), Box::new(desk.clone())).await;
+            let at = listen(machine_ip(test, 30 + place as u8), Box::new(desk.clone())).await;
             let link = link(at.address);
             register(&store, desk, link.address, "desk");
             desk_links.push(link);
-            listening.push(at);
+            stand_ins.push(at);
         }
         store.write("op/config", &configuration(1, origin_address, &["key-1", "key-2"]));
         processes.iter_mut().for_each(|process| process.start(&folder));
@@ -284,7 +303,7 @@
             seed,
             kind,
             random: StdRng::seed_from_u64(seed),
-            delays: StdRng::seed_from_u64(!seed),
+            delay_random: StdRng::seed_from_u64(!seed),
             folder,
             store,
             store_links,
@@ -293,25 +312,25 @@
             engine_links,
             engine_servers,
             crashes,
-            left: vec![Vec::new(); desks.len()],
+            absences: vec![Vec::new(); desks.len()],
             registrations: Vec::new(),
-            forgotten: Vec::new(),
-            copy: None,
+            registration_losses: Vec::new(),
+            snapshot: None,
             desks,
             processes,
             addresses: Arc::default(),
-            remedies: Vec::new(),
-            troubles: Vec::new(),
-            unrest: Vec::new(),
-            named: Vec::new(),
+            recovery_actions: Vec::new(),
+            entry_disturbances: Vec::new(),
+            store_disturbances: Vec::new(),
+            announcements: Vec::new(),
             starts: Vec::new(),
-            listeners: Vec::new(),
+            entry_addresses: Vec::new(),
             version: 1,
             generation: 1,
             origin_address,
             revoked: None,
             faults: Vec::new(),
-            _listening: listening,
+            _stand_ins: stand_ins,
         };
         soak.publish_addresses();
         soak
@@ -322,13 +341,13 @@
         let running = entries.map(|it| it.process.as_ref().map(|process| process.address));
         let running: Vec<_> = running.collect();
         for (entry, address) in running.iter().enumerate() {
-            self.listeners.extend(address.map(|address| (address, entry)));
+            self.entry_addresses.extend(address.map(|address| (address, entry)));
         }
         *self.addresses.lock().unwrap() = running.into_iter().flatten().collect();
     }
 
-    /// Brings a fault about, and notes when it ends.
-    fn disturb(&mut self) {
+    /// Injects a random fault and schedules its end.
+    fn inject_fault(&mut self) {
         let ends = Instant::now() + Duration::from_millis(self.random.random_range(150..1_500));
         let place = self.random.random_range(0..self.processes.len());
         let kind = self.random.random_range(0..15);
@@ -340,51 +359,56 @@
             3 => LinkState::Stale,
             _ => LinkState::Slow(40),
         };
-        let remedy = match kind {
+        let action = match kind {
             0 | 1 if running => {
                 self.processes[place].process.as_ref().unwrap().freeze();
-                Some(Remedy::Thaw(place))
+                Some(RecoveryAction::Thaw(place))
             }
             2 if running => {
                 self.processes[place].process.take().unwrap().kill();
-                Some(Remedy::Restart(place))
+                Some(RecoveryAction::Restart(place))
             }
             3 if running => {
-                // It is started again while it may still be finishing, as its place is taken.
+                // Its successor may start while it still finishes requests, since its place is
+                // free.
                 self.processes[place].process.as_ref().unwrap().terminate();
-                Some(Remedy::Restart(place))
+                Some(RecoveryAction::Restart(place))
             }
             4 => {
                 let link = self.random.random_range(0..self.store_links.len());
                 self.store_links[link].set(state);
-                Some(Remedy::OpenStoreLink(link))
+                Some(RecoveryAction::OpenStoreLink(link))
             }
             5 => {
                 let link = self.random.random_range(0..self.desk_links.len());
                 self.desk_links[link].set(state);
-                Some(Remedy::OpenDeskLink(link))
+                Some(RecoveryAction::OpenDeskLink(link))
             }
             6 => {
                 let silent = self.random.random();
-                self.store.set_mode(if silent { StoreMode::Silent } else { StoreMode::Busy });
-                Some(Remedy::SoundStore)
+                self.store.set_mode(if silent {
+                    StoreMode::Silent
+                } else {
+                    StoreMode::Unavailable
+                });
+                Some(RecoveryAction::MakeStoreAvailable)
             }
-            12 => self.desk_leaves(),
-            13 if !self.will_forget() => {
-                // Longer than registrations outlive.
-                self.store.set_mode(StoreMode::Busy);
+            12 => self.deregister_desk(),
+            13 if !self.has_pending_data_loss() => {
+                // Longer than an outage that registrations outlive.
+                self.store.set_mode(StoreMode::Unavailable);
                 let back = Instant::now() + Duration::from_millis(2_600);
-                self.note_trouble(6, place, None, back);
-                self.remedies.push((back, Remedy::ForgetfulStore));
+                self.record_disturbance(6, place, None, back);
+                self.recovery_actions.push((back, RecoveryAction::ReturnStoreWithoutUpstreams));
                 None
             }
-            14 if !self.will_forget() => {
-                // Some seconds of writes are lost.
-                let copy = self.store.copy();
+            14 if !self.has_pending_data_loss() => {
+                // Loses the writes of up to two seconds.
+                let snapshot = self.store.snapshot();
                 let lost = Duration::from_millis(self.random.random_range(300..2_000));
-                self.copy = Some(copy);
-                self.note_trouble(6, place, None, Instant::now() + lost + REWRITTEN);
-                self.remedies.push((Instant::now() + lost, Remedy::ReturnedStore));
+                self.snapshot = Some(snapshot);
+                self.record_disturbance(6, place, None, Instant::now() + lost + REWRITE_TIMEOUT);
+                self.recovery_actions.push((Instant::now() + lost, RecoveryAction::RestoreStore));
                 None
             }
             7 => {
@@ -392,110 +416,138 @@
                 None
             }
             8 => {
-                self.name_version();
+                self.announce_version();
                 None
             }
             11 => {
-                // Engines end for a reason of their own, also several at once.
+                // Engines crash for reasons unrelated to requests, several at once too.
                 let count = self.random.random_range(1..=self.engines.len());
-                (0..count).for_each(|engine| self.end_engine(engine));
+                (0..count).for_each(|engine| self.crash_engine(engine));
                 None
             }
             9 => {
                 let engine = self.random.random_range(0..self.engines.len());
-                self.engines[engine].spoil(self.random.random_range(0..12));
+                self.engines[engine].corrupt_chunk(self.random.random_range(0..12));
                 None
             }
             _ => {
-                self.spoil_answers();
+                self.inject_answer_fault();
                 None
             }
         };
-        self.note_trouble(kind, place, remedy, ends);
-        self.faults.push(format!("{kind} at {place} {state:?} {remedy:?}"));
-        self.remedies.extend(remedy.map(|remedy| (ends, remedy)));
+        self.record_disturbance(kind, place, action, ends);
+        self.faults.push(format!("{kind} at {place} {state:?} {action:?}"));
+        self.recovery_actions.extend(action.map(|action| (ends, action)));
     }
 
-    fn name_version(&mut self) {
+    fn announce_version(&mut self) {
         self.version += 1;
-        let named = json!({"model": "m0", "version": self.version});
-        self.store.write("op/version/m0", &named);
-        self.named.push((self.version, Instant::now()));
+        let document = json!({"model": "m0", "version": self.version});
+        self.store.write("op/version/m0", &document);
+        self.announcements.push((self.version, Instant::now()));
     }
 
-    /// An engine lets requests wait for another time than before, or not at all.
-    fn delay_beginnings(&mut self, engine: usize) {
-        let delay = if self.delays.random() { self.delays.random_range(BEGIN_DELAYS) } else { 0 };
-        self.engines[engine].set_begin_delay(Duration::from_millis(delay));
+    /// Sets another start delay for an engine, or none.
+    fn change_start_delay(&mut self, engine: usize) {
+        let delay = if self.delay_random.random() {
+            self.delay_random.random_range(START_DELAYS_MS)
+        } else {
+            0
+        };
+        self.engines[engine].set_start_delay(Duration::from_millis(delay));
     }
 
-    /// Notes whose words may be lost until some time after a fault.
-    fn note_trouble(&mut self, kind: u32, place: usize, remedy: Option<Remedy>, ends: Instant) {
+    /// Records which entries may lack updates until some time after a fault.
+    fn record_disturbance(
+        &mut self,
+        kind: u32,
+        place: usize,
+        action: Option<RecoveryAction>,
+        ends: Instant,
+    ) {
         let entries = usize::from(ENTRIES);
-        // A remedy comes with the next turn, and a process takes a while to start.
+        // A recovery action runs in the next iteration, and a process takes a while to start.
         let over = ends + Duration::from_millis(500);
-        let of_store = kind == 6;
-        if of_store || matches!(remedy, Some(Remedy::OpenStoreLink(_))) {
+        let is_store_outage = kind == 6;
+        if is_store_outage || matches!(action, Some(RecoveryAction::OpenStoreLink(_))) {
             let from = Instant::now();
-            self.unrest.push(Trouble { entry: None, of_store, from, until: over });
+            self.store_disturbances.push(Disturbance {
+                entry: None,
+                is_store_outage,
+                from,
+                until: over,
+            });
         }
-        let (entry, of_store) = match (kind, remedy) {
+        let (entry, is_store_outage) = match (kind, action) {
             (0..=3, Some(_)) if place < entries => (Some(place), false),
-            (4, Some(Remedy::OpenStoreLink(link))) if link < entries => (Some(link), true),
+            (4, Some(RecoveryAction::OpenStoreLink(link))) if link < entries => (Some(link), true),
             (6, _) => (None, true),
             _ => return,
         };
-        let until = over + IN_TOUCH;
-        self.troubles.push(Trouble { entry, of_store, from: Instant::now(), until });
+        let until = over + SETTLE_TIME;
+        self.entry_disturbances.push(Disturbance {
+            entry,
+            is_store_outage,
+            from: Instant::now(),
+            until,
+        });
     }
 
-    /// A desk takes its registration away, and goes on answering; it registers again some time after
-    /// its bound.
-    fn desk_leaves(&mut self) -> Option<Remedy> {
+    /// Deregisters a plain worker, which keeps answering, and schedules its registration for some
+    /// time after `LEAVE_BOUND`.
+    fn deregister_desk(&mut self) -> Option<RecoveryAction> {
         let desk = self.random.random_range(0..self.desks.len());
-        let has_left = self.left[desk].last().is_some_and(|(_, until)| until.is_none());
-        if !has_left {
+        let is_absent = self.absences[desk].last().is_some_and(|(_, until)| until.is_none());
+        if !is_absent {
             self.store.remove(&format!("servers/{}", self.desks[desk].id));
-            self.left[desk].push((Instant::now(), None));
+            self.absences[desk].push((Instant::now(), None));
             let back = LEAVE_BOUND + Duration::from_millis(self.random.random_range(500..2_500));
-            self.remedies.push((Instant::now() + back, Remedy::RegisterDesk(desk)));
+            self.recovery_actions.push((Instant::now() + back, RecoveryAction::RegisterDesk(desk)));
         }
         None
     }
 
-    /// Whether the store is about to lose something that it holds.
-    fn will_forget(&self) -> bool {
-        let loses =
-            |remedy: &Remedy| matches!(remedy, Remedy::ForgetfulStore | Remedy::ReturnedStore);
-        self.remedies.iter().any(|(_, remedy)| loses(remedy))
+    /// Whether a loss of the store's contents is scheduled.
+    fn has_pending_data_loss(&self) -> bool {
+        let loses = |action: &RecoveryAction| {
+            matches!(
+                action,
+                RecoveryAction::ReturnStoreWithoutUpstreams | RecoveryAction::RestoreStore
+            )
+        };
+        self.recovery_actions.iter().any(|(_, action)| loses(action))
     }
 
-    /// The store is back from the copy; operator and workers write again one after the other.
-    fn return_store(&mut self) {
+    /// Restores the store from the copy; operator and workers write their keys again one after the
+    /// other.
+    fn restore_store(&mut self) {
         let now = Instant::now();
-        let Some(copy) = self.copy.take() else { return };
-        self.store.return_to(&copy);
-        self.store.set_mode(StoreMode::Sound);
-        self.forgotten.push(now);
-        let mut again = |remedy| {
-            let after = Duration::from_millis(self.random.random_range(REGISTERED_AGAIN));
-            self.remedies.push((now + after, remedy));
+        let Some(snapshot) = self.snapshot.take() else { return };
+        self.store.restore_from(&snapshot);
+        self.store.set_mode(StoreMode::Available);
+        self.registration_losses.push(now);
+        let mut schedule = |action| {
+            let after = Duration::from_millis(self.random.random_range(REREGISTRATION_DELAYS_MS));
+            self.recovery_actions.push((now + after, action));
         };
-        again(Remedy::OperatorWrites);
-        (0..self.engines.len()).for_each(|place| again(Remedy::RegisterEngine(place)));
-        let staying =
-            self.left.iter().map(|left| left.last().is_none_or(|(_, until)| until.is_some()));
+        schedule(RecoveryAction::RewriteOperatorKeys);
+        (0..self.engines.len()).for_each(|place| schedule(RecoveryAction::RegisterEngine(place)));
+        let staying = self
+            .absences
+            .iter()
+            .map(|absences| absences.last().is_none_or(|(_, until)| until.is_some()));
         for (desk, stays) in staying.enumerate() {
             if stays {
-                again(Remedy::RegisterDesk(desk));
+                schedule(RecoveryAction::RegisterDesk(desk));
             } else {
-                // The copy may be of before it left; it does not register again.
+                // The copy may still hold the registration of a worker that has deregistered since;
+                // it is removed again.
                 self.store.remove(&format!("servers/{}", self.desks[desk].id));
             }
         }
     }
 
-    fn write_as_operator(&self) {
+    fn rewrite_operator_keys(&self) {
         let keys: &[&str] = if self.revoked.is_some() { &["key-1"] } else { &["key-1", "key-2"] };
         let document = configuration(self.generation, self.origin_address, keys);
         self.store.write("op/config", &document);
@@ -504,257 +556,274 @@
         }
     }
 
-    /// The store is back without the upstreams that it listed, which register one after the other.
-    fn forget_upstreams(&mut self) {
+    /// Makes the store available without the upstreams' registrations, which are written again one
+    /// after the other.
+    fn drop_registrations(&mut self) {
         let now = Instant::now();
-        self.forgotten.push(now);
-        for (desk, left) in self.left.iter().enumerate() {
-            if left.last().is_none_or(|(_, until)| until.is_some()) {
+        self.registration_losses.push(now);
+        for (desk, absences) in self.absences.iter().enumerate() {
+            if absences.last().is_none_or(|(_, until)| until.is_some()) {
                 self.store.remove(&format!("servers/{}", self.desks[desk].id));
-                let after = Duration::from_millis(self.random.random_range(REGISTERED_AGAIN));
-                self.remedies.push((now + after, Remedy::RegisterDesk(desk)));
+                let after =
+                    Duration::from_millis(self.random.random_range(REREGISTRATION_DELAYS_MS));
+                self.recovery_actions.push((now + after, RecoveryAction::RegisterDesk(desk)));
             }
         }
         for (place, engine) in self.engines.iter().enumerate() {
             self.store.remove(&format!("servers/{}", engine.id));
-            let after = Duration::from_millis(self.random.random_range(REGISTERED_AGAIN));
-            self.remedies.push((now + after, Remedy::RegisterEngine(place)));
+            let after = Duration::from_millis(self.random.random_range(REREGISTRATION_DELAYS_MS));
+            self.recovery_actions.push((now + after, RecoveryAction::RegisterEngine(place)));
         }
-        self.store.set_mode(StoreMode::Sound);
+        self.store.set_mode(StoreMode::Available);
     }
 
     fn register_desk(&mut self, desk: usize) {
         register(&self.store, &self.desks[desk], self.desk_links[desk].address, "desk");
         let now = Instant::now();
         self.registrations.push((desk, now));
-        if let Some((_, until)) = self.left[desk].last_mut() {
+        if let Some((_, until)) = self.absences[desk].last_mut() {
             until.get_or_insert(now);
         }
     }
 
-    /// From when on entries know of a desk that left at `from`: nobody can have heard of a
-    /// registration that the store lost at once.
-    fn known_again(&self, desk: usize, from: Instant) -> Option<Instant> {
+    /// Time from which on entries know the plain worker that deregistered at `from` again. A
+    /// registration that the store lost before `REGISTRATION_DELAY` was over may have reached no
+    /// entry.
+    fn registration_known_from(&self, desk: usize, from: Instant) -> Option<Instant> {
         let own = self.registrations.iter().filter(|(of, at)| *of == desk && *at > from);
-        let heard = own.map(|(_, at)| (*at, *at + HEARING));
+        let learning_periods = own.map(|(_, at)| (*at, *at + REGISTRATION_DELAY));
         let lost = |span: &(Instant, Instant)| {
-            self.forgotten.iter().any(|back| span.0 <= *back && *back <= span.1)
+            self.registration_losses.iter().any(|back| span.0 <= *back && *back <= span.1)
         };
-        heard.filter(|span| !lost(span)).map(|(_, until)| until).min()
+        learning_periods.filter(|span| !lost(span)).map(|(_, until)| until).min()
     }
 
-    /// Whether an entry may not know at `at` what the others do.
-    fn is_out_of_touch(&self, entry: Option<usize>, at: Instant) -> bool {
-        let mut troubles = self.troubles.iter();
-        troubles.any(|trouble| {
-            let concerns = trouble.entry.is_none() || trouble.entry == entry;
-            concerns && trouble.from <= at && at <= trouble.until
+    /// Whether an entry may lack at `at` what its peers know.
+    fn may_lack_updates(&self, entry: Option<usize>, at: Instant) -> bool {
+        let mut entry_disturbances = self.entry_disturbances.iter();
+        entry_disturbances.any(|disturbance| {
+            let concerns = disturbance.entry.is_none() || disturbance.entry == entry;
+            concerns && disturbance.from <= at && at <= disturbance.until
         })
     }
 
-    fn entry_of(&self, outcome: &Outcome) -> Option<usize> {
-        let listener = self.listeners.iter().find(|(at, _)| *at == outcome.entry);
+    fn entry_of(&self, outcome: &CallOutcome) -> Option<usize> {
+        let listener = self.entry_addresses.iter().find(|(at, _)| *at == outcome.entry);
         listener.map(|(_, entry)| *entry)
     }
 
-    /// Runs at desks after they left, by entries in touch.
-    fn runs_after_leaving(&self, outcomes: &[Outcome]) -> Vec<String> {
+    /// Runs at plain workers after their `LEAVE_BOUND`, sent by undisturbed entries.
+    fn runs_after_deregistration(&self, outcomes: &[CallOutcome]) -> Vec<String> {
         let mut late = Vec::new();
-        for (desk, left) in self.desks.iter().zip(&self.left) {
+        for (desk, absences) in self.desks.iter().zip(&self.absences) {
             for (run, at) in desk.timed_runs() {
                 let is_late = |(from, until): &(Instant, Option<Instant>)| {
                     at > *from + LEAVE_BOUND && until.is_none_or(|until| at < until)
                 };
-                let Some((from, _)) = left.iter().find(|span| is_late(span)) else { continue };
+                let Some((from, _)) = absences.iter().find(|span| is_late(span)) else { continue };
                 let outcome = outcomes.iter().find(|outcome| run.starts_with(&*outcome.attempt));
                 let entry = outcome.and_then(|outcome| self.entry_of(outcome));
-                if !self.is_out_of_touch(entry, at) {
-                    late.push(format!("ran at {} {:?} after it left: {run}", desk.id, at - *from));
+                if !self.may_lack_updates(entry, at) {
+                    late.push(format!(
+                        "ran at {} {:?} after it deregistered: {run}",
+                        desk.id,
+                        at - *from
+                    ));
                 }
             }
         }
         late
     }
 
-    /// From when on requests may no longer begin on weights older than a version named at `named`: from
-    /// then on the store was there, and no link to it disturbed, for the whole bound in one stretch.
-    fn replaced_from(&self, named: Instant) -> Instant {
+    /// Time from which on requests may no longer start on weights older than a version announced at
+    /// `announced_at`: the end of the first undisturbed period of the whole bound, with the store
+    /// available and its links open.
+    fn superseded_from(&self, announced_at: Instant) -> Instant {
         let bound = self.kind.version_bound();
-        let mut unrest: Vec<_> = self.unrest.iter().collect();
-        unrest.sort_by_key(|trouble| trouble.from);
-        let mut calm = named;
-        for trouble in unrest {
-            if trouble.from >= calm + bound {
+        let mut store_disturbances: Vec<_> = self.store_disturbances.iter().collect();
+        store_disturbances.sort_by_key(|disturbance| disturbance.from);
+        let mut undisturbed_from = announced_at;
+        for disturbance in store_disturbances {
+            if disturbance.from >= undisturbed_from + bound {
                 break;
             }
-            // The store counts as there only some time after its return.
-            let after = if trouble.of_store { IN_TOUCH } else { Duration::ZERO };
-            calm = calm.max(trouble.until + after);
+            // The store counts as available again only some time after an outage.
+            let after = if disturbance.is_store_outage { SETTLE_TIME } else { Duration::ZERO };
+            undisturbed_from = undisturbed_from.max(disturbance.until + after);
         }
-        calm + bound
+        undisturbed_from + bound
     }
 
-    /// What began on weights whose time was over, sent by entries in touch; how many beginnings could
-    /// have been such.
-    fn late_beginnings(&self, outcomes: &[Outcome]) -> (Vec<String>, usize) {
-        let (mut late, mut judged) = (Vec::new(), 0);
-        let replaced = self.named.iter().map(|(version, at)| (*version, self.replaced_from(*at)));
-        let replaced: Vec<_> = replaced.collect();
+    /// Requests that started on superseded weights after the bound, sent by undisturbed entries,
+    /// and the number of starts that were checked against a bound.
+    fn late_starts(&self, outcomes: &[CallOutcome]) -> (Vec<String>, usize) {
+        let (mut late, mut checked) = (Vec::new(), 0);
+        let superseded =
+            self.announcements.iter().map(|(version, at)| (*version, self.superseded_from(*at)));
+        let superseded: Vec<_> = superseded.collect();
         for engine in &self.engines {
             let arrivals: BTreeMap<_, _> = engine.arrivals().into_iter().collect();
-            for begun in engine.beginnings() {
+            for start in engine.request_starts() {
                 let sent =
-                    outcomes.iter().find(|outcome| begun.attempt.starts_with(&*outcome.attempt));
-                // What was asked to see whether all is as it should be comes from no caller.
+                    outcomes.iter().find(|outcome| start.attempt.starts_with(&*outcome.attempt));
+                // Recovery probes belong to no caller.
                 let Some(outcome) = sent else { continue };
                 let entry = self.entry_of(outcome);
-                let arrived = arrivals.get(&begun.attempt).copied().unwrap_or(begun.at);
-                if self.is_out_of_touch(entry, arrived) || self.is_out_of_touch(entry, begun.at) {
+                let arrived = arrivals.get(&start.attempt).copied().unwrap_or(start.at);
+                if self.may_lack_updates(entry, arrived) || self.may_lack_updates(entry, start.at) {
                     continue;
                 }
-                let due = replaced.iter().filter(|(_, from)| begun.at > *from);
+                let due = superseded.iter().filter(|(_, from)| start.at > *from);
                 let Some((version, from)) = due.max_by_key(|(version, _)| *version) else {
                     continue;
                 };
-                judged += 1;
-                if begun.version < *version {
+                checked += 1;
+                if start.version < *version {
                     late.push(format!(
-                        "began at {} on version {}, {:?} after the bound for version {version}: {}",
+                        "started at {} on version {}, {:?} after the bound for version {version}: {}",
                         engine.id,
-                        begun.version,
-                        begun.at - *from,
-                        begun.attempt
+                        start.version,
+                        start.at - *from,
+                        start.attempt
                     ));
                 }
             }
         }
-        (late, judged)
+        (late, checked)
     }
 
-    /// Requests for which no upstream was known though the store had only forgotten them.
-    fn thrown_away(&self, outcomes: &[Outcome]) -> usize {
-        let spans = self.left.iter().enumerate().flat_map(|(desk, left)| {
-            left.iter().map(move |(from, _)| (*from, self.known_again(desk, *from)))
+    /// Number of requests that were refused for want of an upstream although the store had only
+    /// lost the registrations.
+    fn wrongly_refused(&self, outcomes: &[CallOutcome]) -> usize {
+        let spans = self.absences.iter().enumerate().flat_map(|(desk, absences)| {
+            absences.iter().map(move |(from, _)| (*from, self.registration_known_from(desk, *from)))
         });
-        let desks_left: Vec<_> = spans.collect();
-        let is_wrong = |outcome: &&Outcome| {
+        let absence_periods: Vec<_> = spans.collect();
+        let is_wrong = |outcome: &&CallOutcome| {
             let is_refused = outcome.answer.as_ref().is_some_and(|(_, body)| body.contains("2012"));
             let after = self
-                .forgotten
+                .registration_losses
                 .iter()
                 .any(|back| (*back..*back + Duration::from_millis(2_000)).contains(&outcome.sent));
             let entry = self.entry_of(outcome);
             let restarted = self.starts.iter().any(|(started, _)| Some(*started) == entry);
-            let has_left = desks_left.iter().any(|(from, until)| {
+            let is_absent = absence_periods.iter().any(|(from, until)| {
                 *from <= outcome.sent && until.is_none_or(|until| outcome.sent <= until)
             });
-            // Engines end under requests, which are then refused though all are listed.
+            // Engines crash under requests, which are then refused though all engines are
+            // registered.
             let is_for_engine = outcome.path.starts_with("/drafts/");
-            is_refused && after && !restarted && !has_left && !is_for_engine
+            is_refused && after && !restarted && !is_absent && !is_for_engine
         };
         outcomes.iter().filter(is_wrong).count()
     }
 
-    /// Engines write their registrations anew where they hold other weights than these say.
-    fn tell_weights(&self) {
-        if !self.store.is_sound() {
+    /// Updates the registrations that list other weights than their engines hold.
+    fn update_registered_weights(&self) {
+        if !self.store.is_available() {
             return;
         }
         for (engine, (address, _)) in self.engines.iter().zip(&self.engine_links) {
-            let told = self.store.value(&format!("servers/{}", engine.id));
-            let is_told = |told: &serde_json::Value| {
-                told["models"][0]["version"].as_u64().unwrap_or(0) == engine.version()
+            let registered = self.store.value(&format!("servers/{}", engine.id));
+            let is_current = |registered: &serde_json::Value| {
+                registered["models"][0]["version"].as_u64().unwrap_or(0) == engine.version()
             };
-            if told.is_some_and(|told| !is_told(&told)) {
+            if registered.is_some_and(|registered| !is_current(&registered)) {
                 register(&self.store, engine, *address, "pool");
             }
         }
     }
 
-    /// Ends an engine, which starts again a little later.
-    fn end_engine(&mut self, place: usize) {
+    /// Terminates an engine and schedules its restart.
+    fn crash_engine(&mut self, place: usize) {
         if self.engine_links[place].1.take().is_some() {
-            let starts = Instant::now() + RESTART;
-            self.remedies.push((starts, Remedy::StartEngine(place)));
+            let starts = Instant::now() + ENGINE_RESTART_DELAY;
+            self.recovery_actions.push((starts, RecoveryAction::StartEngine(place)));
         }
     }
 
-    /// Ends the engines that have crashed under a request.
-    fn end_crashed(&mut self) {
+    /// Terminates the engines that crashed under a request.
+    fn terminate_crashed_engines(&mut self) {
         while let Ok(id) = self.crashes.try_recv() {
             let place = self.engines.iter().position(|engine| engine.id == id).unwrap();
-            self.end_engine(place);
+            self.crash_engine(place);
         }
     }
 
     fn start_engine(&mut self, place: usize) {
         let engine = &self.engines[place];
-        engine.start_again();
+        engine.restart();
         let (address, link) = &mut self.engine_links[place];
         *link = Some(LabLink::spawn_at(*address, self.engine_servers[place]).unwrap());
         register(&self.store, engine, *address, "pool");
     }
 
-    /// Runs of the request that ends engines after it was known to, from entries in touch.
-    fn late_reaches(&self, outcomes: &[Outcome]) -> usize {
+    /// Number of runs of the crashing request that undisturbed entries sent after it was known to
+    /// crash engines.
+    fn late_crashing_runs(&self, outcomes: &[CallOutcome]) -> usize {
         let mut runs: Vec<_> = self.engines.iter().flat_map(Worker::crash_runs).collect();
         runs.sort_by_key(|(_, at)| *at);
-        let Some((_, third)) = runs.get(LESSONS - 1) else { return 0 };
-        let known = *third + IN_TOUCH;
+        let Some((_, third)) = runs.get(CRASHES_UNTIL_QUARANTINE - 1) else { return 0 };
+        let known = *third + SETTLE_TIME;
         let is_late = |(attempt, at): &&(String, Instant)| {
             let outcome = outcomes.iter().find(|outcome| outcome.attempt == *attempt);
             let entry = outcome.and_then(|outcome| {
-                self.listeners.iter().find(|(at, _)| *at == outcome.entry).map(|(_, entry)| *entry)
+                self.entry_addresses
+                    .iter()
+                    .find(|(at, _)| *at == outcome.entry)
+                    .map(|(_, entry)| *entry)
             });
             let has_started = self
                 .starts
                 .iter()
                 .any(|(started, when)| Some(*started) == entry && *third <= *when && *when <= *at);
-            let is_out_of_touch = |trouble: &Trouble| {
-                let concerns = trouble.entry.is_none() || trouble.entry == entry;
-                let matters = concerns && (has_started || !trouble.of_store);
-                matters && trouble.from <= *at && *at <= trouble.until
+            let may_lack_updates = |disturbance: &Disturbance| {
+                let concerns = disturbance.entry.is_none() || disturbance.entry == entry;
+                let matters = concerns && (has_started || !disturbance.is_store_outage);
+                matters && disturbance.from <= *at && *at <= disturbance.until
             };
-            *at > known && !self.troubles.iter().any(is_out_of_touch)
+            *at > known && !self.entry_disturbances.iter().any(may_lack_updates)
         };
         runs.iter().filter(is_late).count()
     }
 
-    fn spoil_answers(&mut self) {
+    fn inject_answer_fault(&mut self) {
         let workers: Vec<_> = self.engines.iter().chain(&self.desks).collect();
         let worker = workers[self.random.random_range(0..workers.len())];
         let fault = match self.random.random_range(0..4) {
-            0 => WorkerFault::BreakAfter(self.random.random_range(0..5)),
-            1 => WorkerFault::Full,
+            0 => WorkerFault::CutAfter(self.random.random_range(0..5)),
+            1 => WorkerFault::NotExecuted,
             2 => WorkerFault::LoseAnswer,
-            _ => WorkerFault::Foreign,
+            _ => WorkerFault::WrongRequestId,
         };
         worker.set_fault(fault, self.random.random_range(1..6));
     }
 
-    /// Nothing is disturbed from now on.
-    fn end_unrest(&mut self) {
+    /// Ends all disturbances and start delays.
+    fn end_disturbances(&mut self) {
         let now = Instant::now();
-        self.engines.iter().for_each(|engine| engine.set_begin_delay(Duration::ZERO));
-        for trouble in &mut self.unrest {
-            let rewritten = if trouble.of_store { REWRITTEN } else { Duration::ZERO };
-            trouble.until = trouble.until.min(now + rewritten);
+        self.engines.iter().for_each(|engine| engine.set_start_delay(Duration::ZERO));
+        for disturbance in &mut self.store_disturbances {
+            let rewritten =
+                if disturbance.is_store_outage { REWRITE_TIMEOUT } else { Duration::ZERO };
+            disturbance.until = disturbance.until.min(now + rewritten);
         }
     }
 
-    fn remedy(&mut self, all: bool) {
+    fn run_recovery_actions(&mut self, all: bool) {
         let now = Instant::now();
-        let (due, later): (Vec<_>, _) =
-            std::mem::take(&mut self.remedies).into_iter().partition(|(at, _)| all || *at <= now);
-        self.remedies = later;
-        for (at, remedy) in due {
-            match remedy {
-                Remedy::Thaw(place) => {
+        let (due, later): (Vec<_>, _) = std::mem::take(&mut self.recovery_actions)
+            .into_iter()
+            .partition(|(at, _)| all || *at <= now);
+        self.recovery_actions = later;
+        for (at, action) in due {
+            match action {
+                RecoveryAction::Thaw(place) => {
                     if let Some(process) = &self.processes[place].process {
                         process.thaw();
                     }
                 }
-                Remedy::Restart(place) => {
+                RecoveryAction::Restart(place) => {
                     if let Some(mut process) = self.processes[place].process.take() {
                         process.thaw();
                         process.kill();
@@ -765,26 +834,28 @@
                     }
                     self.publish_addresses();
                 }
-                Remedy::OpenStoreLink(link) => self.store_links[link].set(LinkState::Open),
-                Remedy::OpenDeskLink(link) => self.desk_links[link].set(LinkState::Open),
-                Remedy::SoundStore if self.will_forget() => {}
-                Remedy::SoundStore => self.store.set_mode(StoreMode::Sound),
-                // Cut short, the outage was one that registrations outlive.
-                Remedy::ForgetfulStore if now < at => self.store.set_mode(StoreMode::Sound),
-                Remedy::ForgetfulStore => self.forget_upstreams(),
-                Remedy::ReturnedStore => self.return_store(),
-                Remedy::OperatorWrites => self.write_as_operator(),
-                Remedy::RegisterDesk(desk) => self.register_desk(desk),
-                Remedy::RegisterEngine(place) => {
+                RecoveryAction::OpenStoreLink(link) => self.store_links[link].set(LinkState::Open),
+                RecoveryAction::OpenDeskLink(link) => self.desk_links[link].set(LinkState::Open),
+                RecoveryAction::MakeStoreAvailable if self.has_pending_data_loss() => {}
+                RecoveryAction::MakeStoreAvailable => self.store.set_mode(StoreMode::Available),
+                // An outage that was cut short is one that registrations outlive.
+                RecoveryAction::ReturnStoreWithoutUpstreams if now < at => {
+                    self.store.set_mode(StoreMode::Available)
+                }
+                RecoveryAction::ReturnStoreWithoutUpstreams => self.drop_registrations(),
+                RecoveryAction::RestoreStore => self.restore_store(),
+                RecoveryAction::RewriteOperatorKeys => self.rewrite_operator_keys(),
+                RecoveryAction::RegisterDesk(desk) => self.register_desk(desk),
+                RecoveryAction::RegisterEngine(place) => {
                     let address = self.engine_links[place].0;
                     register(&self.store, &self.engines[place], address, "pool");
                 }
-                Remedy::StartEngine(place) => self.start_engine(place),
+                RecoveryAction::StartEngine(place) => self.start_engine(place),
             }
         }
     }
 
-    /// Takes a key away for good; the store's word is the confirmation.
+    /// Revokes a key for good; the revocation counts from when the store accepted it.
     fn revoke(&mut self) {
         self.generation += 1;
         let newer = configuration(self.generation, self.origin_address, &["key-1"]);
@@ -792,90 +863,94 @@
         self.revoked = Some(Instant::now());
     }
 
-    fn callers(&self, stop: Instant) -> Vec<JoinHandle<Vec<Outcome>>> {
+    fn callers(&self, stop: Instant) -> Vec<JoinHandle<Vec<CallOutcome>>> {
         let caller = |number: u64| {
             let random = StdRng::seed_from_u64(self.seed * 1_000 + number);
-            // What ends engines is looked for by the other kind. Here many requests are in engines at
-            // each end, and one that only waited there can be taken for the cause: a fault of its
-            // own, which would hide the versions.
+            // Requests that crash engines are checked by the other kind. Here many requests are in
+            // the engines at each crash, and one that only waited there can be taken for the cause:
+            // a separate fault, which would hide those of the versions.
             let (draft, crashing) = match self.kind {
-                SoakKind::Usual => ("/drafts/x".to_owned(), CRASHING),
+                SoakKind::Standard => ("/drafts/x".to_owned(), CRASHING_PATH),
                 SoakKind::LateWeights => (format!("/drafts/x?caller={number}"), "/drafts/x"),
             };
-            tokio::spawn(call_until(
+            tokio::spawn(run_caller(
                 stop,
                 self.addresses.clone(),
                 random,
                 (number, draft, crashing),
             ))
         };
-        let late = self.kind == SoakKind::LateWeights;
-        (0..if late { LATE_CALLERS } else { CALLERS }).map(caller).collect()
+        let has_late_weights = self.kind == SoakKind::LateWeights;
+        (0..if has_late_weights { LATE_WEIGHTS_CALLERS } else { CALLERS }).map(caller).collect()
     }
 
     fn runs(&self) -> Vec<(String, Instant)> {
         self.engines.iter().chain(&self.desks).flat_map(Worker::timed_runs).collect()
     }
 
-    fn check(&self, outcomes: &[Outcome]) -> Vec<String> {
-        let mut broken = Vec::new();
+    fn check(&self, outcomes: &[CallOutcome]) -> Vec<String> {
+        let mut violations = Vec::new();
         let runs = self.runs();
         for outcome in outcomes {
             let own = runs.iter().filter(|(run, _)| run.starts_with(&*outcome.attempt));
             let own: Vec<_> = own.collect();
             let note = |what: &str| format!("{what}: {} {}", outcome.attempt, outcome.path);
             if own.iter().any(|(run, _)| !run.ends_with(" comedor")) {
-                broken.push(note("another customer was told"));
+                violations.push(note("ran for another customer than the key's"));
             }
             if outcome.path == "/notices/x" && own.len() > 1 {
-                broken.push(note("ran twice"));
+                violations.push(note("not idempotent, and ran more than once"));
             }
             if let Some(revoked) = self.revoked
                 && outcome.key == "key-2"
-                && outcome.sent > revoked + REVOCATION
+                && outcome.sent > revoked + REVOCATION_BOUND
                 && !own.is_empty()
             {
-                broken.push(note("ran with a key that was taken away"));
+                violations.push(note("ran with a revoked key after the bound"));
             }
             let Some((status, body)) = &outcome.answer else { continue };
-            if outcome.path == CRASHING {
+            if outcome.path == CRASHING_PATH {
                 if *status == 200 {
-                    broken.push(note("an engine that ended is said to have answered"));
+                    violations.push(note("status 200 though its engine crashed"));
                 }
                 continue;
             }
             if body.contains("Quarantined") {
-                broken.push(note("blamed for engines that ended for another reason"));
+                violations.push(note("quarantined though engines crashed for another reason"));
             }
             let expected = if outcome.path == "/drafts/x" {
-                whole_stream()
+                complete_stream()
             } else {
                 format!("done {}", outcome.attempt)
             };
             if *status == 200 && *body != expected {
-                broken.push(note("not the whole answer to this request"));
+                violations.push(note("status 200 without the complete answer to this request"));
             }
             if matches!(status, 408 | 421 | 429 | 503) && !own.is_empty() {
-                broken.push(note("said not to have run, and ran"));
+                violations.push(note("answered as not executed, but ran"));
             }
         }
-        broken.extend(self.runs_after_leaving(outcomes));
-        broken.extend(self.late_beginnings(outcomes).0);
-        let thrown_away = self.thrown_away(outcomes);
-        if thrown_away > 0 {
-            broken.push(format!("{thrown_away} requests found no upstream after an outage"));
+        violations.extend(self.runs_after_deregistration(outcomes));
+        violations.extend(self.late_starts(outcomes).0);
+        let wrongly_refused = self.wrongly_refused(outcomes);
+        if wrongly_refused > 0 {
+            violations.push(format!(
+                "{wrongly_refused} requests were refused for want of an upstream after an outage"
+            ));
         }
-        let late = self.late_reaches(outcomes);
-        if late > MORE_REACHES {
-            broken.push(format!("a request that ends engines reached them {late} times more"));
+        let late = self.late_crashing_runs(outcomes);
+        if late > LATE_RUNS_LIMIT {
+            violations.push(format!(
+                "a request that crashes engines ran {late} times after it was known"
+            ));
         }
         if self.engines.iter().any(|engine| engine.bad_loads() > 0) {
-            broken.push("weights were loaded that were not whole".into());
+            violations.push("an engine was ordered to load incomplete weights".into());
         }
-        broken
+        violations
     }
 
-    /// Whether each entry serves, and each engine has the newest weights.
+    /// Whether each entry serves and each engine has the newest weights.
     async fn is_recovered(&self, client: &HttpClient, number: u32) -> bool {
         let newest = self.engines.iter().all(|engine| engine.version() == self.version);
         let entries = self.addresses.lock().unwrap().clone();
@@ -884,22 +959,22 @@
             let attempt = format!("probe-{place}-{number}");
             let call = caller_request(entry, &attempt, "/drafts/x", "key-1");
             let answer = client.call(call, Duration::from_secs(2), 1_000_000).await;
-            serving &= answer.is_ok_and(|answer| answer.body == whole_stream());
+            serving &= answer.is_ok_and(|answer| answer.body == complete_stream());
         }
         newest && serving
     }
 }
 
-async fn call_until(
+async fn run_caller(
     stop: Instant,
     addresses: Arc<Mutex<Vec<SocketAddr>>>,
     mut random: StdRng,
     (number, draft, crashing): (u64, String, &'static str),
-) -> Vec<Outcome> {
-    // Connections stay open until their entry is gone.
+) -> Vec<CallOutcome> {
+    // Connections stay open until their entry has exited.
     let client = HttpClient::open(Duration::from_millis(500));
     let mut outcomes = Vec::new();
-    for turn in 0.. {
+    for round in 0.. {
         if Instant::now() >= stop {
             break;
         }
@@ -911,10 +986,10 @@
         let entry = known[random.random_range(0..known.len())];
         let path = match random.random_range(0..40) {
             0 => crashing,
-            lot => ["/drafts/x", "/notices/x", "/status/x"][lot % 3],
+            choice => ["/drafts/x", "/notices/x", "/status/x"][choice % 3],
         };
         let key = if random.random_range(0..4) == 0 { "key-2" } else { "key-1" };
-        let attempt = format!("c{number}-{turn}.");
+        let attempt = format!("c{number}-{round}.");
         let sent = Instant::now();
         let target = if path == "/drafts/x" { &*draft } else { path };
         let call = caller_request(entry, &attempt, target, key);
@@ -922,90 +997,91 @@
         let answer = answer.map(|answer| {
             (answer.status.as_u16(), String::from_utf8_lossy(&answer.body).into_owned())
         });
-        outcomes.push(Outcome { attempt, path, key, sent, answer, entry });
+        outcomes.push(CallOutcome { attempt, path, key, sent, answer, entry });
         tokio::time::sleep(Duration::from_millis(random.random_range(1..25))).await;
     }
     outcomes
 }
 
-/// Plays one seed; the broken promises, and what it saw.
-async fn play(seed: u64, span: Duration) -> (Vec<String>, String) {
+/// Runs one seed; returns the violated promises and a summary.
+async fn run_seed(seed: u64, span: Duration) -> (Vec<String>, String) {
     const TICK: Duration = Duration::from_millis(25);
     let mut soak = Soak::start(seed).await;
     let client = HttpClient::open(Duration::from_millis(500));
     if soak.kind == SoakKind::LateWeights {
-        // What an entry finds named at its start has replaced all others at once.
+        // A version that an entry finds announced when it starts supersedes the others at once,
+        // without a bound: the entries must be running before the announcement.
         for number in 0..200 {
             if soak.is_recovered(&client, number).await {
                 break;
             }
             tokio::time::sleep(TICK).await;
         }
-        soak.name_version();
-        (0..soak.engines.len()).for_each(|engine| soak.delay_beginnings(engine));
+        soak.announce_version();
+        (0..soak.engines.len()).for_each(|engine| soak.change_start_delay(engine));
     }
-    let begun = Instant::now();
-    // The calls go on through the recovery, where the bound for keys is over.
-    let callers = soak.callers(begun + span + REVOCATION);
-    let first = FIRST_FAULT[usize::from(soak.kind == SoakKind::LateWeights)];
-    let (mut next, revoke_at) = (begun + first, begun + span / 2);
-    while begun.elapsed() < span {
+    let started_at = Instant::now();
+    // The calls continue through the recovery, in which the bound for keys ends.
+    let callers = soak.callers(started_at + span + REVOCATION_BOUND);
+    let first = FIRST_FAULT_DELAYS[usize::from(soak.kind == SoakKind::LateWeights)];
+    let (mut next, revoke_at) = (started_at + first, started_at + span / 2);
+    while started_at.elapsed() < span {
         if Instant::now() >= next {
-            soak.disturb();
+            soak.inject_fault();
             next = Instant::now() + Duration::from_millis(soak.random.random_range(50..600));
         }
-        // Answers go wrong all the while; about four times a second another worker's.
+        // Answer faults are injected all the while, about four times a second at another worker.
         if soak.random.random_range(0..10) == 0 {
-            soak.spoil_answers();
+            soak.inject_answer_fault();
         }
-        if soak.kind == SoakKind::LateWeights && soak.delays.random_range(0..8) == 0 {
-            let engine = soak.delays.random_range(0..soak.engines.len());
-            soak.delay_beginnings(engine);
+        if soak.kind == SoakKind::LateWeights && soak.delay_random.random_range(0..8) == 0 {
+            let engine = soak.delay_random.random_range(0..soak.engines.len());
+            soak.change_start_delay(engine);
         }
         if soak.revoked.is_none() && Instant::now() >= revoke_at {
             soak.revoke();
         }
-        soak.end_crashed();
-        soak.tell_weights();
-        soak.remedy(false);
+        soak.terminate_crashed_engines();
+        soak.update_registered_weights();
+        soak.run_recovery_actions(false);
         tokio::time::sleep(TICK).await;
     }
-    soak.remedy(true);
-    soak.end_unrest();
-    let mut broken = Vec::new();
-    let calm = Instant::now();
+    soak.run_recovery_actions(true);
+    soak.end_disturbances();
+    let mut violations = Vec::new();
+    let recovery_started_at = Instant::now();
     for number in 0.. {
         if soak.is_recovered(&client, number).await {
             break;
         }
-        soak.end_crashed();
-        soak.tell_weights();
-        soak.remedy(false);
-        if calm.elapsed() > RECOVERY {
-            broken.push(format!("not recovered after {RECOVERY:?}"));
+        soak.terminate_crashed_engines();
+        soak.update_registered_weights();
+        soak.run_recovery_actions(false);
+        if recovery_started_at.elapsed() > RECOVERY_TIMEOUT {
+            violations.push(format!("entries or engines not recovered after {RECOVERY_TIMEOUT:?}"));
             break;
         }
         tokio::time::sleep(TICK).await;
     }
-    let recovered = calm.elapsed();
-    // Engines go on ending and starting while there are callers.
+    let recovered = recovery_started_at.elapsed();
+    // Engines keep crashing and restarting while there are callers.
     while callers.iter().any(|caller| !caller.is_finished()) {
-        soak.end_crashed();
-        soak.tell_weights();
-        soak.remedy(false);
+        soak.terminate_crashed_engines();
+        soak.update_registered_weights();
+        soak.run_recovery_actions(false);
         tokio::time::sleep(TICK).await;
     }
     let mut outcomes = Vec::new();
     for caller in callers {
         outcomes.extend(caller.await.unwrap());
     }
-    broken.extend(soak.check(&outcomes));
+    violations.extend(soak.check(&outcomes));
     let count = |wanted: u16| {
         let answers = outcomes.iter().filter_map(|outcome| outcome.answer.as_ref());
         answers.filter(|(status, _)| *status == wanted).count()
     };
     let summary = format!(
-        "seed {seed} {:?}: {} faults, {} requests, 200: {}, 503: {}, 502: {}, 401: {}, {} begun after a \
+        "seed {seed} {:?}: {} faults, {} requests, 200: {}, 503: {}, 502: {}, 401: {}, {} started after a \
          bound, recovered in {} ms",
         soak.kind,
         soak.faults.len(),
@@ -1014,15 +1090,15 @@
         count(503),
         count(502),
         count(401),
-        soak.late_beginnings(&outcomes).1,
+        soak.late_starts(&outcomes).1,
         recovered.as_millis(),
     );
-    if broken.is_empty() {
+    if violations.is_empty() {
         let _ = std::fs::remove_dir_all(&soak.folder);
     } else {
-        broken.push(format!("logs in {}; faults: {:?}", soak.folder.display(), soak.faults));
+        violations.push(format!("logs in {}; faults: {:?}", soak.folder.display(), soak.faults));
     }
-    (broken, summary)
+    (violations, summary)
 }
 
 fn number(name: &str) -> Option<u64> {
@@ -1035,25 +1111,26 @@
         Some(first) => (first..first + number("SOAK_SEEDS").unwrap_or(1)).collect(),
         None => SEEDS.to_vec(),
     };
-    play_all(&seeds).await;
+    run_seeds(&seeds).await;
 }
 
-/// Plays CI's seeds of this kind beside the others; a seed that is asked for is played there.
+/// Runs the CI seeds with late weights in parallel to the others; a seed given by `SOAK_SEED` runs
+/// in the other test.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_seeded_soak_with_late_weights_keeps_the_promises() {
     if number("SOAK_SEED").is_none() {
-        play_all(&LATE_SEEDS).await;
+        run_seeds(&LATE_WEIGHTS_SEEDS).await;
     }
 }
 
-async fn play_all(seeds: &[u64]) {
-    let span = Duration::from_secs(number("SOAK_SECONDS").unwrap_or(SECONDS));
+async fn run_seeds(seeds: &[u64]) {
+    let span = Duration::from_secs(number("SOAK_SECONDS").unwrap_or(DEFAULT_FAULT_SECONDS));
     let mut failed = Vec::new();
     for seed in seeds {
-        let (broken, summary) = play(*seed, span).await;
+        let (violations, summary) = run_seed(*seed, span).await;
         println!("{summary}");
-        if !broken.is_empty() {
-            println!("seed {seed} FAILED: {broken:#?}");
+        if !violations.is_empty() {
+            println!("seed {seed} FAILED: {violations:#?}");
             failed.push(seed);
         }
     }
--- a/mustardrill_standins/tests/prepared/store.rs
+++ b/mustardrill_standins/tests/prepared/store.rs
@@ -1,4 +1,5 @@
-//! The prepared platform's store, as its pages tell it: items, watches, leases, and its failures.
+//! Stand-in of the prepared platform's store after its published interface: items, watches, leases
+//! and failures.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,33 +16,32 @@
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
-/// How the store behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
-    /// It answers.
-    Sound,
-    /// It answers 503.
-    Busy,
-    /// It answers nothing.
+    /// Answers calls.
+    Available,
+    /// Answers every call with status 503.
+    Unavailable,
+    /// Accepts calls and never answers.
     Silent,
 }
 
-/// What the store held at a moment.
+/// A copy of the store's contents at one revision.
 #[derive(Debug, Clone)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     revision: u64,
     items: BTreeMap<String, (String, u64)>,
-    leases: u64,
+    last_lease: u64,
 }
 
-impl StoreCopy {
-    /// Leaves a key out of the copy.
-    pub fn forget(&mut self, key: &str) {
+impl StoreSnapshot {
+    /// Removes a key from the copy.
+    pub fn remove(&mut self, key: &str) {
         self.items.remove(key);
     }
 }
 
-/// The store.
+/// Handle of the store; clones share its state.
 #[derive(Clone)]
 pub struct Store {
     state: Arc<Mutex<StoreState>>,
@@ -50,32 +50,31 @@
 
 struct StoreState {
     mode: StoreMode,
-    /// How often it has come back from a copy.
+    /// Number of restores from a copy; sent in the header `store-era`.
     era: u64,
-    /// The number of the lease that was given last.
-    leases: u64,
+    /// Number of the latest lease granted.
+    last_lease: u64,
     revision: u64,
     items: BTreeMap<String, (String, u64)>,
-    /// Every change: its revision, key, and value; nothing for a removal.
+    /// Every change as revision, key and value; the value is `None` for a removal.
     history: Vec<(u64, String, Option<String>)>,
-    /// Changes up to this one are forgotten.
-    compacted: u64,
-    /// How often items were read, by the beginning of their keys.
+    /// Changes up to this revision are no longer available.
+    compacted_revision: u64,
+    /// Number of reads by key prefix.
     reads: BTreeMap<String, u32>,
-    /// How often leases were renewed.
     renewals: u32,
 }
 
 impl Store {
     pub fn new() -> Self {
         let state = StoreState {
-            mode: StoreMode::Sound,
+            mode: StoreMode::Available,
             era: 0,
-            leases: 0,
+            last_lease: 0,
             revision: 1,
             items: BTreeMap::new(),
             history: Vec::new(),
-            compacted: 0,
+            compacted_revision: 0,
             reads: BTreeMap::new(),
             renewals: 0,
         };
@@ -91,7 +90,7 @@
         self.put(key, STANDARD.encode(value.to_string()));
     }
 
-    /// What is kept under a key.
+    /// Returns the decoded JSON value of a key.
     pub fn value(&self, key: &str) -> Option<Value> {
         let state = self.state.lock().unwrap();
         let bytes = STANDARD.decode(&state.items.get(key)?.0).unwrap();
@@ -108,34 +107,36 @@
         self.changed.notify_waiters();
     }
 
-    /// Forgets the history so far.
+    /// Discards the history so far; watches from an older revision get status 410.
     pub fn compact(&self) {
         let mut state = self.state.lock().unwrap();
         state.history.clear();
-        state.compacted = state.revision;
+        state.compacted_revision = state.revision;
     }
 
-    /// What it holds now.
-    pub fn copy(&self) -> StoreCopy {
+    pub fn snapshot(&self) -> StoreSnapshot {
         let state = self.state.lock().unwrap();
-        StoreCopy { revision: state.revision, items: state.items.clone(), leases: state.leases }
+        StoreSnapshot {
+            revision: state.revision,
+            items: state.items.clone(),
+            last_lease: state.last_lease,
+        }
     }
 
-    /// Comes back from a copy: what was written since is gone, and revisions and numbers of leases
-    /// are given out again.
-    pub fn return_to(&self, copy: &StoreCopy) {
+    /// Restores a copy: later writes are lost, and their revisions and lease numbers are assigned
+    /// again.
+    pub fn restore_from(&self, snapshot: &StoreSnapshot) {
         let mut state = self.state.lock().unwrap();
         state.era += 1;
-        state.revision = copy.revision;
-        state.items = copy.items.clone();
-        state.leases = copy.leases;
+        state.revision = snapshot.revision;
+        state.items = snapshot.items.clone();
+        state.last_lease = snapshot.last_lease;
         state.history.clear();
-        state.compacted = copy.revision;
+        state.compacted_revision = snapshot.revision;
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// The state that it is in.
     pub fn revision(&self) -> u64 {
         self.state.lock().unwrap().revision
     }
@@ -150,21 +151,19 @@
         self.changed.notify_waiters();
     }
 
-    /// Whether it takes writes.
-    pub fn is_sound(&self) -> bool {
-        self.mode() == StoreMode::Sound
+    pub fn is_available(&self) -> bool {
+        self.mode() == StoreMode::Available
     }
 
     fn mode(&self) -> StoreMode {
         self.state.lock().unwrap().mode
     }
 
-    /// How often the items whose keys begin so were read.
+    /// Counts the reads with exactly this key prefix.
     pub fn reads(&self, prefix: &str) -> u32 {
         self.state.lock().unwrap().reads.get(prefix).copied().unwrap_or(0)
     }
 
-    /// How often leases were renewed.
     pub fn renewals(&self) -> u32 {
         self.state.lock().unwrap().renewals
     }
@@ -179,10 +178,11 @@
         json!({"entries": entries, "has_more": false, "at": state.revision})
     }
 
-    /// The changes after a state; nothing where they are forgotten.
-    fn events(&self, prefix: &str, after: u64) -> Option<(Vec<Value>, u64)> {
+    /// Returns the changes after a revision and the current one, or `None` if these changes are no
+    /// longer available.
+    fn changes_after(&self, prefix: &str, after: u64) -> Option<(Vec<Value>, u64)> {
         let state = self.state.lock().unwrap();
-        if after < state.compacted || after > state.revision {
+        if after < state.compacted_revision || after > state.revision {
             return None;
         }
         let found =
@@ -198,7 +198,7 @@
         let until = tokio::time::Instant::now() + wait;
         loop {
             let changed = self.changed.notified();
-            match self.events(prefix, after) {
+            match self.changes_after(prefix, after) {
                 None => return text_response(StatusCode::GONE, ""),
                 Some((events, at)) if !events.is_empty() => {
                     return json_response(StatusCode::OK, &json!({"events": events, "at": at}));
@@ -214,8 +214,8 @@
 
     async fn answer(&self, request: Request<Incoming>) -> AnyResponse {
         match self.mode() {
-            StoreMode::Sound => {}
-            StoreMode::Busy => return text_response(StatusCode::SERVICE_UNAVAILABLE, ""),
+            StoreMode::Available => {}
+            StoreMode::Unavailable => return text_response(StatusCode::SERVICE_UNAVAILABLE, ""),
             StoreMode::Silent => std::future::pending().await,
         }
         let uri = request.uri().clone();
@@ -226,17 +226,17 @@
             "/v1/kv-watch" => {
                 let wait = Duration::from_millis(number("wait_ms"));
                 let answer = self.watch(prefix, number("after"), wait).await;
-                // A store that has become busy or silent meanwhile gives no proof of anything.
+                // A store that has failed meanwhile must not confirm any state.
                 match self.mode() {
-                    StoreMode::Sound => answer,
-                    StoreMode::Busy => text_response(StatusCode::SERVICE_UNAVAILABLE, ""),
+                    StoreMode::Available => answer,
+                    StoreMode::Unavailable => text_response(StatusCode::SERVICE_UNAVAILABLE, ""),
                     StoreMode::Silent => std::future::pending().await,
                 }
             }
             "/v1/kv-lease" => {
                 let mut state = self.state.lock().unwrap();
-                state.leases += 1;
-                let lease = state.leases;
+                state.last_lease += 1;
+                let lease = state.last_lease;
                 json_response(StatusCode::OK, &json!({"lease_id": lease, "ttl_ms": 10_000}))
             }
             "/v1/kv-txn" => {
@@ -252,7 +252,7 @@
                 let mut state = self.state.lock().unwrap();
                 state.renewals += 1;
                 let lease: u64 = path.rsplit('/').next().unwrap().parse().unwrap();
-                if lease > state.leases {
+                if lease > state.last_lease {
                     return text_response(StatusCode::NOT_FOUND, "");
                 }
                 drop(state);
@@ -269,7 +269,7 @@
         Box::pin(async move {
             let era = store.state.lock().unwrap().era;
             let mut response = store.answer(request).await;
-            // A watch that the return cut short is answered by the store that is back.
+            // A watch that a restore interrupts is answered by the restored store, in its era.
             let era = era.max(store.state.lock().unwrap().era);
             response.headers_mut().insert("store-era", era.into());
             response
--- a/mustardrill_standins/tests/prepared/versions.rs
+++ b/mustardrill_standins/tests/prepared/versions.rs
@@ -1,4 +1,4 @@
-//! On which weights requests begin, as engines see it, while newer ones are late.
+//! Which weights requests start on, as engines observe it, while newer weights are late.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -14,18 +14,18 @@
 use tokio::task::JoinSet;
 
 use crate::fleet::{
-    caller_request, configuration, entry_settings, listen, machine, register, whole_stream,
+    caller_request, complete_stream, configuration, entry_settings, listen, machine_ip, register,
 };
 use crate::store::Store;
-use crate::worker::{Beginning, Worker};
+use crate::worker::{RequestStart, Worker};
 
-/// Between two calls to an entry.
-const CALL_EVERY: Duration = Duration::from_millis(25);
+/// Interval between two calls to an entry.
+const CALL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// What a caller saw: the status and body; nothing where the connection ended.
+/// What a caller observed: status and body, or `None` if the connection ended.
 type CallerView = Option<(StatusCode, String)>;
 
-/// Entries that reach the store over a link each, before engines without agents: these keep the
+/// Entries with a link each to the store, in front of engines without agents: these keep the
 /// weights that they have.
 struct EngineFleet {
     store: Store,
@@ -34,9 +34,9 @@
     engines: Vec<Worker>,
     client: HttpClient,
     folder: PathBuf,
-    /// How long a request may still begin on weights after newer ones were named.
+    /// How long a request may still start on superseded weights after newer ones were announced.
     bound: Duration,
-    _listening: Vec<StandIn>,
+    _stand_ins: Vec<StandIn>,
 }
 
 impl Drop for EngineFleet {
@@ -51,17 +51,18 @@
             .join(format!("mustardrill-versions-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let store = Store::new();
-        let store_at = listen(machine(test, 1), Box::new(store.clone())).await;
+        let store_server = listen(machine_ip(test, 1), Box::new(store.clone())).await;
         let links: Vec<_> =
-            (0..entries).map(|_| LabLink::spawn(store_at.address).unwrap()).collect();
-        let mut listening = vec![store_at];
+            (0..entries).map(|_| LabLink::spawn(store_server.address).unwrap()).collect();
+        let mut stand_ins = vec![store_server];
         for (place, engine) in engines.iter().enumerate() {
-            let at = listen(machine(test, 10 + place as u8), Box::new(engine.clone())).await;
+            let at = listen(machine_ip(test, 10 + place as u8), Box::new(engine.clone())).await;
             register(&store, engine, at.address, "pool");
-            listening.push(at);
+            stand_ins.push(at);
         }
-        let mut document = configuration(1, (machine(test, 2), 9).into(), &["key-1"]);
-        // Without keys nothing is refused for want of a proof that they are still good.
+        let mut document = configuration(1, (machine_ip(test, 2), 9).into(), &["key-1"]);
+        // Public routes need no key, so no request is refused because the configuration could not
+        // be confirmed as current.
         document["routes"]
             .as_array_mut()
             .unwrap()
@@ -76,45 +77,45 @@
             client: HttpClient::open(Duration::from_secs(1)),
             folder,
             bound: Duration::from_secs(bound_s),
-            _listening: listening,
+            _stand_ins: stand_ins,
         };
         for place in 0..entries {
             let name = format!("entry-{place}");
             let store = fleet.links[usize::from(place)].address;
-            let settings = entry_settings(&name, machine(test, 100 + place), store);
+            let settings = entry_settings(&name, machine_ip(test, 100 + place), store);
             let settings = settings.replace("version = 3s", &format!("version = {bound_s}s"));
             fleet.entries.push(daemon(&fleet.folder, "mustardrill-entry", &name, &settings));
         }
-        // The entries hear of each other by the store.
+        // Entries discover each other through the store.
         let warm = fleet.call_for(Duration::from_millis(1_500), "warm").await.join_all().await;
-        assert!(warm.iter().any(is_whole), "{warm:?}");
+        assert!(warm.iter().any(is_complete), "{warm:?}");
         fleet
     }
 
-    /// Names a version; when that was acknowledged.
-    fn name(&self, version: u64) -> Instant {
+    /// Announces a version and returns when the store had accepted it.
+    fn announce(&self, version: u64) -> Instant {
         self.store.write("op/version/m0", &json!({"model": "m0", "version": version}));
         Instant::now()
     }
 
-    /// Calls every entry again and again for so long; the calls may last longer. An attempt's name
-    /// ends with its entry.
+    /// Starts a call to every entry each `CALL_INTERVAL` for `span`; the calls may last longer. An
+    /// attempt's id ends with its entry.
     async fn call_for(&self, span: Duration, name: &str) -> JoinSet<CallerView> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut calls = JoinSet::new();
         for number in 0.. {
-            if begun.elapsed() >= span {
+            if started_at.elapsed() >= span {
                 break;
             }
             for place in 0..self.entries.len() {
                 calls.spawn(self.call(place, format!("{name}-{number}.entry-{place}")));
             }
-            tokio::time::sleep(CALL_EVERY).await;
+            tokio::time::sleep(CALL_INTERVAL).await;
         }
         calls
     }
 
-    /// So many calls to the first entry at once.
+    /// Starts `count` calls to the first entry at once.
     async fn burst(&self, count: usize, name: &str) -> JoinSet<CallerView> {
         let mut calls = JoinSet::new();
         for number in 0..count {
@@ -123,7 +124,6 @@
         calls
     }
 
-    /// A call to an entry.
     fn call(&self, entry: usize, attempt: String) -> impl Future<Output = CallerView> + use<> {
         let call = caller_request(self.entries[entry].address, &attempt, "/drafts/x", "");
         let client = self.client.clone();
@@ -135,53 +135,57 @@
 
     /// What began on weights older than `version` later than the bound after it was named, and how
     /// long after the naming.
-    fn late(&self, version: u64, named: Instant) -> Vec<(Beginning, Duration)> {
-        let begun = self.engines.iter().flat_map(Worker::beginnings);
-        let late = begun.filter(|it| it.version < version && it.at > named + self.bound);
-        late.map(|it| (it.clone(), it.at - named)).collect()
+    fn late_starts(&self, version: u64, announced_at: Instant) -> Vec<(RequestStart, Duration)> {
+        let starts = self.engines.iter().flat_map(Worker::request_starts);
+        let late_starts =
+            starts.filter(|it| it.version < version && it.at > announced_at + self.bound);
+        late_starts.map(|it| (it.clone(), it.at - announced_at)).collect()
     }
 
-    /// Fails where something began too late.
-    fn assert_none_late(&self, version: u64, named: Instant) {
-        let mut late = self.late(version, named);
-        late.sort_by_key(|(_, after)| *after);
-        let seen = late.first().zip(late.last());
-        let span = seen.map(|(first, last)| (&first.0.attempt, first.1, &last.0.attempt, last.1));
+    /// Fails if a request started on weights older than `version` after the bound.
+    fn assert_no_late_start(&self, version: u64, announced_at: Instant) {
+        let mut late_starts = self.late_starts(version, announced_at);
+        late_starts.sort_by_key(|(_, after)| *after);
+        let extremes = late_starts.first().zip(late_starts.last());
+        let span =
+            extremes.map(|(first, last)| (&first.0.attempt, first.1, &last.0.attempt, last.1));
         assert!(
-            late.is_empty(),
-            "{} requests began on weights before {version} later than {:?} after it was named, first \
+            late_starts.is_empty(),
+            "{} requests started on weights before {version} later than {:?} after it was announced, first \
              and last {span:?}\n{}",
-            late.len(),
+            late_starts.len(),
             self.bound,
-            self.words()
+            self.store_and_version_logs()
         );
     }
 
-    /// What the entries' logs say of versions and of the store.
-    fn words(&self) -> String {
+    /// The entries' log lines on versions and on the store.
+    fn store_and_version_logs(&self) -> String {
         let logs = self.entries.iter().map(|entry| {
             let path = self.folder.join(format!("{}.log", entry.name));
             std::fs::read_to_string(path).unwrap_or_default()
         });
-        let is_told = |line: &&str| line.contains("weights model") || line.contains("=store");
+        let is_relevant = |line: &&str| line.contains("weights model") || line.contains("=store");
         let lines: Vec<_> = logs
-            .flat_map(|log| log.lines().filter(is_told).map(str::to_owned).collect::<Vec<_>>())
+            .flat_map(|log| log.lines().filter(is_relevant).map(str::to_owned).collect::<Vec<_>>())
             .collect();
         lines.join("\n")
     }
 }
 
-fn is_whole(view: &CallerView) -> bool {
-    view.as_ref().is_some_and(|(status, body)| *status == StatusCode::OK && *body == whole_stream())
+fn is_complete(view: &CallerView) -> bool {
+    view.as_ref()
+        .is_some_and(|(status, body)| *status == StatusCode::OK && *body == complete_stream())
 }
 
-/// The stand-in itself: what the tests below rest on.
+/// Checks the stand-in that the tests below rely on: a request waiting in an engine does not start
+/// once its connection has closed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_begins_in_an_engine_after_its_connection_closed() {
+async fn a_withdrawn_request_does_not_start_in_the_engine_stand_in() {
     let engine = Worker::new("i-1", 1);
-    let at = listen(machine(28, 10), Box::new(engine.clone())).await;
+    let at = listen(machine_ip(28, 10), Box::new(engine.clone())).await;
     let delay = Duration::from_millis(300);
-    engine.set_begin_delay(delay);
+    engine.set_start_delay(delay);
     let send = async |attempt: &str| {
         let mut stream = TcpStream::connect(at.address).await.unwrap();
         let call = format!(
@@ -194,8 +198,9 @@
     let sent = Instant::now();
     let (mut closed, _kept) = (send("closed").await, send("kept").await);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    // Processes that other tests start just then hold the socket until they run: dropped alone, it
-    // closes with the last of them.
+    // A process that another test starts at this moment holds a copy of the socket until it
+    // executes its program: a dropped socket closes only with the last copy, so it is shut down
+    // explicitly.
     closed.shutdown().await.unwrap();
     drop(closed);
     let client = HttpClient::open(Duration::from_secs(1));
@@ -206,126 +211,144 @@
     let mut arrived: Vec<_> = engine.arrivals().into_iter().map(|(attempt, _)| attempt).collect();
     arrived.sort();
     assert_eq!(arrived, ["closed", "kept"]);
-    let begun = engine.beginnings();
-    assert_eq!(begun.len(), 1, "{begun:?}");
-    assert_eq!((&*begun[0].attempt, begun[0].version), ("kept", 2));
-    assert!(begun[0].at >= sent + delay);
+    let starts = engine.request_starts();
+    assert_eq!(starts.len(), 1, "{starts:?}");
+    assert_eq!((&*starts[0].attempt, starts[0].version), ("kept", 2));
+    assert!(starts[0].at >= sent + delay);
     assert_eq!(engine.runs(), ["kept "]);
 }
 
-/// An entry that came back after 4 s without the store counted the bound from its own hearing. Two
-/// versions are named meanwhile, and the store's history is gone: it shows only the second one.
+/// An entry that reached the store again after 4 s counted the bound from when it received the
+/// announcement. Two versions are announced meanwhile and the history is compacted, so that it sees
+/// only the second one.
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_begin_on_replaced_weights_after_an_entry_was_cut_off_from_the_store() {
+async fn no_request_starts_on_superseded_weights_after_its_entry_was_cut_off_from_the_store() {
     let engines = vec![Worker::new("i-1", 1), Worker::new("i-2", 1)];
     let fleet = EngineFleet::start(24, 2, engines, 5).await;
     let cut = Instant::now();
     fleet.links[0].set(LinkState::Silent);
     let _before = fleet.call_for(Duration::from_millis(300), "before").await;
-    let named = fleet.name(2);
+    let announced_at = fleet.announce(2);
     let _between = fleet.call_for(Duration::from_millis(500), "between").await;
-    fleet.name(3);
+    fleet.announce(3);
     fleet.store.compact();
-    let away = Duration::from_millis(4_300).saturating_sub(cut.elapsed());
-    let _away = fleet.call_for(away, "away").await;
+    let disconnected = Duration::from_millis(4_300).saturating_sub(cut.elapsed());
+    let _away = fleet.call_for(disconnected, "away").await;
     fleet.links[0].set(LinkState::Open);
-    let rest = (fleet.bound + Duration::from_millis(2_500)).saturating_sub(named.elapsed());
+    let rest = (fleet.bound + Duration::from_millis(2_500)).saturating_sub(announced_at.elapsed());
     let _back = fleet.call_for(rest, "back").await;
-    let begun: Vec<_> = fleet.engines.iter().flat_map(Worker::beginnings).collect();
+    let starts: Vec<_> = fleet.engines.iter().flat_map(Worker::request_starts).collect();
     for place in ["entry-0", "entry-1"] {
-        // Within the bound the older weights are all there is.
+        // Until the bound the superseded weights are the only ones available.
         let is_own =
-            |it: &&Beginning| it.attempt.starts_with("away") && it.attempt.ends_with(place);
-        assert!(begun.iter().filter(is_own).count() > 20, "{place} sent little");
+            |it: &&RequestStart| it.attempt.starts_with("away") && it.attempt.ends_with(place);
+        assert!(
+            starts.iter().filter(is_own).count() > 20,
+            "{place} sent too few requests while disconnected"
+        );
     }
-    fleet.assert_none_late(2, named);
+    fleet.assert_no_late_start(2, announced_at);
 }
 
-/// The engine with the older weights, which from 1 s before their bound on begins only 1 s after a
-/// request has come, and the answers to the calls of the span in which nobody can know that.
-async fn late_beginnings(test: u8, others: Vec<Worker>) -> (EngineFleet, Vec<CallerView>) {
+/// Runs an engine with the superseded weights that from 1 s before the bound on starts a request
+/// only 1 s after it was received. Returns the fleet and the answers to the calls of the period in
+/// which an entry cannot know of this delay.
+async fn run_with_slow_engine(
+    test: u8,
+    other_engines: Vec<Worker>,
+) -> (EngineFleet, Vec<CallerView>) {
     let slow = Worker::new("i-slow", 1);
-    let engines = [vec![slow.clone()], others].concat();
+    let engines = [vec![slow.clone()], other_engines].concat();
     let fleet = EngineFleet::start(test, 1, engines, 3).await;
-    let named = fleet.name(2);
+    let announced_at = fleet.announce(2);
     fleet.call_for(Duration::from_millis(2_000), "before").await.join_all().await;
-    slow.set_begin_delay(Duration::from_millis(1_000));
+    slow.set_start_delay(Duration::from_millis(1_000));
     let slow_from = Instant::now();
     let calls = fleet.call_for(Duration::from_millis(500), "waiting").await;
     let views = calls.join_all().await;
-    let rest = (fleet.bound + Duration::from_millis(1_500)).saturating_sub(named.elapsed());
+    let rest = (fleet.bound + Duration::from_millis(1_500)).saturating_sub(announced_at.elapsed());
     tokio::time::sleep(rest).await;
     let waited = slow.arrivals().into_iter().filter(|(_, at)| *at > slow_from).count();
     assert!(waited > 0, "no request waited in the engine");
-    fleet.assert_none_late(2, named);
+    fleet.assert_no_late_start(2, announced_at);
     (fleet, views)
 }
 
-/// The entry's forecast for an idle engine of this profile is 50 ms.
+/// The entry's forecast of the start is 50 ms for an idle engine of this profile.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_waits_inside_an_engine_begins_on_replaced_weights_after_their_bound() {
+async fn a_request_waiting_in_an_engine_does_not_start_on_superseded_weights_after_their_bound() {
     let newer = Worker::new("i-newer", 2);
-    // Its answers last long enough that the other one is chosen as well.
-    newer.set_pause(Duration::from_millis(40));
-    let (fleet, views) = late_beginnings(25, vec![newer]).await;
-    let cut: Vec<_> = views.iter().filter(|view| !is_whole(view)).collect();
-    assert!(cut.is_empty(), "{} of {} had no whole answer: {cut:?}", cut.len(), views.len());
-    let begun = fleet.engines.iter().flat_map(Worker::beginnings);
-    let waiting = begun.filter(|it| it.attempt.starts_with("waiting")).count();
-    assert_eq!(waiting, views.len(), "each begins once");
+    // Its answers last long enough that the other engine is chosen as well.
+    newer.set_answer_delay(Duration::from_millis(40));
+    let (fleet, views) = run_with_slow_engine(25, vec![newer]).await;
+    let cut: Vec<_> = views.iter().filter(|view| !is_complete(view)).collect();
+    assert!(
+        cut.is_empty(),
+        "{} of {} calls had no complete answer: {cut:?}",
+        cut.len(),
+        views.len()
+    );
+    let starts = fleet.engines.iter().flat_map(Worker::request_starts);
+    let waiting = starts.filter(|it| it.attempt.starts_with("waiting")).count();
+    assert_eq!(waiting, views.len(), "each request starts once");
 }
 
-/// The same where nothing newer is there: what has not begun is refused, and what is refused does not
-/// begin.
+/// The same without an engine that has the newer weights: a request that has not started is
+/// refused, and a refused request does not start.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_waits_inside_the_only_engine_begins_on_replaced_weights_after_their_bound()
-{
-    let (fleet, views) = late_beginnings(26, Vec::new()).await;
-    let is_told = |view: &CallerView| view.as_ref().is_some_and(|(status, _)| !status.is_success());
-    let begun = fleet.engines[0].beginnings();
-    let waiting = begun.iter().filter(|it| it.attempt.starts_with("waiting")).count();
-    let refused = views.iter().filter(|view| is_told(view)).count();
+async fn a_request_waiting_in_the_only_engine_does_not_start_on_superseded_weights_after_their_bound()
+ {
+    let (fleet, views) = run_with_slow_engine(26, Vec::new()).await;
+    let is_refused =
+        |view: &CallerView| view.as_ref().is_some_and(|(status, _)| !status.is_success());
+    let starts = fleet.engines[0].request_starts();
+    let waiting = starts.iter().filter(|it| it.attempt.starts_with("waiting")).count();
+    let refused = views.iter().filter(|view| is_refused(view)).count();
     assert_eq!(waiting + refused, views.len(), "{views:?}");
 }
 
-/// How many calls of a burst begin, and which of them too late, where the entry stands still from
-/// `after` the burst, which comes shortly before the bound, until after it.
-async fn late_after_standstill(test: u8, after: Duration) -> (usize, Vec<(Beginning, Duration)>) {
+/// Sends a burst shortly before the bound and suspends the entry from `after` the burst until after
+/// the bound. Returns how many calls of the burst started, and which of them too late.
+async fn late_starts_after_suspension(
+    test: u8,
+    after: Duration,
+) -> (usize, Vec<(RequestStart, Duration)>) {
     let fleet = EngineFleet::start(test, 1, vec![Worker::new("i-1", 1)], 3).await;
-    let named = fleet.name(2);
-    // Many connections to the entry are open, so that the burst reaches it at once.
+    let announced_at = fleet.announce(2);
+    // Opens many connections to the entry, so that the burst reaches it at once.
     for _ in 0..2 {
         fleet.burst(8, "warm").await.join_all().await;
     }
-    tokio::time::sleep(Duration::from_millis(2_200).saturating_sub(named.elapsed())).await;
+    tokio::time::sleep(Duration::from_millis(2_200).saturating_sub(announced_at.elapsed())).await;
     let _burst = fleet.burst(16, "burst").await;
     tokio::time::sleep(after).await;
     fleet.entries[0].freeze();
-    let rest = (fleet.bound + Duration::from_millis(100)).saturating_sub(named.elapsed());
+    let rest = (fleet.bound + Duration::from_millis(100)).saturating_sub(announced_at.elapsed());
     tokio::time::sleep(rest).await;
     fleet.entries[0].thaw();
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let begun = fleet.engines[0].beginnings();
-    let burst = begun.iter().filter(|it| it.attempt.starts_with("burst")).count();
-    (burst, fleet.late(2, named))
+    let starts = fleet.engines[0].request_starts();
+    let burst = starts.iter().filter(|it| it.attempt.starts_with("burst")).count();
+    (burst, fleet.late_starts(2, announced_at))
 }
 
-/// Between the decision and the sending an entry may stand still: its decision is then of the past. The
-/// platform counts nothing that an entry does within 3 s of a standstill; the weights are replaced all
-/// the same. At which moment of the burst the entry stands still is tried out.
+/// An entry may be suspended between its decision and the sending, and the decision is outdated
+/// when it resumes. The platform ignores what an entry does within 3 s of a suspension, but the
+/// weights are superseded all the same. Several delays are tried, to hit the moment between the
+/// two.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_sent_while_its_entry_stood_still_begins_on_replaced_weights() {
-    let plays = (0..11u8).map(|play| {
-        late_after_standstill(29 + play, Duration::from_micros(700 * u64::from(play) + 200))
+async fn a_request_sent_while_its_entry_was_suspended_does_not_start_on_superseded_weights() {
+    let runs = (0..11u8).map(|run| {
+        late_starts_after_suspension(29 + run, Duration::from_micros(700 * u64::from(run) + 200))
     });
-    let seen = futures_util::future::join_all(plays).await;
-    let begun: usize = seen.iter().map(|(begun, _)| begun).sum();
-    assert!(begun > 0, "no call of any burst was sent");
-    let late: Vec<_> = seen.into_iter().map(|(_, late)| late).collect();
-    let counts: Vec<_> = late.iter().map(Vec::len).collect();
-    let last = late.iter().flatten().map(|(_, after)| after).max();
+    let outcomes = futures_util::future::join_all(runs).await;
+    let starts: usize = outcomes.iter().map(|(starts, _)| starts).sum();
+    assert!(starts > 0, "no call of any burst was sent");
+    let late_starts: Vec<_> = outcomes.into_iter().map(|(_, late_starts)| late_starts).collect();
+    let counts: Vec<_> = late_starts.iter().map(Vec::len).collect();
+    let last = late_starts.iter().flatten().map(|(_, after)| after).max();
     assert!(
-        late.iter().all(Vec::is_empty),
-        "of {begun}, {counts:?} in the plays began later than 3 s after the naming, the last {last:?}"
+        late_starts.iter().all(Vec::is_empty),
+        "of {starts}, {counts:?} by run started later than 3 s after the announcement, the last {last:?}"
     );
 }
--- a/mustardrill_standins/tests/prepared/worker.rs
+++ b/mustardrill_standins/tests/prepared/worker.rs
@@ -1,4 +1,4 @@
-//! Workers and the origin of the prepared platform, as its pages tell them.
+//! Stand-ins of the prepared platform's workers and origin after its published interface.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -20,49 +20,49 @@
 use sha2::{Digest, Sha256};
 use tokio::sync::mpsc;
 
-/// The chunks of a version.
+/// Number of chunks of each version.
 pub const CHUNKS: u32 = 12;
 
-/// Events of an answer.
+/// Number of events in a complete answer.
 pub const EVENTS: u64 = 6;
 
-/// A chunk that turned bad less than this ago is nobody's fault, by the platform's rules: no agent
-/// can look at a chunk at the very moment at which it is loaded.
-const SPOILT_LATE: Duration = Duration::from_secs(3);
+/// Loads within this time of a chunk's corruption are not held against the agent, by the platform's
+/// rules: no agent can check a chunk at the very moment at which it is loaded.
+const CORRUPTION_GRACE: Duration = Duration::from_secs(3);
 
-/// When workers start first, in Unix milliseconds.
-const FIRST_START: u64 = 1_700_000_000_000;
+/// Start time of a worker's first incarnation, in Unix milliseconds.
+const FIRST_BORN_MS: u64 = 1_700_000_000_000;
 
-/// The bytes of a chunk.
+/// Returns the content of a chunk, which depends on its version and index.
 pub fn chunk(version: u64, index: u32) -> Bytes {
     Bytes::from(format!("chunk {index} of version {version} ").repeat(64))
 }
 
-/// What a worker does with the next requests.
+/// Fault that a worker applies to its next requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerFault {
-    /// It answers them.
+    /// Answers normally.
     None,
-    /// It breaks off after so many events, in the middle of one.
-    BreakAfter(u64),
-    /// It says that it did not run them.
-    Full,
-    /// It runs them and closes the connection.
+    /// Cuts the stream in the middle of the event that follows this many complete ones.
+    CutAfter(u64),
+    /// Answers that the request was not executed.
+    NotExecuted,
+    /// Runs the request and closes the connection without an answer.
     LoseAnswer,
-    /// It answers with another request's id.
-    Foreign,
+    /// Answers with the attempt id of another request.
+    WrongRequestId,
 }
 
-/// A request that an engine began to work on.
+/// A request that an engine started to execute.
 #[derive(Debug, Clone)]
-pub struct Beginning {
+pub struct RequestStart {
     pub attempt: String,
-    /// The weights that the engine held at that moment.
+    /// The engine's weights at `at`.
     pub version: u64,
     pub at: Instant,
 }
 
-/// A worker: a model engine, or a plain service where `model` is empty.
+/// A model engine, or a plain service where requests name no model; clones share their state.
 #[derive(Clone)]
 pub struct Worker {
     pub id: String,
@@ -73,38 +73,37 @@
     version: u64,
     sequence: u64,
     staged: BTreeMap<u32, Bytes>,
-    /// When a staged chunk was spoilt last.
-    spoilt: Option<Instant>,
-    /// Whether each load took only whole chunks of its version.
+    /// When a staged chunk was last corrupted.
+    corrupted_at: Option<Instant>,
+    /// For each load, whether all chunks were those of its version.
     loads: Vec<bool>,
-    /// Loads that were not whole although nothing had turned bad lately.
+    /// Incomplete loads outside `CORRUPTION_GRACE`.
     bad_loads: u32,
     runs: Vec<(String, Instant)>,
-    /// Requests of callers that came, whether or not they began.
+    /// Callers' requests that were received, started or not.
     arrivals: Vec<(String, Instant)>,
-    beginnings: Vec<Beginning>,
-    /// How long an engine's requests wait in it before they begin.
-    begin_delay: Duration,
+    request_starts: Vec<RequestStart>,
+    /// Time that a request waits in an engine before it starts.
+    start_delay: Duration,
     fault: WorkerFault,
-    /// Faults that are still to come.
-    faults: u32,
-    pause: Duration,
+    /// Number of requests that still get the fault.
+    faults_left: u32,
+    answer_delay: Duration,
     crash: Option<CrashTrigger>,
     crash_runs: Vec<(String, Instant)>,
     born: u64,
 }
 
-/// Requests under which a worker crashes, and whom it tells.
+/// Requests that crash a worker, and the channel that reports the crash.
 #[derive(Debug, Clone)]
 pub struct CrashTrigger {
-    /// The path of those requests.
     pub path: &'static str,
-    /// How long a run of one lasts.
+    /// Time between the start of the request and the crash.
     pub after: Duration,
-    /// Whether nothing of an answer comes before.
+    /// Whether the worker sends nothing of an answer before the crash.
     pub silent: bool,
-    /// Gets the crashed worker's id.
-    pub crashed: mpsc::UnboundedSender<String>,
+    /// Receives the id of the crashed worker.
+    pub crash_sender: mpsc::UnboundedSender<String>,
 }
 
 impl Worker {
@@ -114,24 +113,24 @@
             version,
             sequence: 0,
             staged,
-            spoilt: None,
+            corrupted_at: None,
             loads: Vec::new(),
             bad_loads: 0,
             runs: Vec::new(),
             arrivals: Vec::new(),
-            beginnings: Vec::new(),
-            begin_delay: Duration::ZERO,
+            request_starts: Vec::new(),
+            start_delay: Duration::ZERO,
             fault: WorkerFault::None,
-            faults: 0,
-            pause: Duration::from_millis(5),
+            faults_left: 0,
+            answer_delay: Duration::from_millis(5),
             crash: None,
             crash_runs: Vec::new(),
-            born: FIRST_START,
+            born: FIRST_BORN_MS,
         };
         Self { id: id.into(), state: Arc::new(Mutex::new(state)) }
     }
 
-    /// A worker that holds nothing and has nothing staged.
+    /// Creates a worker without weights and without staged chunks.
     pub fn empty(id: &str) -> Self {
         let worker = Self::new(id, 0);
         worker.state.lock().unwrap().staged.clear();
@@ -141,17 +140,17 @@
     pub fn set_fault(&self, fault: WorkerFault, count: u32) {
         let mut state = self.state.lock().unwrap();
         state.fault = fault;
-        state.faults = count;
+        state.faults_left = count;
     }
 
-    pub fn set_pause(&self, pause: Duration) {
-        self.state.lock().unwrap().pause = pause;
+    pub fn set_answer_delay(&self, answer_delay: Duration) {
+        self.state.lock().unwrap().answer_delay = answer_delay;
     }
 
-    /// Requests that come from now on wait so long before they begin; who closes the connection
-    /// meanwhile takes its request back.
-    pub fn set_begin_delay(&self, delay: Duration) {
-        self.state.lock().unwrap().begin_delay = delay;
+    /// Makes later requests wait before they start; a request whose connection closes meanwhile
+    /// never starts.
+    pub fn set_start_delay(&self, delay: Duration) {
+        self.state.lock().unwrap().start_delay = delay;
     }
 
     pub fn set_crash(&self, crash: CrashTrigger) {
@@ -166,7 +165,7 @@
         self.state.lock().unwrap().loads.clone()
     }
 
-    /// Loads that the platform would blame on their agent.
+    /// Number of loads that the platform would count as the agent's failures.
     pub fn bad_loads(&self) -> u32 {
         self.state.lock().unwrap().bad_loads
     }
@@ -175,26 +174,25 @@
         self.timed_runs().into_iter().map(|(run, _)| run).collect()
     }
 
-    /// The runs, each with the moment at which it began.
     pub fn timed_runs(&self) -> Vec<(String, Instant)> {
         self.state.lock().unwrap().runs.clone()
     }
 
-    /// Requests that came, each with the moment; those that were taken back never began.
+    /// Received requests with their times; withdrawn ones are included though they never start.
     pub fn arrivals(&self) -> Vec<(String, Instant)> {
         self.state.lock().unwrap().arrivals.clone()
     }
 
-    /// What an engine began, in order.
-    pub fn beginnings(&self) -> Vec<Beginning> {
-        self.state.lock().unwrap().beginnings.clone()
+    /// Requests that the engine started, in order.
+    pub fn request_starts(&self) -> Vec<RequestStart> {
+        self.state.lock().unwrap().request_starts.clone()
     }
 
-    /// A staged chunk turns bad.
-    pub fn spoil(&self, index: u32) {
+    /// Replaces a staged chunk by invalid bytes.
+    pub fn corrupt_chunk(&self, index: u32) {
         let mut state = self.state.lock().unwrap();
         state.staged.insert(index, Bytes::from_static(b"bad"));
-        state.spoilt = Some(Instant::now());
+        state.corrupted_at = Some(Instant::now());
     }
 
     fn report(&self) -> AnyResponse {
@@ -219,10 +217,10 @@
             return text_response(StatusCode::CONFLICT, "");
         }
         let version = order["version"].as_u64().unwrap();
-        let whole = (0..CHUNKS).all(|it| state.staged.get(&it) == Some(&chunk(version, it)));
-        let late = state.spoilt.is_some_and(|at| at.elapsed() < SPOILT_LATE);
-        state.loads.push(whole);
-        state.bad_loads += u32::from(!whole && !late);
+        let is_complete = (0..CHUNKS).all(|it| state.staged.get(&it) == Some(&chunk(version, it)));
+        let is_excused = state.corrupted_at.is_some_and(|at| at.elapsed() < CORRUPTION_GRACE);
+        state.loads.push(is_complete);
+        state.bad_loads += u32::from(!is_complete && !is_excused);
         state.sequence += 1;
         state.version = version;
         text_response(StatusCode::ACCEPTED, "")
@@ -260,61 +258,65 @@
         if text("x-expected-instance").is_some_and(|expected| expected != self.id) {
             return text_response(StatusCode::MISDIRECTED_REQUEST, "");
         }
-        assert_eq!(text("authorization"), None, "the key is not shown");
+        assert_eq!(text("authorization"), None, "a worker must not receive the caller's key");
         let attempt = text("x-attempt-id").unwrap();
         let model = text("x-model").is_some();
         let (fault, delay) = {
             let mut state = self.state.lock().unwrap();
-            let fault = if state.faults > 0 { state.fault } else { WorkerFault::None };
-            state.faults = state.faults.saturating_sub(1);
+            let fault = if state.faults_left > 0 { state.fault } else { WorkerFault::None };
+            state.faults_left = state.faults_left.saturating_sub(1);
             state.arrivals.push((attempt.clone(), Instant::now()));
-            (fault, state.begin_delay)
+            (fault, state.start_delay)
         };
-        if model && fault != WorkerFault::Full && delay > Duration::ZERO {
-            // The server drops this future where the connection closes.
+        if model && fault != WorkerFault::NotExecuted && delay > Duration::ZERO {
+            // The server drops this future when the connection closes.
             tokio::time::sleep(delay).await;
         }
-        let (version, pause, crash) = {
+        let (version, answer_delay, crash) = {
             let mut state = self.state.lock().unwrap();
             let (now, version) = (Instant::now(), state.version);
-            if fault != WorkerFault::Full {
+            if fault != WorkerFault::NotExecuted {
                 let run = format!("{attempt} {}", text("x-tenant").unwrap_or_default());
                 state.runs.push((run, now));
                 if model {
-                    state.beginnings.push(Beginning { attempt: attempt.clone(), version, at: now });
+                    state.request_starts.push(RequestStart {
+                        attempt: attempt.clone(),
+                        version,
+                        at: now,
+                    });
                 }
             }
             let crash = state.crash.clone().filter(|it| it.path == head.uri.path());
             if crash.is_some() {
                 state.crash_runs.push((attempt.clone(), now));
             }
-            (version, state.pause, crash)
+            (version, state.answer_delay, crash)
         };
         if let Some(crash) = crash {
             let silent = crash.silent;
-            tokio::spawn(self.clone().end_after(crash));
+            tokio::spawn(self.clone().report_crash(crash));
             if silent {
                 std::future::pending::<()>().await;
             }
         }
-        if fault == WorkerFault::Full {
+        if fault == WorkerFault::NotExecuted {
             let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "");
             response.headers_mut().insert("x-not-executed", "1".parse().unwrap());
             return response;
         }
         if !model {
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(answer_delay).await;
         }
         let first = text("last-event-id").map_or(1, |last| last.parse::<u64>().unwrap() + 1);
         let mut response = match (fault, model) {
-            (WorkerFault::LoseAnswer, _) => Response::new(broken()),
-            (WorkerFault::Foreign, false) => Response::new(whole_body("done another")),
+            (WorkerFault::LoseAnswer, _) => Response::new(cut_body()),
+            (WorkerFault::WrongRequestId, false) => Response::new(whole_body("done another")),
             (_, false) => Response::new(whole_body(format!("done {attempt}"))),
-            (fault, true) => Response::new(events(first, fault, pause)),
+            (fault, true) => Response::new(event_stream(first, fault, answer_delay)),
         };
         let headers = response.headers_mut();
-        let told = if fault == WorkerFault::Foreign { "another" } else { &*attempt };
-        headers.insert("x-attempt-id", told.parse().unwrap());
+        let answered_id = if fault == WorkerFault::WrongRequestId { "another" } else { &*attempt };
+        headers.insert("x-attempt-id", answered_id.parse().unwrap());
         headers.insert("x-server-signature", format!("s-{}", self.id).parse().unwrap());
         headers.insert("x-instance-load", "1,0,16".parse().unwrap());
         headers.insert("x-weight-versions", version.into());
@@ -323,43 +325,47 @@
 }
 
 impl Worker {
-    /// Tells after a while that the worker has crashed.
-    async fn end_after(self, crash: CrashTrigger) {
+    /// Reports the crash after the trigger's delay.
+    async fn report_crash(self, crash: CrashTrigger) {
         tokio::time::sleep(crash.after).await;
-        // A fleet that is gone needs no word.
-        let _ = crash.crashed.send(self.id);
+        // Sending fails only when the test has already dropped the receiver.
+        let _ = crash.crash_sender.send(self.id);
     }
 
-    /// The runs under which it crashed, each with the moment at which it began.
+    /// Runs that crashed the worker, with their start times.
     pub fn crash_runs(&self) -> Vec<(String, Instant)> {
         self.state.lock().unwrap().crash_runs.clone()
     }
 
-    /// It starts again, with the weights that it had.
-    pub fn start_again(&self) {
+    /// Starts the next incarnation, which keeps the weights.
+    pub fn restart(&self) {
         let mut state = self.state.lock().unwrap();
         state.born += 1;
         state.sequence = 0;
     }
 
-    /// Which start of it this is.
+    /// Start time of the current incarnation, in Unix milliseconds.
     pub fn born(&self) -> u64 {
         self.state.lock().unwrap().born
     }
 }
 
-fn broken() -> mustardrill_runtime::http::AnyBody {
+fn cut_body() -> mustardrill_runtime::http::AnyBody {
     let frames = stream::once(async { Err::<Frame<Bytes>, _>(CutError) });
     StreamBody::new(frames).boxed_unsync()
 }
 
-fn events(first: u64, fault: WorkerFault, pause: Duration) -> mustardrill_runtime::http::AnyBody {
+fn event_stream(
+    first: u64,
+    fault: WorkerFault,
+    answer_delay: Duration,
+) -> mustardrill_runtime::http::AnyBody {
     let frames = stream::unfold(first, move |id| async move {
         if id > EVENTS {
             return None;
         }
-        tokio::time::sleep(pause).await;
-        if fault == WorkerFault::BreakAfter(id - 1) {
+        tokio::time::sleep(answer_delay).await;
+        if fault == WorkerFault::CutAfter(id - 1) {
             let half = Frame::data(Bytes::from(format!("id: {id}\ndata: ha")));
             return Some((Ok(half), u64::MAX - 1));
         }
@@ -379,14 +385,13 @@
     }
 }
 
-/// The origin of weights; it spoils every seventh chunk that it sends.
+/// Origin of weights that corrupts every seventh chunk it sends.
 #[derive(Clone, Default)]
 pub struct Origin {
     sent: Arc<AtomicU32>,
 }
 
 impl Origin {
-    /// Chunks sent so far.
     pub fn sent(&self) -> u32 {
         self.sent.load(Ordering::SeqCst)
     }
