--- a/mustardrill_standins/tests/deployment.rs
+++ b/mustardrill_standins/tests/deployment.rs
@@ -1,4 +1,5 @@
-//! The deploy file's templates, rendered with made-up values, are settings that the checker takes.
+//! The settings templates in `deploy`, rendered with sample values, pass the daemons' settings
+//! checks.
 
 use std::path::{Path, PathBuf};
 
@@ -6,7 +7,7 @@
 use mustardrill_runtime::settings::{PlatformKind, SettingsReader};
 use mustardrill_types::Millis;
 
-/// Values such as a machine of the platform has.
+/// Sample values of the fields that the platform provides on each machine.
 const VALUES: [(&str, &str); 17] = [
     ("node_name", "edge-hall-a-1"),
     ("zone", "hall-a"),
@@ -31,55 +32,63 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap().to_owned()
 }
 
-fn rendered(name: &str) -> SettingsReader {
-    rendered_with(name, "102")
+fn render_template(name: &str) -> SettingsReader {
+    render_with_allowance(name, "102")
 }
 
-fn rendered_with(name: &str, retry_allowance: &str) -> SettingsReader {
+fn render_with_allowance(name: &str, retry_allowance: &str) -> SettingsReader {
     let mut text = std::fs::read_to_string(root().join(name)).unwrap();
     for (field, value) in VALUES.into_iter().chain([("bounds.retry_allowance", retry_allowance)]) {
         text = text.replace(&format!("{{{{{field}}}}}"), value);
     }
-    assert!(!text.contains("{{"), "a placeholder without a value in {name}:\n{text}");
+    assert!(!text.contains("{{"), "placeholder without a value in {name}:\n{text}");
     SettingsReader::read(name, &text).unwrap()
 }
 
-fn entry() -> DirectConfig {
-    let outcome = mustardrill_entry::direct::read(rendered("deploy/entry.ini"));
+fn entry_config() -> DirectConfig {
+    let outcome = mustardrill_entry::direct::read(render_template("deploy/entry.ini"));
     assert_eq!(outcome.warnings, []);
     outcome.settings.unwrap()
 }
 
 #[test]
-fn the_entrys_template_is_right() {
-    assert_eq!(rendered("deploy/entry.ini").platform("entry"), PlatformKind::Prepared);
-    let config = entry();
+fn the_entry_template_gives_the_expected_settings() {
+    assert_eq!(render_template("deploy/entry.ini").platform("entry"), PlatformKind::Prepared);
+    let config = entry_config();
     assert_eq!(config.direct.own_id.as_str(), "edge-hall-a-1");
-    assert_eq!(config.direct.freshness_limit, Millis(4_500), "below the bound of revocation");
-    assert_eq!(config.direct.version_bound, Millis(8_000), "forecasts take off what engines need");
-    assert_eq!(config.direct.forgetting_outage, Millis(3_000), "two heartbeats of upstreams");
+    assert_eq!(config.direct.freshness_limit, Millis(4_500), "must be below the revocation bound");
+    assert_eq!(
+        config.direct.version_bound,
+        Millis(8_000),
+        "the whole bound: forecasts subtract the time that engines need"
+    );
+    assert_eq!(
+        config.direct.forgetting_outage,
+        Millis(3_000),
+        "must be two heartbeats of upstreams"
+    );
     assert!(config.linger < config.grace);
     assert_ne!(config.metrics, None);
 }
 
 #[test]
-fn the_share_of_repeats_of_all_entries_stays_below_the_bound() {
-    let retry = entry().direct.retry_share;
+fn the_retry_share_of_all_entries_stays_below_the_bound() {
+    let retry = entry_config().direct.retry_share;
     assert!(retry.ratio < 0.2);
-    assert!(retry.allowance <= 102.0, "what all entries may spend");
+    assert!(retry.allowance <= 102.0, "must not exceed the allowance of all entries");
 }
 
 #[test]
-fn an_allowance_that_is_a_fraction_is_taken() {
-    let reader = rendered_with("deploy/entry.ini", "43.47826086956522");
+fn a_fractional_retry_allowance_is_accepted() {
+    let reader = render_with_allowance("deploy/entry.ini", "43.47826086956522");
     let retry = mustardrill_entry::direct::read(reader).settings.unwrap().direct.retry_share;
     assert!(retry.allowance > 30.0 && retry.allowance < 43.5);
 }
 
 #[test]
-fn the_agents_template_is_right() {
-    assert_eq!(rendered("deploy/agent.ini").platform("agent"), PlatformKind::Prepared);
-    let outcome = mustardrill_agent::stock::read(rendered("deploy/agent.ini"));
+fn the_agent_template_gives_the_expected_settings() {
+    assert_eq!(render_template("deploy/agent.ini").platform("agent"), PlatformKind::Prepared);
+    let outcome = mustardrill_agent::stock::read(render_template("deploy/agent.ini"));
     assert_eq!(outcome.warnings, []);
     let config = outcome.settings.unwrap();
     assert_eq!(config.stock.own.as_str(), "10.1.0.40");
@@ -88,14 +97,17 @@
 }
 
 #[test]
-fn a_wrong_value_is_told_with_file_line_key_and_remedy() {
+fn an_invalid_value_is_reported_with_file_line_key_and_remedy() {
     let text = "[entry]\nplatform = prepared\ninstance = e1\ndata_centre = hall-a\n\
                 listen = 10.1.0.40\nready_listen = 10.1.0.40:1\npeer_listen = 10.1.0.40:2\n\
                 [platform]\nstore = 10.0.0.1:1\n[admission]\nwait_percent = 400\n";
     let reader = SettingsReader::read("entry.ini", text).unwrap();
     let faults = mustardrill_entry::direct::read(reader).settings.unwrap_err();
-    let told: Vec<_> = faults.iter().map(ToString::to_string).collect();
-    assert!(told[0].starts_with("entry.ini:5: [entry] listen = 10.1.0.40"), "{told:?}");
-    assert!(told[1].starts_with("entry.ini:11: [admission] wait_percent = 400"), "{told:?}");
-    assert!(told[1].contains("0 to 100"), "{told:?}");
+    let messages: Vec<_> = faults.iter().map(ToString::to_string).collect();
+    assert!(messages[0].starts_with("entry.ini:5: [entry] listen = 10.1.0.40"), "{messages:?}");
+    assert!(
+        messages[1].starts_with("entry.ini:11: [admission] wait_percent = 400"),
+        "{messages:?}"
+    );
+    assert!(messages[1].contains("0 to 100"), "{messages:?}");
 }
--- a/mustardrill_standins/tests/docs.rs
+++ b/mustardrill_standins/tests/docs.rs
@@ -1,4 +1,4 @@
-//! What the docs and samples say is what the code does.
+//! Checks that documentation and samples agree with the code.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -122,7 +122,7 @@
             for part in text.split(call).skip(1) {
                 let mut words = part.split('"').skip(1).step_by(2);
                 let (Some(section), Some(key)) = (words.next(), words.next()) else { continue };
-                // The helpers' own calls have no names in them.
+                // Calls among the helpers contain no literal names.
                 let is_name = |text: &str| {
                     text.chars().all(|letter| letter.is_ascii_lowercase() || letter == '_')
                 };
--- a/mustardrill_standins/tests/engine.rs
+++ b/mustardrill_standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in itself: priorities in order.
+//! Checks the engine stand-in: it answers requests in order of priority.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,8 +16,8 @@
     let shelf = Arc::new(WeightShelf::new(0));
     let manifest = shelf.publish("drafts", "v1", 4_096, 1_024, 1);
     let origin = StandIn::spawn(local, Box::new(OriginHandler { shelf })).await.unwrap();
-    // Twenty pieces of 20 ms each, one at a time: the first ones are far from done when the last
-    // one comes, on any machine.
+    // Each answer takes twenty pieces of 20 ms, one request at a time: on any machine the first
+    // ones are far from complete when the last one arrives.
     let piece_time = Duration::from_millis(20);
     let options = EngineOptions { capacity: 1, pieces: 20, piece_time, ..EngineOptions::default() };
     let state = Arc::new(EngineState::new(options));
@@ -43,5 +43,5 @@
         });
         tokio::time::sleep(Duration::from_millis(15)).await;
     }
-    assert_eq!(finished.recv().await, Some(0), "the urgent one is answered first");
+    assert_eq!(finished.recv().await, Some(0), "the request of priority 0 must be answered first");
 }
--- a/mustardrill_standins/tests/experiment.rs
+++ b/mustardrill_standins/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! Load patterns played on the entries' real reducers against modelled engines.
+//! Simulations of load patterns with the entries' real reducers and modelled engines.
 
 use mustardrill_core::direct::{DirectSettings, EngineForecast, WorkSize};
 use mustardrill_entry::direct;
@@ -8,7 +8,7 @@
 };
 use mustardrill_types::Millis;
 
-const CALM: &str = "\
+const LIGHT_LOAD: &str = "\
 [pattern]
 span = 4s
 [fleet]
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn callers_of_a_calm_pattern_are_answered_in_time_and_alike_for_a_seed() {
-    let pattern = pattern(CALM);
+fn callers_of_a_light_load_are_answered_in_time_and_equally_for_equal_seeds() {
+    let pattern = pattern(LIGHT_LOAD);
     let report = play(&pattern, &settings(), 1);
     let total = report.total();
     assert!(total.asked > 20, "{total:?}");
@@ -43,73 +43,91 @@
 }
 
 #[test]
-fn no_more_is_answered_in_time_than_the_engines_can() {
-    let overload = CALM.replace("rate = 10", "rate = 300");
+fn no_more_requests_are_answered_in_time_than_the_engines_can_serve() {
+    let overload = LIGHT_LOAD.replace("rate = 10", "rate = 300");
     let report = play(&pattern(&overload), &settings(), 1);
     let total = report.total();
     assert!(f64::from(total.asked) > 2.0 * report.bound(), "{total:?} {}", report.bound());
-    // A run that began before the last second ends after it.
+    // A run that started before the last second ends after it.
     assert!(report.goodput() <= 1.1, "{}", report.goodput());
     assert_eq!(total.asked, total.in_time + total.late + total.refused + total.failed);
     assert!(total.refused > 0, "{total:?}");
 }
 
-/// A mechanism that is switched off must make a difference where its load pattern comes: entries
-/// that hear nothing of each other's requests fill the same engines.
+/// Guards against a simulation in which a disabled mechanism makes no difference: entries without
+/// their peers' load updates fill the same engines.
 #[test]
-fn entries_that_do_not_hear_each_other_send_to_full_engines() {
-    let pattern = pattern(&CALM.replace("rate = 10", "rate = 90"));
-    let deaf = DirectSettings { peer_load_timeout: Millis(0), ..settings() };
-    let (hearing, deaf) = (play(&pattern, &settings(), 1), play(&pattern, &deaf, 1));
+fn entries_without_load_updates_of_peers_send_to_full_engines() {
+    let pattern = pattern(&LIGHT_LOAD.replace("rate = 10", "rate = 90"));
+    let without_updates = DirectSettings { peer_load_timeout: Millis(0), ..settings() };
+    let (with_updates, without_updates) =
+        (play(&pattern, &settings(), 1), play(&pattern, &without_updates, 1));
     assert!(
-        deaf.turned_away > hearing.turned_away + 20,
+        without_updates.turned_away > with_updates.turned_away + 20,
         "{} {}",
-        deaf.turned_away,
-        hearing.turned_away
+        without_updates.turned_away,
+        with_updates.turned_away
     );
 }
 
-/// A request that ends engines comes twice a second by three entries, with a fifth of their words lost.
+/// A request that crashes engines arrives twice a second at three entries, which lose a fifth of
+/// each other's reports.
 #[test]
-fn a_request_that_ends_engines_ends_no_more_than_six() {
-    let text = CALM.replace("[kind draft]", "word_loss = 0.2\n[kind draft]")
+fn a_request_that_crashes_engines_crashes_no_more_than_six() {
+    let text = LIGHT_LOAD.replace("[kind draft]", "word_loss = 0.2\n[kind draft]")
         + "[kind cause]\nrate = 2\nends_engines = true\n";
     for seed in 1..=5 {
         let report = play(&pattern(&text), &settings(), seed);
-        assert!(report.engines_ended >= 2, "it came: {}", report.engines_ended);
-        // Three from which it is learned, and three more.
-        assert!(report.engines_ended <= 6, "{} with seed {seed}", report.engines_ended);
+        assert!(
+            report.engines_ended >= 2,
+            "engines crashed: {}, expected at least 2",
+            report.engines_ended
+        );
+        // Three crashes from which the cause is identified, and three more.
+        assert!(
+            report.engines_ended <= 6,
+            "{} engines crashed with seed {seed}",
+            report.engines_ended
+        );
     }
 }
 
 #[test]
 fn an_engine_takes_as_long_as_the_forecast_says_for_one_request() {
-    let pattern = pattern(CALM);
+    let pattern = pattern(LIGHT_LOAD);
     let mut engine = EngineModel::new(&pattern.profile, pattern.chunk);
     let id = RunId { call: 0, attempt: 1 };
     assert!(engine.take(EngineRun { id, prompt_left: 600, answer_left: 60, ends_engine: false }));
-    let mut took = 0.0;
-    let mut first = None;
+    let mut elapsed_ms = 0.0;
+    let mut first_ms = None;
     while let Some(span) = engine.begin_pass() {
-        took += span;
+        elapsed_ms += span;
         let events = engine.end_pass();
         assert!(events.iter().all(|event| !matches!(event, EngineEvent::Ended)));
         if !events.is_empty() {
-            first.get_or_insert(took);
+            first_ms.get_or_insert(elapsed_ms);
         }
     }
     let forecast = EngineForecast::new(&pattern.profile);
     let size = WorkSize { prompt_tokens: 600, answer_tokens: 60 };
-    let (first, told) = (first.unwrap(), forecast.time_to_first_token(0, size).0 as f64);
-    assert!((first - told).abs() <= 0.15 * told, "first {first} forecast {told}");
-    let whole = forecast.service_ms(1, size);
-    assert!((took - whole).abs() <= 0.3 * whole, "whole {took} forecast {whole}");
+    let (first_ms, forecast_ms) =
+        (first_ms.unwrap(), forecast.time_to_first_token(0, size).0 as f64);
+    assert!(
+        (first_ms - forecast_ms).abs() <= 0.15 * forecast_ms,
+        "first token after {first_ms} ms, forecast {forecast_ms} ms"
+    );
+    let expected_ms = forecast.service_ms(1, size);
+    assert!(
+        (elapsed_ms - expected_ms).abs() <= 0.3 * expected_ms,
+        "answered in {elapsed_ms} ms, forecast {expected_ms} ms"
+    );
 }
 
 #[test]
-fn a_wrong_pattern_is_told_by_file_line_and_key() {
-    let wrong = CALM.replace("engines = 4", "engines = 0") + "[disturbance x]\nkind = flood\n";
-    let outcome = LoadPattern::read(SettingsReader::read("pattern.ini", &wrong).unwrap());
+fn an_invalid_pattern_is_reported_with_file_line_and_key() {
+    let invalid_text =
+        LIGHT_LOAD.replace("engines = 4", "engines = 0") + "[disturbance x]\nkind = flood\n";
+    let outcome = LoadPattern::read(SettingsReader::read("pattern.ini", &invalid_text).unwrap());
     let faults: Vec<_> = outcome.settings.unwrap_err().iter().map(ToString::to_string).collect();
     assert_eq!(
         faults,
@@ -121,14 +139,14 @@
     let empty = LoadPattern::read(SettingsReader::read("pattern.ini", "[pattern]\n").unwrap());
     let faults = empty.settings.unwrap_err();
     assert!(faults[0].to_string().contains("add a section [kind NAME]"), "{faults:?}");
-    let misspelt = CALM.replace("prompt =", "promt =");
+    let misspelt = LIGHT_LOAD.replace("prompt =", "promt =");
     let outcome = LoadPattern::read(SettingsReader::read("pattern.ini", &misspelt).unwrap());
     let warning = outcome.warnings[0].to_string();
     assert!(warning.contains("promt") && warning.contains("prompt"), "{warning}");
 }
 
 #[test]
-fn the_patterns_that_come_with_it_read() {
+fn the_patterns_in_deploy_are_valid() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/patterns");
     let mut read = 0;
     for file in std::fs::read_dir(folder).unwrap().flatten() {
--- a/mustardrill_standins/tests/explain.rs
+++ b/mustardrill_standins/tests/explain.rs
@@ -1,4 +1,4 @@
-//! A request's life is found in the logs of several processes.
+//! Collecting what the logs of several processes say about a request.
 
 use mustardrill_entry::explain::explain;
 
@@ -12,16 +12,17 @@
 time=2026-10-05T23:22:41.301Z level=info process=entry-1 request=a1 decision=refuse code=3001 waited=1294ms
 time=2026-10-05T23:22:50.000Z level=info process=entry-1 config generation=7 before=6 outcome=applied
 ";
-const OTHER: &str = "\
+const OTHER_ENTRY: &str = "\
 time=2026-10-05T23:22:39.000Z level=info process=entry-2 membership instance=i-1 outcome=listed
 ";
 
 #[test]
-fn the_lines_of_a_request_and_what_decided_it_come_in_order() {
-    let lines = explain("a1", [OTHER, ENTRY]);
-    let told: Vec<_> = lines.iter().map(|line| line.split("process=").nth(1).unwrap()).collect();
+fn the_lines_of_a_request_and_of_its_instance_are_in_order_of_time() {
+    let lines = explain("a1", [OTHER_ENTRY, ENTRY]);
+    let messages: Vec<_> =
+        lines.iter().map(|line| line.split("process=").nth(1).unwrap()).collect();
     assert_eq!(
-        told,
+        messages,
         [
             "entry-1 membership instance=i-1 outcome=listed",
             "entry-1 request=a1 decision=send instance=i-1 waited=3ms",
@@ -31,21 +32,23 @@
     );
 }
 
-/// A caller asks why it was refused at once; the reason lies in what other entries saw long before.
+/// A caller asks why its request was refused at once; the reason is in what other entries logged
+/// long before.
 #[test]
-fn what_was_held_against_a_requests_content_is_found_at_all_entries() {
-    let here = "\
+fn the_quarantine_of_a_requests_content_is_found_in_the_logs_of_all_entries() {
+    let own_log = "\
 time=2026-10-05T23:22:40.000Z level=info process=entry-1 quarantine digest=d1 instance=i-1 ran=40ms outcome=suspected
 time=2026-10-05T23:22:40.100Z level=info process=entry-1 quarantine digest=d2 instance=i-1 ran=40ms outcome=suspected
 time=2026-10-05T23:23:40.000Z level=info process=entry-1 request=b1 decision=refuse code=3005 waited=0ms digest=d1
 ";
-    let there = "\
+    let peer_log = "\
 time=2026-10-05T23:22:41.000Z level=warn process=entry-2 quarantine digest=d1 outcome=begun
 ";
-    let lines = explain("b1", [there, here]);
-    let told: Vec<_> = lines.iter().map(|line| line.split("process=").nth(1).unwrap()).collect();
+    let lines = explain("b1", [peer_log, own_log]);
+    let messages: Vec<_> =
+        lines.iter().map(|line| line.split("process=").nth(1).unwrap()).collect();
     assert_eq!(
-        told,
+        messages,
         [
             "entry-1 quarantine digest=d1 instance=i-1 ran=40ms outcome=suspected",
             "entry-2 quarantine digest=d1 outcome=begun",
@@ -54,21 +57,23 @@
     );
 }
 
-/// An entry that was cut off sends to an upstream that the others know to have left.
+/// An entry that was cut off from the store sends to an upstream whose shutdown the other entries
+/// have logged.
 #[test]
-fn that_an_upstream_had_left_is_found_at_all_entries() {
-    let here = "\
+fn the_shutdown_of_a_requests_upstream_is_found_in_the_logs_of_all_entries() {
+    let own_log = "\
 time=2026-10-05T23:22:40.000Z level=info process=entry-1 membership instance=i-1 outcome=lapsed reason=store-was-away for=2200ms
 time=2026-10-05T23:22:41.000Z level=info process=entry-1 request=c1 decision=send instance=i-1 evidence=lapsed age=1000ms
 ";
-    let there = "\
+    let peer_log = "\
 time=2026-10-05T23:22:38.000Z level=info process=entry-2 membership instance=i-1 outcome=gone
 time=2026-10-05T23:22:38.000Z level=info process=entry-2 membership instance=i-3 outcome=gone
 ";
-    let lines = explain("c1", [there, here]);
-    let told: Vec<_> = lines.iter().map(|line| line.split("process=").nth(1).unwrap()).collect();
+    let lines = explain("c1", [peer_log, own_log]);
+    let messages: Vec<_> =
+        lines.iter().map(|line| line.split("process=").nth(1).unwrap()).collect();
     assert_eq!(
-        told,
+        messages,
         [
             "entry-2 membership instance=i-1 outcome=gone",
             "entry-1 membership instance=i-1 outcome=lapsed reason=store-was-away for=2200ms",
@@ -79,5 +84,5 @@
 
 #[test]
 fn an_unknown_request_has_no_lines() {
-    assert!(explain("a9", [ENTRY, OTHER]).is_empty());
+    assert!(explain("a9", [ENTRY, OTHER_ENTRY]).is_empty());
 }
--- a/mustardrill_standins/tests/liars.rs
+++ b/mustardrill_standins/tests/liars.rs
@@ -1,4 +1,4 @@
-//! A process that breaks the rules between processes: nothing of it reaches callers or engines.
+//! An agent that violates the protocol: none of its data reaches callers or engines.
 
 mod common;
 
@@ -20,32 +20,33 @@
 use tonic::transport::server::TcpIncoming;
 use tonic::{Request, Response, Status};
 
-/// An agent that claims to serve everything, and lies about it in turn.
+/// An agent that claims to serve every version and answers each request with another violation in
+/// turn.
 #[derive(Clone)]
-struct Liar {
+struct FaultyAgent {
     serving: Vec<Bytes>,
-    lies: Arc<AtomicU64>,
-    chunks: Arc<AtomicU64>,
+    violation_count: Arc<AtomicU64>,
+    chunk_count: Arc<AtomicU64>,
 }
 
 fn frame(attempt: &Bytes, part: Part) -> Result<proto::ExecuteFrame, Status> {
     Ok(proto::ExecuteFrame { attempt: attempt.clone(), part: Some(part) })
 }
 
-/// The frames of one lie.
-fn lie(number: u64, attempt: &Bytes) -> Vec<Result<proto::ExecuteFrame, Status>> {
+/// Returns the frames of the violation with this number.
+fn violation_frames(number: u64, attempt: &Bytes) -> Vec<Result<proto::ExecuteFrame, Status>> {
     let head = || Part::Head(proto::ExecuteHead { status: 200, ..proto::ExecuteHead::default() });
     let data = || Part::Data(Bytes::from_static(b"somebody else's answer"));
     let end = |length| Part::End(proto::ExecuteEnd { length, digest: vec![0; 32].into() });
     let crossed = Bytes::from_static(&[9; 16]);
     match number % 4 {
-        // Another attempt's answer, whole.
+        // The complete answer of another attempt.
         0 => vec![frame(&crossed, head()), frame(&crossed, data()), frame(&crossed, end(22))],
-        // Nothing at all.
+        // No frames.
         1 => Vec::new(),
-        // A head and then the end of a longer answer.
+        // A head, followed by the end of a longer answer.
         2 => vec![frame(attempt, head()), frame(attempt, end(4_000))],
-        // An answer made from other weights than those asked for.
+        // A refusal because the answer came from other weights than requested.
         _ => vec![frame(
             attempt,
             Part::Refusal(proto::Refusal { code: 3004, ..proto::Refusal::default() }),
@@ -54,16 +55,16 @@
 }
 
 #[tonic::async_trait]
-impl Agent for Liar {
+impl Agent for FaultyAgent {
     type ExecuteStream = ReceiverStream<Result<proto::ExecuteFrame, Status>>;
 
     async fn execute(
         &self,
         request: Request<proto::ExecuteRequest>,
     ) -> Result<Response<Self::ExecuteStream>, Status> {
-        let number = self.lies.fetch_add(1, Ordering::Relaxed);
+        let number = self.violation_count.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = tokio::sync::mpsc::channel(8);
-        for part in lie(number, &request.into_inner().attempt) {
+        for part in violation_frames(number, &request.into_inner().attempt) {
             sender.try_send(part).unwrap();
         }
         Ok(Response::new(ReceiverStream::new(receiver)))
@@ -93,7 +94,7 @@
         &self,
         _: Request<proto::ClaimRequest>,
     ) -> Result<Response<proto::ClaimReply>, Status> {
-        Err(Status::unavailable("a liar keeps no claims"))
+        Err(Status::unavailable("this agent coordinates no claims"))
     }
 
     async fn fetch_manifest(
@@ -107,14 +108,14 @@
         &self,
         request: Request<proto::FetchChunkRequest>,
     ) -> Result<Response<proto::FetchChunkReply>, Status> {
-        self.chunks.fetch_add(1, Ordering::Relaxed);
+        self.chunk_count.fetch_add(1, Ordering::Relaxed);
         let result = proto::fetch_chunk_reply::Result::Data(vec![0; CHUNK as usize].into());
         let holding = Some(holding(request.into_inner().manifest));
         Ok(Response::new(proto::FetchChunkReply { holding, result: Some(result) }))
     }
 }
 
-/// It claims to hold every chunk.
+/// A holding that claims every chunk.
 fn holding(manifest: Bytes) -> proto::Holding {
     let bitmap = vec![255; 64].into();
     proto::Holding {
@@ -126,20 +127,21 @@
     }
 }
 
-/// Starts a liar and tells the instance list of it.
-async fn add_liar(lab: &Lab, digests: &[&str]) -> Liar {
+/// Starts such an agent and adds it to the instance list.
+async fn add_faulty_agent(lab: &Lab, digests: &[&str]) -> FaultyAgent {
     let bytes = |digest: &&str| {
         let digest: ManifestDigest = digest.parse().unwrap();
         Bytes::copy_from_slice(&digest.0)
     };
-    let liar = Liar {
+    let faulty_agent = FaultyAgent {
         serving: digests.iter().map(bytes).collect(),
-        lies: Arc::default(),
-        chunks: Arc::default(),
+        violation_count: Arc::default(),
+        chunk_count: Arc::default(),
     };
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let server = tonic::transport::Server::builder().add_service(AgentServer::new(liar.clone()));
+    let server =
+        tonic::transport::Server::builder().add_service(AgentServer::new(faulty_agent.clone()));
     tokio::spawn(server.serve_with_incoming(TcpIncoming::from(listener)));
     let record = InstanceRecord {
         id: "liar".parse().unwrap(),
@@ -151,44 +153,52 @@
     instances.push(record);
     let body = serde_json::to_vec(&InstanceListing { instances, entries: 2 }).unwrap();
     lab.call("PUT", lab.instances.address, "/v1/instances", body).await;
-    liar
+    faulty_agent
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn crossed_short_and_foreign_answers_reach_no_caller() {
-    // It is not left out for its failures, so that it gets to tell all of its lies.
-    let keep = ("routing", "eject_after = 100".to_owned());
-    let options = LabOptions { agents: 3, entry_lines: vec![keep], ..LabOptions::default() };
+    // The limit keeps the agent from being ejected for its failures, so that it sends each
+    // violation several times.
+    let ejection_line = ("routing", "eject_after = 100".to_owned());
+    let options =
+        LabOptions { agents: 3, entry_lines: vec![ejection_line], ..LabOptions::default() };
     let (lab, digest) = serving_lab(options).await;
-    let liar = add_liar(&lab, &[&digest]).await;
+    let faulty_agent = add_faulty_agent(&lab, &[&digest]).await;
     assert!(lab.wait_fleet(0, 5, LONG).await);
     let load = callers(&lab, 100.0);
     for _ in 0..500 {
-        if liar.lies.load(Ordering::Relaxed) >= 12 {
+        if faulty_agent.violation_count.load(Ordering::Relaxed) >= 12 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let report = load.finish().await;
-    assert!(liar.lies.load(Ordering::Relaxed) >= 12, "the liar was hardly asked");
+    assert!(
+        faulty_agent.violation_count.load(Ordering::Relaxed) >= 12,
+        "the faulty agent got fewer than 12 requests"
+    );
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.whole, report.sent_chunks, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_peer_that_sends_corrupt_chunks_spoils_nothing() {
+async fn corrupt_chunks_of_a_peer_are_dropped() {
     let (lab, v1) = serving_lab(LabOptions { agents: 3, ..LabOptions::default() }).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
-    let liar = add_liar(&lab, &[&v1]).await;
+    let faulty_agent = add_faulty_agent(&lab, &[&v1]).await;
     assert!(lab.wait_fleet(0, 5, LONG).await);
-    // The entry knows of the liar; agents read the list, which lags by 100 ms, every 100 ms.
+    // The entry knows the agent; other agents read the list, which lags by 100 ms, every 100 ms.
     tokio::time::sleep(Duration::from_secs(1)).await;
-    // Four replicas: the liar is one of those that are to serve, and so a peer.
+    // With four replicas this agent is one of those that are to serve, and so a peer of the others.
     assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
     assert!(lab.wait_serving(&v2, 3, LONG).await.is_some(), "v2 was never served");
-    let sent = liar.chunks.load(Ordering::Relaxed);
-    // Each of three asks it a few times, until it is avoided.
-    assert!((1..=30).contains(&sent), "{sent} chunks were drawn from the liar");
+    let sent_chunks = faulty_agent.chunk_count.load(Ordering::Relaxed);
+    // Each of three agents asks it a few times until it backs off.
+    assert!(
+        (1..=30).contains(&sent_chunks),
+        "{sent_chunks} chunks were fetched from the faulty agent"
+    );
     assert!(lab.logs().contains("decision=drop reason=corrupt"));
 }
 
@@ -203,15 +213,15 @@
     parts
 }
 
-fn refusal(parts: &[Part]) -> Option<u32> {
+fn refusal_code(parts: &[Part]) -> Option<u32> {
     match parts {
-        [Part::Refusal(refusal)] => Some(refusal.code),
+        [Part::Refusal(refusal_code)] => Some(refusal_code.code),
         _ => None,
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_refuses_what_is_late_or_comes_twice() {
+async fn an_agent_refuses_late_and_repeated_requests() {
     let (lab, _) = serving_lab(LabOptions { agents: 1, ..LabOptions::default() }).await;
     let request = proto::ExecuteRequest {
         attempt: Bytes::from_static(&[7; 16]),
@@ -221,9 +231,9 @@
         body: Bytes::from_static(b"once"),
         ..proto::ExecuteRequest::default()
     };
-    // The time left looks ample, but on the agent's own clock the deadline is long over.
+    // The remaining time is ample, but on the agent's own clock the deadline is long over.
     let late = proto::ExecuteRequest { agent_deadline_ms: 1, ..request.clone() };
-    assert_eq!(refusal(&execute(&lab, late).await), Some(2013));
+    assert_eq!(refusal_code(&execute(&lab, late).await), Some(2013));
     let pool = AgentPool::default();
     let mut client = pool.client(&lab.plain[0].agent.address.to_string()).unwrap();
     let (key, attempt) = (vec![5; 16].into(), vec![6; 16].into());
@@ -234,7 +244,7 @@
     assert_eq!(timely.into_inner().outcome(), proto::ClaimOutcome::Granted);
     let first = execute(&lab, request.clone()).await;
     assert!(matches!(first.last(), Some(Part::End(_))), "{first:?}");
-    assert_eq!(refusal(&execute(&lab, request).await), Some(2015));
+    assert_eq!(refusal_code(&execute(&lab, request).await), Some(2015));
     let runs = lab.runs(&lab.plain[0]).await;
     assert_eq!(runs.iter().filter(|run| *run == "once").count(), 1);
 }
--- a/mustardrill_standins/tests/path.rs
+++ b/mustardrill_standins/tests/path.rs
@@ -1,4 +1,5 @@
-//! The thin whole path in separate processes, and what whoever errs is told.
+//! The path of a request through separate processes, and the messages for callers and operators who
+//! make mistakes.
 
 mod common;
 
@@ -9,7 +10,7 @@
 use mustardrill_standins::engine::answer_text;
 use mustardrill_standins::lab::{Lab, LabOptions, OPERATOR_TOKEN, caller_request};
 
-async fn ask(
+async fn call(
     lab: &Lab,
     path: &str,
     headers: &[(&str, &str)],
@@ -26,7 +27,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_goes_from_one_end_to_the_other() {
+async fn a_request_is_answered_by_an_engine_and_invalid_ones_are_refused() {
     let (lab, digest) = serving_lab(LabOptions { agents: 2, ..LabOptions::default() }).await;
     for entry in &lab.entries {
         let sent = caller_request(entry.address, &format!("/v1/models/{MODEL}/draft"), "a stall");
@@ -50,17 +51,21 @@
         ("/v1/models/drafts/x", vec![("idempotency-key", "")], 400, "2001"),
     ];
     for (path, headers, status, code) in cases {
-        let (found, number, body) = ask(&lab, path, &headers, "x").await;
-        assert_eq!((found, number.as_str()), (status, code), "{path} {headers:?} {body}");
+        let (answered_status, answered_code, body) = call(&lab, path, &headers, "x").await;
+        assert_eq!(
+            (answered_status, answered_code.as_str()),
+            (status, code),
+            "{path} {headers:?} {body}"
+        );
         assert_eq!(body["run"], "not-run");
     }
     let logs = lab.logs();
     for token in [OPERATOR_TOKEN, "lab-customer"] {
-        assert!(!logs.contains(token), "a token stands in a log");
+        assert!(!logs.contains(token), "a log contains a token");
     }
     for decision in ["routing request=", "placement model=", "load model=", "catalogue generation="]
     {
-        assert!(logs.contains(decision), "no line for {decision}");
+        assert!(logs.contains(decision), "the logs have no line with {decision}");
     }
 }
 
@@ -104,38 +109,44 @@
     assert_eq!(status, 401);
 }
 
-/// Runs a daemon to its end and returns exit code and error output.
+/// Runs a daemon until it exits and returns its exit code and error output.
 fn run(lab: &Lab, program: &str, name: &str, settings: &str) -> (i32, String) {
     let file = lab.folder().join(format!("{name}.ini"));
     std::fs::write(&file, settings).unwrap();
-    let own = std::env::current_exe().unwrap();
-    let program = own.parent().unwrap().parent().unwrap().join(program);
+    let test_program = std::env::current_exe().unwrap();
+    let program = test_program.parent().unwrap().parent().unwrap().join(program);
     let output = Command::new(program).arg("--settings").arg(&file).output().unwrap();
     (output.status.code().unwrap(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whoever_errs_is_told_what_would_be_right() {
+async fn an_invalid_setting_is_reported_with_its_place_and_remedy() {
     let lab =
         Lab::spawn(LabOptions { agents: 1, entries: 1, plain: 0, ..LabOptions::default() }).await;
-    let good = std::fs::read_to_string(lab.folder().join("mustard-pool-0.ini")).unwrap();
+    let valid_settings = std::fs::read_to_string(lab.folder().join("mustard-pool-0.ini")).unwrap();
     let cases = [
         (
-            good.replace("tick = 10ms", "tick = 10"),
+            valid_settings.replace("tick = 10ms", "tick = 10"),
             "[agent] tick = 10: \"10\" is not a whole number followed by ms, s or min",
         ),
-        (good.replace("lease = 3s", "lease = 1s"), "margin = 1000ms: write less than lease"),
         (
-            good.replace("origin = ", "orgin = "),
+            valid_settings.replace("lease = 3s", "lease = 1s"),
+            "margin = 1000ms: write less than lease",
+        ),
+        (
+            valid_settings.replace("origin = ", "orgin = "),
             "[weights] origin is missing; write origin = IP:PORT",
         ),
         (
-            good.replace("origin = ", "orgin = "),
+            valid_settings.replace("origin = ", "orgin = "),
             "[weights] orgin is not a known key; did you mean origin?",
         ),
-        (good.replace("[weights]", "[weights]\nwindow = 0"), "window = 0: write 1 to 256"),
-        (good.replace("[platform]", "[platform"), "not INI"),
-        (good.replace("tick = 10ms", "tick = 10ms\ntick = 20ms"), "tick stands twice"),
+        (
+            valid_settings.replace("[weights]", "[weights]\nwindow = 0"),
+            "window = 0: write 1 to 256",
+        ),
+        (valid_settings.replace("[platform]", "[platform"), "not INI"),
+        (valid_settings.replace("tick = 10ms", "tick = 10ms\ntick = 20ms"), "tick stands twice"),
     ];
     for (place, (settings, message)) in cases.iter().enumerate() {
         let (exit, text) = run(&lab, "mustardrill-agent", &format!("bad-{place}"), settings);
@@ -143,17 +154,17 @@
         assert!(text.contains(&format!("bad-{place}.ini:")), "{text}");
     }
     let entry = std::fs::read_to_string(lab.folder().join("entry-0.ini")).unwrap();
-    let short = entry.replace(OPERATOR_TOKEN, "short");
-    let (exit, text) = run(&lab, "mustardrill-entry", "short", &short);
+    let short_token = entry.replace(OPERATOR_TOKEN, "short");
+    let (exit, text) = run(&lab, "mustardrill-entry", "short", &short_token);
     assert!(exit == 2 && text.contains("write a token of 8 letters or more"), "{text}");
-    let taken =
+    let port_taken =
         entry.replace("listen = 127.0.0.1:0\n", &format!("listen = {}\n", lab.entries[0].address));
-    let (exit, text) = run(&lab, "mustardrill-entry", "taken", &taken);
+    let (exit, text) = run(&lab, "mustardrill-entry", "taken", &port_taken);
     assert!(exit == 1 && text.contains("free the port or change"), "{text}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unreachable_key_value_service_is_said_so() {
+async fn an_edit_without_the_key_value_service_is_refused_and_an_unreachable_entry_is_reported() {
     let mut lab = Lab::spawn(LabOptions {
         agents: 1,
         entries: 1,
--- a/mustardrill_standins/tests/requests.rs
+++ b/mustardrill_standins/tests/requests.rs
@@ -1,38 +1,42 @@
-//! Requests between processes under failure: answered once, whole, or truthfully refused.
+//! Requests under failures of processes: each is answered completely and once, or refused with the
+//! truth about whether it ran.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
 use common::{
-    CHUNK, LONG, MODEL, SIZE, callers, keyed_callers, model_file, plain_file, runs, serving_lab,
-    told_the_truth,
+    CHUNK, LONG, MODEL, SIZE, assert_truthful_answers, callers, keyed_callers, model_file,
+    plain_file, runs, serving_lab,
 };
 use mustardrill_runtime::http::WholeAnswer;
 use mustardrill_standins::lab::{Lab, LabOptions, OPERATOR_TOKEN, caller_request};
 use mustardrill_standins::load::{LoadDriver, LoadOptions};
 
-async fn file(lab: &Lab, entry: usize, key: &str, body: &str) -> WholeAnswer {
+async fn call_desk(lab: &Lab, entry: usize, key: &str, body: &str) -> WholeAnswer {
     let mut sent = caller_request(lab.entries[entry].address, "/v1/services/desk/file", body);
     sent.headers_mut().insert("idempotency-key", key.parse().unwrap());
     lab.client.call(sent, Duration::from_secs(20), 1_000_000).await.unwrap()
 }
 
-fn code(answer: &WholeAnswer) -> &str {
+fn result_code(answer: &WholeAnswer) -> &str {
     answer.headers["mustardrill-code"].to_str().unwrap()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_notice_sent_twice_runs_once() {
     let (lab, _) = serving_lab(LabOptions { agents: 1, ..LabOptions::default() }).await;
-    let first = file(&lab, 0, "notice-1", "a hull").await;
-    assert_eq!(code(&first), "1000");
-    let again = file(&lab, 1, "notice-1", "a hull").await;
-    assert_eq!((code(&again), again.status.as_u16()), ("2015", 409));
-    let other = file(&lab, 1, "notice-2", "a mast").await;
-    assert_eq!(code(&other), "1000");
-    let counts = runs(&lab).await;
-    assert!(counts.len() == 2 && counts.values().all(|count| *count == 1), "{counts:?}");
+    let first = call_desk(&lab, 0, "notice-1", "a hull").await;
+    assert_eq!(result_code(&first), "1000");
+    let again = call_desk(&lab, 1, "notice-1", "a hull").await;
+    assert_eq!((result_code(&again), again.status.as_u16()), ("2015", 409));
+    let other = call_desk(&lab, 1, "notice-2", "a mast").await;
+    assert_eq!(result_code(&other), "1000");
+    let run_counts = runs(&lab).await;
+    assert!(
+        run_counts.len() == 2 && run_counts.values().all(|count| *count == 1),
+        "{run_counts:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -40,8 +44,8 @@
     let (lab, _) = serving_lab(LabOptions { agents: 2, ..LabOptions::default() }).await;
     lab.switch(lab.key_value.address, "down=1").await;
     let load = callers(&lab, 50.0);
-    let refused = file(&lab, 0, "notice-1", "a hull").await;
-    assert_eq!(code(&refused), "2014");
+    let refused = call_desk(&lab, 0, "notice-1", "a hull").await;
+    assert_eq!(result_code(&refused), "2014");
     assert!(refused.headers.contains_key("retry-after"));
     tokio::time::sleep(Duration::from_millis(500)).await;
     let report = load.finish().await;
@@ -49,13 +53,13 @@
     lab.switch(lab.key_value.address, "").await;
     let mut last = String::new();
     for _ in 0..200 {
-        last = code(&file(&lab, 1, "notice-1", "a hull").await).to_owned();
+        last = result_code(&call_desk(&lab, 1, "notice-1", "a hull").await).to_owned();
         if last == "1000" {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(last, "1000", "what was told \"not run\" may be sent again");
+    assert_eq!(last, "1000", "a call that was answered as not run must run when sent again");
     assert_eq!(runs(&lab).await.values().sum::<usize>(), 1);
 }
 
@@ -69,14 +73,14 @@
     lab.switch(lab.key_value.address, "").await;
     tokio::time::sleep(Duration::from_millis(700)).await;
     let report = load.finish().await;
-    let counts = runs(&lab).await;
-    assert!(counts.values().all(|count| *count == 1), "{counts:?}");
+    let run_counts = runs(&lab).await;
+    assert!(run_counts.values().all(|count| *count == 1), "{run_counts:?}");
     assert_eq!((report.wrong, report.lost), (0, 0));
-    assert_eq!(counts.len() as u64, report.whole + report.unknown, "{:?}", report.codes);
+    assert_eq!(run_counts.len() as u64, report.whole + report.unknown, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_agent_loses_no_request_that_may_be_repeated() {
+async fn a_killed_agent_loses_no_request_that_may_be_retried() {
     let (mut lab, _) = serving_lab(LabOptions { agents: 4, ..LabOptions::default() }).await;
     let load = callers(&lab, 200.0);
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -99,11 +103,11 @@
     tokio::time::sleep(Duration::from_millis(700)).await;
     lab.plain[1].agent.thaw();
     tokio::time::sleep(Duration::from_millis(700)).await;
-    told_the_truth(&lab, load).await;
+    assert_truthful_answers(&lab, load).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_entry_runs_nothing_twice_when_it_goes_on() {
+async fn a_suspended_entry_runs_no_call_twice_after_it_resumes() {
     let (lab, _) = serving_lab(LabOptions { agents: 1, plain: 3, ..LabOptions::default() }).await;
     let load = keyed_callers(&lab, 150.0);
     tokio::time::sleep(Duration::from_millis(400)).await;
@@ -112,27 +116,28 @@
     lab.entries[0].thaw();
     tokio::time::sleep(Duration::from_millis(700)).await;
     let report = load.finish().await;
-    let counts = runs(&lab).await;
-    assert!(counts.values().all(|count| *count == 1), "{counts:?}");
+    let run_counts = runs(&lab).await;
+    assert!(run_counts.values().all(|count| *count == 1), "{run_counts:?}");
     assert_eq!(report.wrong, 0, "{:?}", report.codes);
-    let ran = counts.len() as u64;
+    let run_count = run_counts.len() as u64;
     let may_have_run = report.whole + report.unknown + report.lost;
-    assert!(ran >= report.whole && ran <= may_have_run, "{ran} {report:?}");
+    assert!(run_count >= report.whole && run_count <= may_have_run, "{run_count} {report:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_keeper_costs_time_and_no_second_run() {
+async fn a_suspended_shard_coordinator_causes_delay_but_no_second_run() {
     let (lab, _) = serving_lab(LabOptions { agents: 3, plain: 2, ..LabOptions::default() }).await;
     let load = keyed_callers(&lab, 100.0);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    // Engines' agents keep claims too; two of five are frozen and come back.
+    // Agents of engines coordinate shards of claims as well; two of the five agents are suspended
+    // and resumed.
     lab.engines[0].agent.freeze();
     lab.engines[1].agent.freeze();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     lab.engines[0].agent.thaw();
     lab.engines[1].agent.thaw();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    told_the_truth(&lab, load).await;
+    assert_truthful_answers(&lab, load).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -140,7 +145,7 @@
     let (lab, _) = serving_lab(LabOptions { agents: 3, ..LabOptions::default() }).await;
     let load = callers(&lab, 100.0);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    // This engine ends every answer with an error after its first piece.
+    // This engine terminates every answer with an error after its first piece.
     lab.switch(lab.engines[0].upstream.address, "corrupt=1").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     lab.switch(lab.engines[0].upstream.address, "").await;
@@ -149,7 +154,8 @@
     assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
 }
 
-/// As fast as the machine goes: nothing is refused or lost for the sake of speed alone.
+/// The callers send as fast as the machine allows: no request is refused or lost because of the
+/// rate alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn many_callers_at_once_are_all_answered() {
     const CALLS: usize = 150;
@@ -166,7 +172,7 @@
                     let body = format!("{caller}-{call}");
                     let sent = caller_request(address, "/v1/services/desk/x", &body);
                     let answer = client.call(sent, LONG, 1_000_000).await.unwrap();
-                    assert_eq!(code(&answer), "1000", "{body}: {:?}", answer.body);
+                    assert_eq!(result_code(&answer), "1000", "{body}: {:?}", answer.body);
                 }
             })
         })
@@ -190,11 +196,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_off_nothing() {
+async fn a_planned_stop_cuts_no_request() {
     let options = LabOptions { agents: 4, plain: 2, plain_ms: 40, ..LabOptions::default() };
     let (mut lab, _) = serving_lab(options).await;
     let load = callers(&lab, 200.0);
-    // What runs of these must not run again, so that a cut can't be made good.
+    // A keyed request that ran must not run again, so a retry cannot hide a connection that was
+    // cut.
     let keyed = keyed_callers(&lab, 100.0);
     tokio::time::sleep(Duration::from_millis(400)).await;
     lab.engines[2].agent.terminate();
@@ -202,7 +209,11 @@
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     let before = lab.runs(&lab.engines[2]).await.len();
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(lab.runs(&lab.engines[2]).await.len(), before, "new work after two seconds");
+    assert_eq!(
+        lab.runs(&lab.engines[2]).await.len(),
+        before,
+        "the stopping agent got a new request after two seconds"
+    );
     let report = load.finish().await;
     assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
     let report = keyed.finish().await;
@@ -213,11 +224,11 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("the agent never ended");
+    panic!("the agent did not exit in time");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_entry_finishes_what_it_has() {
+async fn a_stopping_entry_completes_its_requests() {
     let options = LabOptions { agents: 2, pieces: (8, 60), ..LabOptions::default() };
     let (mut lab, digest) = serving_lab(options).await;
     let sent = caller_request(lab.entries[1].address, "/v1/models/drafts/draft", "a long one");
@@ -233,12 +244,12 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("the entry never ended");
+    panic!("the entry did not exit in time");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_switch_between_two_heartbeats_refuses_nobody() {
-    // All upstreams switch long before any entry hears of it by a heartbeat.
+    // All upstreams switch long before an entry learns of it by a heartbeat.
     let options = LabOptions {
         entry_lines: vec![("routing", "sync_every = 2s".into())],
         ..LabOptions::default()
@@ -266,7 +277,7 @@
         .replace("[plain desk]\n", &format!("[plain desk]\nrevision = {revision}\n"));
     let (status, body) = lab.apply(0, &text).await;
     assert_eq!(status, 200, "{body}");
-    // Four in five calls come by one entry, and four times of what the limit allows.
+    // Four of five calls use one entry, at four times the rate that the limit allows.
     let address = |place: usize| lab.entries[place].address;
     let entries = vec![address(0), address(0), address(0), address(0), address(1)];
     let options = LoadOptions {
@@ -287,5 +298,5 @@
     load.finish().await;
     let share = report.whole as f64 / allowed;
     assert!((0.6..=1.4).contains(&share), "{share} of the limit was admitted: {report:?}");
-    assert!(report.codes.keys().all(|code| code == "2010"), "{:?}", report.codes);
+    assert!(report.codes.keys().all(|result_code| result_code == "2010"), "{:?}", report.codes);
 }
