--- a/mustardrill_standins/tests/liars.rs
+++ b/mustardrill_standins/tests/liars.rs
@@ -179,7 +179,7 @@
         "the faulty agent got fewer than 12 requests"
     );
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent_chunks, "{:?}", report.codes);
+    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
