--- a/mustardrill_standins/tests/prepared/versions.rs
+++ b/mustardrill_standins/tests/prepared/versions.rs
@@ -133,8 +133,8 @@
         }
     }
 
-    /// What began on weights older than `version` later than the bound after it was named, and how
-    /// long after the naming.
+    /// Requests that started on weights older than `version` after the bound, each with the time
+    /// since the announcement.
     fn late_starts(&self, version: u64, announced_at: Instant) -> Vec<(RequestStart, Duration)> {
         let starts = self.engines.iter().flat_map(Worker::request_starts);
         let late_starts =
