--- a/mustardrill_agent/src/actor.rs
+++ b/mustardrill_agent/src/actor.rs
@@ -31,7 +31,7 @@
 use crate::config::AgentConfig;
 use crate::context::AgentContext;
 use crate::effects;
-use crate::ends::StartCounter;
+use crate::incarnation::StartCounter;
 use crate::link::{LinkPace, UploadGate};
 use crate::server;
 use crate::status::StatusHandler;
--- a/mustardrill_agent/src/context.rs
+++ b/mustardrill_agent/src/context.rs
@@ -11,7 +11,7 @@
 use mustardrill_types::InstanceId;
 use tokio_util::sync::CancellationToken;
 
-use crate::ends::StartCounter;
+use crate::incarnation::StartCounter;
 use crate::link::{LinkPace, UploadGate};
 use crate::store::ChunkStore;
 use crate::upstream::Upstream;
--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/stock/actor.rs
@@ -21,9 +21,9 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::stock::config::StockConfig;
+use crate::stock::early_chunks::ChunkShelf;
 use crate::stock::metrics::METRICS;
 use crate::stock::peers::PeerHandler;
-use crate::stock::shelf::ChunkShelf;
 use crate::stock::{effects, peers, watch};
 
 /// The platform, as the agent sees it.
--- a/mustardrill_agent/src/stock/mod.rs
+++ b/mustardrill_agent/src/stock/mod.rs
@@ -2,11 +2,11 @@
 
 mod actor;
 mod config;
+mod early_chunks;
 mod effects;
 mod fleet;
 mod metrics;
 mod peers;
-mod shelf;
 mod watch;
 
 pub use actor::{StockBorders, StockHandle, spawn};
--- a/mustardrill_agent/src/stock/watch.rs
+++ b/mustardrill_agent/src/stock/watch.rs
@@ -12,8 +12,8 @@
 use mustardrill_types::Millis;
 
 use crate::stock::actor::{BusyQuery, Event, StockActor, StockContext};
+use crate::stock::early_chunks::ShelfContent;
 use crate::stock::fleet;
-use crate::stock::shelf::ShelfContent;
 
 /// The longest pause after a first call that failed.
 const FIRST_PAUSE: Millis = Millis(400);
