--- a/mustardrill_agent/src/main.rs
+++ b/mustardrill_agent/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use mustardrill_agent::cli::{self, AgentCommand};
-use mustardrill_agent::stock::{self, StockBorders, StockConfig};
+use mustardrill_agent::stock::{self, PlatformClients, ProvisioningConfig};
 use mustardrill_agent::{AgentConfig, config};
 use mustardrill_platform::{PlatformEngine, PlatformOrigin, PlatformStore};
 use mustardrill_runtime::http::HttpClient;
@@ -48,7 +48,7 @@
 /// The settings of an agent, by the platform that it runs on.
 enum AnyConfig {
     Own(AgentConfig),
-    Prepared(StockConfig),
+    Prepared(ProvisioningConfig),
 }
 
 fn read(path: &Path) -> Option<AnyConfig> {
@@ -83,7 +83,7 @@
     }
 }
 
-fn run_prepared(config: StockConfig) -> ExitCode {
+fn run_prepared(config: ProvisioningConfig) -> ExitCode {
     logging::init(&config.instance, config.log);
     // One thread: the machines of that platform have a fraction of one core.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -93,17 +93,17 @@
     code
 }
 
-async fn serve_prepared(config: StockConfig) -> ExitCode {
+async fn serve_prepared(config: ProvisioningConfig) -> ExitCode {
     let (stop, halt) = (CancellationToken::new(), CancellationToken::new());
     signal::spawn(stop.clone(), halt).expect("signals can be watched");
     let client = HttpClient::open(CONNECT_TIMEOUT);
-    let borders = StockBorders {
-        source: Box::new(PlatformStore::open(client.clone(), config.store)),
-        engine: Box::new(PlatformEngine::open(client, config.stock.engine)),
+    let platform = PlatformClients {
+        fleet_source: Box::new(PlatformStore::open(client.clone(), config.store)),
+        engine: Box::new(PlatformEngine::open(client, config.settings.engine)),
         origin: Box::new(PlatformOrigin::open(CONNECT_TIMEOUT)),
     };
     let listen = config.listen;
-    let handle = match stock::spawn(config, borders).await {
+    let handle = match stock::spawn(config, platform).await {
         Ok(handle) => handle,
         Err(error) => {
             eprintln!(
--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/stock/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the reducer of an agent that stocks its engine.
+//! The actor that owns the reducer of an agent that provisions its engine with weights.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -20,86 +20,87 @@
 use tokio::sync::Mutex;
 use tokio_util::sync::CancellationToken;
 
-use crate::stock::config::StockConfig;
-use crate::stock::early_chunks::ChunkShelf;
+use crate::stock::config::ProvisioningConfig;
+use crate::stock::early_chunks::EarlyChunkBuffer;
 use crate::stock::metrics::METRICS;
 use crate::stock::peers::PeerHandler;
 use crate::stock::{effects, peers, watch};
 
-/// The platform, as the agent sees it.
-pub struct StockBorders {
-    /// The store.
-    pub source: Box<dyn FleetSource>,
-    /// The engine beside the agent.
+/// The clients through which the agent reaches the platform.
+pub struct PlatformClients {
+    /// Reads the fleet from the store.
+    pub fleet_source: Box<dyn FleetSource>,
+    /// Controls the engine on the same machine.
     pub engine: Box<dyn EngineControl>,
-    /// Where weights come from.
+    /// Serves the published weights.
     pub origin: Box<dyn ChunkOrigin>,
 }
 
-/// A running agent.
+/// A running agent; it goes on running when the handle is dropped.
 #[derive(Debug)]
-pub struct StockHandle {
+pub struct ProvisioningHandle {
     halt: CancellationToken,
 }
 
-/// What the tasks of the agent share.
-pub(crate) struct StockContext {
+/// State shared by the tasks of the agent.
+pub(crate) struct ProvisioningContext {
     pub(crate) clock: ProcessClock,
-    pub(crate) config: StockConfig,
-    pub(crate) borders: StockBorders,
-    /// Calls to other agents.
-    pub(crate) client: HttpClient,
+    pub(crate) config: ProvisioningConfig,
+    pub(crate) platform: PlatformClients,
+    /// For calls to other agents and to entries.
+    pub(crate) peer_client: HttpClient,
     pub(crate) socket: UdpSocket,
-    /// The uploads to other agents.
+    /// Limits the uploads to other agents.
     pub(crate) uploads: UploadQueue,
     pub(crate) metrics: StatsdClient,
-    pub(crate) shelf: ChunkShelf,
-    /// Where the entries listen.
+    /// Verified chunks that wait for the engine to answer for the first time.
+    pub(crate) early_chunks: EarlyChunkBuffer,
+    /// The entries read last, with their addresses.
     pub(crate) entries: Mutex<EntryBook>,
-    /// How many words the entries were told of the engine.
-    pub(crate) words: AtomicU64,
+    /// How many engine notices have been sent to the entries.
+    pub(crate) engine_notices: AtomicU64,
     pub(crate) halt: CancellationToken,
 }
 
-/// Owns the reducer; all decisions are made here, one after the other.
+/// Owns the reducer and serializes its events.
 #[derive(Actor)]
-pub(crate) struct StockActor {
+pub(crate) struct ProvisioningActor {
     reducer: StockReducer,
-    context: Arc<StockContext>,
+    context: Arc<ProvisioningContext>,
     lists: FastMap<VersionId, Arc<ChunkList>>,
-    draws: FastMap<(ChunkIndex, Box<str>), CancellationToken>,
+    /// Cancels the fetches in progress, by chunk and source.
+    fetches: FastMap<(ChunkIndex, Box<str>), CancellationToken>,
 }
 
-/// An event for the reducer.
+/// Passes an event to the reducer.
 pub(crate) struct Event(pub(crate) StockEvent);
 
-/// A list of chunks that was fetched; nothing where it could not be had.
-pub(crate) struct ListFetched(pub(crate) VersionId, pub(crate) Option<ChunkList>);
+/// A chunk list that was fetched; `None` where no source had it.
+pub(crate) struct ChunkListFetched(pub(crate) VersionId, pub(crate) Option<ChunkList>);
 
-/// Asks for a list of chunks.
-pub(crate) struct ListQuery(pub(crate) VersionId);
+/// Asks for the chunk list of a version.
+pub(crate) struct ChunkListQuery(pub(crate) VersionId);
 
-/// The answer to `ListQuery`.
+/// The answer to `ChunkListQuery`; `None` where the agent does not have the list.
 #[derive(Debug, Reply)]
-pub(crate) struct ListReply(pub(crate) Option<Arc<ChunkList>>);
+pub(crate) struct ChunkListReply(pub(crate) Option<Arc<ChunkList>>);
 
 /// Asks whether a chunk is staged here.
-pub(crate) struct HoldsQuery(pub(crate) VersionId, pub(crate) ChunkIndex);
+pub(crate) struct HoldsChunkQuery(pub(crate) VersionId, pub(crate) ChunkIndex);
 
-/// Asks whether there is anything to be done soon.
+/// Asks whether the reducer has work that needs short poll intervals.
 pub(crate) struct BusyQuery;
 
-/// Asks where the stocking stands.
+/// Asks for the state of provisioning.
 pub(crate) struct StatusQuery;
 
-/// The answer to `StatusQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct StatusReply(pub(crate) StockStatus);
 
-impl StockActor {
+impl ProvisioningActor {
     fn reduce(&mut self, event: StockEvent, actor: &ActorRef<Self>) {
         if let StockEvent::DrawEnded(_, index, source, _) = &event {
-            self.draws.remove(&draw_key(*index, source));
+            self.fetches.remove(&fetch_key(*index, source));
         }
         let now = self.context.clock.now();
         for effect in self.reducer.reduce(now, event) {
@@ -112,36 +113,38 @@
         match effect {
             StockEffect::ReadPeers => effects::read_peers(context, actor),
             StockEffect::FetchList(version, sources) => {
-                effects::fetch_list(context, actor, version, sources);
+                effects::fetch_chunk_list(context, actor, version, sources);
             }
             StockEffect::Draw(version, draw, address) => {
                 let Some(list) = self.lists.get(&version).cloned() else { return };
                 let token = self.context.halt.child_token();
-                self.draws.insert(draw_key(draw.index, &draw.source), token.clone());
-                effects::draw(
+                self.fetches.insert(fetch_key(draw.index, &draw.source), token.clone());
+                effects::fetch_chunk(
                     context,
                     actor,
                     list,
-                    effects::ChunkOrder { version, draw, address },
+                    effects::ChunkFetchTask { version, draw, address },
                     token,
                 );
             }
             StockEffect::CancelDraw(index, source) => {
-                if let Some(token) = self.draws.remove(&draw_key(index, &source)) {
+                if let Some(token) = self.fetches.remove(&fetch_key(index, &source)) {
                     token.cancel();
                 }
             }
             StockEffect::TellHolding { version, to, bitmap, asks } => {
-                peers::tell_holding(context, &version, to, &bitmap, asks);
+                peers::send_holding(context, &version, to, &bitmap, asks);
             }
             StockEffect::ReadBack(version) => {
                 let Some(list) = self.lists.get(&version).cloned() else { return };
-                effects::read_back(context, actor, version, list);
+                effects::verify_staged(context, actor, version, list);
             }
             StockEffect::Order(version, sequence) => {
-                effects::order(context, actor, version, sequence);
+                effects::order_load(context, actor, version, sequence);
+            }
+            StockEffect::TellEntries(model, notice) => {
+                effects::notify_entries(context, model, notice);
             }
-            StockEffect::TellEntries(model, word) => effects::tell_entries(context, model, word),
             StockEffect::DropList(version) => {
                 self.lists.remove(&version);
             }
@@ -149,11 +152,11 @@
     }
 }
 
-fn draw_key(index: ChunkIndex, source: &ChunkSource) -> (ChunkIndex, Box<str>) {
+fn fetch_key(index: ChunkIndex, source: &ChunkSource) -> (ChunkIndex, Box<str>) {
     (index, source.to_string().into())
 }
 
-impl Message<Event> for StockActor {
+impl Message<Event> for ProvisioningActor {
     type Reply = ();
 
     async fn handle(&mut self, Event(event): Event, context: &mut Context<Self, ()>) {
@@ -162,12 +165,12 @@
     }
 }
 
-impl Message<ListFetched> for StockActor {
+impl Message<ChunkListFetched> for ProvisioningActor {
     type Reply = ();
 
     async fn handle(
         &mut self,
-        ListFetched(version, list): ListFetched,
+        ChunkListFetched(version, list): ChunkListFetched,
         context: &mut Context<Self, ()>,
     ) {
         let actor = context.actor_ref().clone();
@@ -180,8 +183,8 @@
     }
 }
 
-/// The list as the transfer knows it. Only the number of chunks and their digests matter there;
-/// verifying is the origin's own matter, as it chose the digest.
+/// The chunk list as a manifest for the transfer, which uses only the number of chunks and their
+/// digests. Chunks are verified by the client of the origin, as the origin chose the digest.
 fn manifest_of(list: &ChunkList) -> Manifest {
     let version = list.version.to_string().parse().expect("a number is a valid name");
     let chunks: Vec<_> =
@@ -191,31 +194,31 @@
     Manifest { model: list.model.clone(), version, size, chunk_size, chunks }
 }
 
-impl Message<ListQuery> for StockActor {
-    type Reply = ListReply;
+impl Message<ChunkListQuery> for ProvisioningActor {
+    type Reply = ChunkListReply;
 
     async fn handle(
         &mut self,
-        ListQuery(version): ListQuery,
-        _: &mut Context<Self, ListReply>,
-    ) -> ListReply {
-        ListReply(self.lists.get(&version).cloned())
+        ChunkListQuery(version): ChunkListQuery,
+        _: &mut Context<Self, ChunkListReply>,
+    ) -> ChunkListReply {
+        ChunkListReply(self.lists.get(&version).cloned())
     }
 }
 
-impl Message<HoldsQuery> for StockActor {
+impl Message<HoldsChunkQuery> for ProvisioningActor {
     type Reply = bool;
 
     async fn handle(
         &mut self,
-        HoldsQuery(version, index): HoldsQuery,
+        HoldsChunkQuery(version, index): HoldsChunkQuery,
         _: &mut Context<Self, bool>,
     ) -> bool {
         self.reducer.holds(&version, index)
     }
 }
 
-impl Message<BusyQuery> for StockActor {
+impl Message<BusyQuery> for ProvisioningActor {
     type Reply = bool;
 
     async fn handle(&mut self, _: BusyQuery, _: &mut Context<Self, bool>) -> bool {
@@ -223,7 +226,7 @@
     }
 }
 
-impl Message<StatusQuery> for StockActor {
+impl Message<StatusQuery> for ProvisioningActor {
     type Reply = StatusReply;
 
     async fn handle(&mut self, _: StatusQuery, _: &mut Context<Self, StatusReply>) -> StatusReply {
@@ -231,18 +234,17 @@
     }
 }
 
-/// The share of the machine's link that chunks for other agents may take; the rest is for answers.
-/// Load pattern: engines are added while the others are overloaded. First events that wait behind
-/// chunks on the whole link come too late.
+/// The share of the machine's link that uploads to other agents may take; the rest is for answers.
+/// When engines are added while the others are overloaded, uploads over the whole link would delay
+/// the first events of answers too much.
 const UPLOAD_SHARE: f64 = 0.5;
 
-/// How often the gauges are set: as often as they are usually read.
-const SAMPLE_EVERY: std::time::Duration = std::time::Duration::from_secs(5);
+/// Interval at which the gauges are set, matching the usual interval at which they are read.
+const GAUGE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// Sets the gauges from the reducer's state.
-async fn sample(actor: ActorRef<StockActor>, context: Arc<StockContext>) {
+async fn update_gauges(actor: ActorRef<ProvisioningActor>, context: Arc<ProvisioningContext>) {
     loop {
-        tokio::time::sleep(SAMPLE_EVERY).await;
+        tokio::time::sleep(GAUGE_INTERVAL).await;
         let Ok(StatusReply(status)) = actor.ask(StatusQuery).await else { return };
         let wanted = status.wanted.map_or(0, |wanted| wanted.version.0);
         let gauges = [
@@ -257,50 +259,54 @@
     }
 }
 
-/// Starts an agent and returns its handle once it listens.
-pub async fn spawn(config: StockConfig, borders: StockBorders) -> std::io::Result<StockHandle> {
+/// Starts an agent and returns its handle once its listeners are bound; fails where an address cannot
+/// be bound.
+pub async fn spawn(
+    config: ProvisioningConfig,
+    platform: PlatformClients,
+) -> std::io::Result<ProvisioningHandle> {
     let halt = CancellationToken::new();
     let socket = UdpSocket::bind(config.listen).await?;
-    let reducer = StockReducer::new(config.stock.clone(), rand::random());
+    let reducer = StockReducer::new(config.settings.clone(), rand::random());
     let page = Arc::new(MetricPage::new(&METRICS));
     let (listen, link_mbps) = (config.listen, config.link_mbps);
     log::info!(
         "start instance={} address={listen} engine={} store={}",
         config.instance,
-        config.stock.engine,
+        config.settings.engine,
         config.store
     );
-    let context = Arc::new(StockContext {
+    let context = Arc::new(ProvisioningContext {
         clock: ProcessClock::start(),
         config,
-        borders,
-        client: HttpClient::open(effects::CONNECT_TIMEOUT),
+        platform,
+        peer_client: HttpClient::open(effects::CONNECT_TIMEOUT),
         socket,
         uploads: UploadQueue::new(link_mbps * UPLOAD_SHARE),
         metrics: page.client(),
-        shelf: ChunkShelf::new(),
+        early_chunks: EarlyChunkBuffer::new(),
         entries: Mutex::default(),
-        words: AtomicU64::default(),
+        engine_notices: AtomicU64::default(),
         halt: halt.clone(),
     });
-    let (lists, draws) = (FastMap::default(), FastMap::default());
-    let state = StockActor { reducer, context: context.clone(), lists, draws };
-    let actor = StockActor::spawn_with_mailbox(state, mailbox::unbounded());
+    let (lists, fetches) = (FastMap::default(), FastMap::default());
+    let state = ProvisioningActor { reducer, context: context.clone(), lists, fetches };
+    let actor = ProvisioningActor::spawn_with_mailbox(state, mailbox::unbounded());
     if let Some(address) = context.config.metrics {
         HttpServer::bind(address, Box::new(MetricHandler(page)), halt.clone()).await?;
-        let sampling = sample(actor.clone(), context.clone());
-        tokio::spawn(halt.clone().run_until_cancelled_owned(sampling));
+        let updating = update_gauges(actor.clone(), context.clone());
+        tokio::spawn(halt.clone().run_until_cancelled_owned(updating));
     }
     let handler = Box::new(PeerHandler::new(actor.clone(), context.clone()));
     HttpServer::bind(listen, handler, halt.clone()).await?;
-    peers::spawn_hearing(actor.clone(), context.clone());
+    peers::spawn_receiver(actor.clone(), context.clone());
     watch::spawn(actor, context);
-    Ok(StockHandle { halt })
+    Ok(ProvisioningHandle { halt })
 }
 
-impl StockHandle {
-    /// Ends. Nothing is in progress that another start would not go on with: what is staged stays
-    /// beside the engine.
+impl ProvisioningHandle {
+    /// Stops the agent at once. Staged chunks stay with the engine, so that the next agent process
+    /// continues from them.
     pub fn halt(&self) {
         log::info!("stop");
         self.halt.cancel();
--- a/mustardrill_agent/src/stock/config.rs
+++ b/mustardrill_agent/src/stock/config.rs
@@ -1,4 +1,4 @@
-//! The settings of an agent that stocks its engine.
+//! Settings of an agent that provisions its engine with weights.
 
 use std::net::SocketAddr;
 
@@ -9,55 +9,56 @@
 use mustardrill_runtime::settings::{PlatformKind, SettingsOutcome, SettingsReader};
 use mustardrill_types::Millis;
 
-/// All settings of such an agent.
+/// Settings of the process, and below them those of the reducer.
 #[derive(Debug, Clone)]
-pub struct StockConfig {
-    /// The name of the process in logs.
+pub struct ProvisioningConfig {
+    /// Name of the process in logs.
     pub instance: Box<str>,
-    /// Where other agents reach it, for chunks and for datagrams.
+    /// Address on which other agents reach this one: TCP for chunks, UDP for datagrams.
     pub listen: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Where metrics are served, if anywhere.
+    /// Address on which metrics are served; none turns them off.
     pub metrics: Option<SocketAddr>,
-    /// Which lines are logged.
+    /// Least severe level that is logged.
     pub log: LevelFilter,
-    /// How long one watch of the store waits; a store that went silent is noticed a second later.
-    pub watch: Millis,
-    /// How often the engine is asked for its state.
-    pub look_every: Millis,
-    /// What the machine's link carries, in Mbit/s.
+    /// How long the store may hold one watch request open. The agent allows a second more before it
+    /// treats the store as unresponsive.
+    pub watch_time: Millis,
+    /// Interval at which an idle agent polls the engine for its state.
+    pub engine_poll_interval: Millis,
+    /// Bandwidth of the machine's link, in Mbit/s.
     pub link_mbps: f64,
-    /// What the reducer is told.
-    pub stock: StockSettings,
+    /// Settings of the reducer.
+    pub settings: StockSettings,
 }
 
-/// The part of the version bound after which the first engine loads, in percent: about when a version
-/// is staged everywhere. Where it is sooner, waiting a little gives callers a choice of engines for
-/// longer.
-const FIRST_TURN_PERCENT: u64 = 30;
+/// When the first engine loads, in percent of the time bound for a version: about when the version
+/// is staged on every machine. Where staging is faster, the short wait lets callers choose among the
+/// engines with the old version for longer.
+const FIRST_LOAD_PERCENT: u64 = 30;
 
-/// How long before the end of the version bound the last engine loads. Soon after it, entries send
-/// nothing more to engines without the version, so waiting longer gains nothing.
-const LAST_TURN_RESERVE: Millis = Millis(900);
+/// How long before the end of the time bound for a version the last engine loads. Soon after that,
+/// entries stop sending requests to engines without the version, so loading later gains nothing.
+const LAST_LOAD_RESERVE: Millis = Millis(900);
 
-/// Reads and checks all settings.
-pub fn read(mut reader: SettingsReader) -> SettingsOutcome<StockConfig> {
-    // Read before, to choose among the kinds of settings; named here as a known key.
+/// Reads and checks all settings; the outcome holds every fault found, not just the first.
+pub fn read(mut reader: SettingsReader) -> SettingsOutcome<ProvisioningConfig> {
+    // The caller has read this key to choose the kind of settings; reading it again marks it as known.
     let _: Option<PlatformKind> = reader.optional("agent", "platform");
-    let version = reader.value("bounds", "version", Millis(8_000));
+    let version_bound = reader.value("bounds", "version", Millis(8_000));
     let listen: SocketAddr = reader.required("agent", "listen", "IP:PORT", local());
     let own = listen.ip().to_string().parse().expect("an address is a valid name");
-    let config = StockConfig {
+    let config = ProvisioningConfig {
         instance: reader.required("agent", "instance", "NAME", String::new()).into(),
         listen,
         store: reader.required("platform", "store", "IP:PORT", local()),
         metrics: reader.optional("agent", "metrics"),
         log: reader.value("agent", "log", LevelFilter::Info),
-        watch: reader.value("platform", "watch", Millis(4_000)),
-        look_every: reader.value("upstream", "look_every", Millis(250)),
+        watch_time: reader.value("platform", "watch", Millis(4_000)),
+        engine_poll_interval: reader.value("upstream", "look_every", Millis(250)),
         link_mbps: reader.bounded("weights", "link_mbps", 1_000.0, 0.1, 1_000_000.0),
-        stock: StockSettings {
+        settings: StockSettings {
             own,
             data_centre: name(&mut reader, "agent", "data_centre"),
             service: name(&mut reader, "agent", "service"),
@@ -65,8 +66,8 @@
             port: listen.port(),
             transfer: transfer(&mut reader),
             turns: TurnSettings {
-                first: Millis(version.0 * FIRST_TURN_PERCENT / 100),
-                last: Millis(version.0.saturating_sub(LAST_TURN_RESERVE.0)),
+                first: Millis(version_bound.0 * FIRST_LOAD_PERCENT / 100),
+                last: Millis(version_bound.0.saturating_sub(LAST_LOAD_RESERVE.0)),
                 switch: reader.value("weights", "switch", Millis(2_000)),
             },
             tell_every: reader.value("weights", "exchange_every", Millis(35)),
@@ -90,9 +91,9 @@
         far_drawers: reader.bounded("weights", "far_drawers", 1, 0, 1_000),
         homes: reader.value("weights", "homes", true),
         relay_window: reader.bounded("weights", "entry_window", 3, 0, 64),
-        // Set for each version.
+        // The reducer sets it for each version.
         relays_first: default.relays_first,
-        // Set by the origin's rate in the configuration.
+        // The reducer sets it from the origin's rate in the configuration.
         origin_pace: default.origin_pace,
     }
 }
--- a/mustardrill_agent/src/stock/early_chunks.rs
+++ b/mustardrill_agent/src/stock/early_chunks.rs
@@ -1,7 +1,8 @@
-//! Chunks that came before the engine beside the agent answered for the first time.
+//! Buffers chunks that are fetched before the local engine answers for the first time.
 //!
-//! Load pattern: engines are added while the others are overloaded. An agent runs about a second
-//! before its engine does, which is half of what a copy takes over its link.
+//! An agent runs about a second before its engine does, which is half of the time that a copy takes
+//! over its link. Without the buffer that second is lost when engines are added while the others are
+//! overloaded.
 
 use std::sync::Mutex;
 
@@ -9,46 +10,47 @@
 use mustardrill_core::stock::VersionId;
 use mustardrill_types::{ByteSize, ChunkIndex};
 
-/// The most that is kept: what a narrow link carries while an engine starts, and a small part of an
-/// engine machine's memory.
-const SHELF_LIMIT: ByteSize = ByteSize(8 << 20);
+/// The largest total size of buffered chunks: what a narrow link carries while an engine starts, and
+/// a small part of an engine machine's memory.
+const BUFFER_LIMIT: ByteSize = ByteSize(8 << 20);
 
-/// Chunks of one version; closed for good once the engine has answered.
+/// Verified chunks of one version, until the engine has answered; then it is closed for good.
 #[derive(Debug)]
-pub(crate) struct ChunkShelf {
-    kept: Mutex<Option<ShelfContent>>,
+pub(crate) struct EarlyChunkBuffer {
+    /// `None` once the buffer is closed.
+    chunks: Mutex<Option<EarlyChunks>>,
 }
 
-/// What is kept.
+/// The buffered chunks, to be staged once the engine answers.
 #[derive(Debug, Default)]
-pub(crate) struct ShelfContent {
+pub(crate) struct EarlyChunks {
     pub(crate) version: Option<VersionId>,
     pub(crate) chunks: Vec<(ChunkIndex, Bytes)>,
 }
 
-impl ChunkShelf {
-    /// An open shelf with nothing on it.
+impl EarlyChunkBuffer {
     pub(crate) fn new() -> Self {
-        Self { kept: Mutex::new(Some(ShelfContent::default())) }
+        Self { chunks: Mutex::new(Some(EarlyChunks::default())) }
     }
 
-    /// Keeps a chunk; says whether it did, which it does not once it is closed or full.
-    pub(crate) fn keep(&self, version: &VersionId, index: ChunkIndex, bytes: &Bytes) -> bool {
-        let mut kept = self.kept.lock().expect("no holder panics");
-        let Some(content) = kept.as_mut() else { return false };
-        if content.version.as_ref() != Some(version) {
-            *content = ShelfContent { version: Some(version.clone()), chunks: Vec::new() };
+    /// Adds a chunk and returns whether it was added; it is not once the buffer is closed or full.
+    /// A chunk of another version replaces everything that was buffered.
+    pub(crate) fn push(&self, version: &VersionId, index: ChunkIndex, bytes: &Bytes) -> bool {
+        let mut chunks = self.chunks.lock().expect("no holder panics");
+        let Some(early) = chunks.as_mut() else { return false };
+        if early.version.as_ref() != Some(version) {
+            *early = EarlyChunks { version: Some(version.clone()), chunks: Vec::new() };
         }
-        let length: usize = content.chunks.iter().map(|(_, bytes)| bytes.len()).sum();
-        if (length + bytes.len()) as u64 > SHELF_LIMIT.0 {
+        let buffered: usize = early.chunks.iter().map(|(_, bytes)| bytes.len()).sum();
+        if (buffered + bytes.len()) as u64 > BUFFER_LIMIT.0 {
             return false;
         }
-        content.chunks.push((index, bytes.clone()));
+        early.chunks.push((index, bytes.clone()));
         true
     }
 
-    /// Closes it; what was kept, the first time.
-    pub(crate) fn close(&self) -> Option<ShelfContent> {
-        self.kept.lock().expect("no holder panics").take()
+    /// Closes the buffer and returns its content; `None` where it was closed before.
+    pub(crate) fn close(&self) -> Option<EarlyChunks> {
+        self.chunks.lock().expect("no holder panics").take()
     }
 }
--- a/mustardrill_agent/src/stock/effects.rs
+++ b/mustardrill_agent/src/stock/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the reducer of an agent that stocks its engine decides.
+//! Carries out the effects of the reducer that provisions an engine, each in a task of its own.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,63 +20,63 @@
 use mustardrill_types::{ChunkIndex, ModelName};
 use tokio_util::sync::CancellationToken;
 
-use crate::stock::actor::{Event, ListFetched, StockActor, StockContext};
+use crate::stock::actor::{ChunkListFetched, Event, ProvisioningActor, ProvisioningContext};
 use crate::stock::{fleet, peers};
 
-/// How long a connection to another agent may take to be made.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The largest chunk or list taken from another agent.
-const PEER_LIMIT: usize = 4 << 20;
+/// The largest chunk or chunk list accepted from another agent or an entry.
+const PEER_BODY_LIMIT_BYTES: usize = 4 << 20;
 
-/// How often a chunk is asked for that an entry says to be drawing, each time for some 300 ms. More
-/// would outlast the least patience of a draw, whose end speaks ill of the entry.
-const PENDING_ASKS: usize = 3;
+/// How often a chunk is requested that an entry is still fetching; the entry holds each request for
+/// about 300 ms. More requests would exceed the shortest timeout of a fetch, and a fetch that times
+/// out counts as a failure of the entry.
+const PENDING_CHUNK_REQUESTS: usize = 3;
 
-/// How long another agent may take for a list.
-const LIST_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long another agent or an entry may take to return a chunk list.
+const CHUNK_LIST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A chunk to be drawn.
-pub(crate) struct ChunkOrder {
+/// A chunk to fetch, and the address of its source.
+pub(crate) struct ChunkFetchTask {
     pub(crate) version: VersionId,
     pub(crate) draw: ChunkDraw,
     pub(crate) address: SocketAddr,
 }
 
-/// Reads who else serves the same models, and which entries there are.
-pub(crate) fn read_peers(context: Arc<StockContext>, actor: ActorRef<StockActor>) {
+/// Reads the peer agents and the entries, from a known entry or else from the store.
+pub(crate) fn read_peers(context: Arc<ProvisioningContext>, actor: ActorRef<ProvisioningActor>) {
     tokio::spawn(async move {
-        if let Some(page) = fleet::ask_known(&context).await {
-            let _ = actor.tell(Event(StockEvent::Fleet(page))).await;
+        if let Some(update) = fleet::ask_known_entry(&context).await {
+            let _ = actor.tell(Event(StockEvent::Fleet(update))).await;
             return;
         }
-        match fleet::stored_entries(&context).await {
+        match fleet::entries_from_store(&context).await {
             Ok(entries) => {
                 let _ = actor.tell(Event(StockEvent::RelaysSeen(entries))).await;
             }
             Err(error) => log::warn!("entries outcome=kept reason=\"{error}\""),
         }
-        match context.borders.source.read_part(FleetPart::Upstreams).await {
-            Ok(page) => {
-                let _ = actor.tell(Event(StockEvent::Fleet(page))).await;
+        match context.platform.fleet_source.read_part(FleetPart::Upstreams).await {
+            Ok(update) => {
+                let _ = actor.tell(Event(StockEvent::Fleet(update))).await;
             }
-            // The peers known from before do for a transfer.
+            // A transfer can go on with the peers that are known already.
             Err(error) => log::warn!("peers outcome=kept reason=\"{error}\""),
         }
     });
 }
 
-/// Fetches a list of chunks from the first source that has it.
-pub(crate) fn fetch_list(
-    context: Arc<StockContext>,
-    actor: ActorRef<StockActor>,
+/// Fetches a chunk list from the first of `sources` that has it.
+pub(crate) fn fetch_chunk_list(
+    context: Arc<ProvisioningContext>,
+    actor: ActorRef<ProvisioningActor>,
     version: VersionId,
     sources: Vec<WeightSource>,
 ) {
     tokio::spawn(async move {
         let mut found = None;
         for source in &sources {
-            match list_from(&context, &version, source).await {
+            match chunk_list_from(&context, &version, source).await {
                 Ok(list) => {
                     log::info!("list version={version} source={source} outcome=fetched");
                     found = Some(list);
@@ -89,99 +89,105 @@
                 }
             }
         }
-        let _ = actor.tell(ListFetched(version, found)).await;
+        let _ = actor.tell(ChunkListFetched(version, found)).await;
     });
 }
 
-async fn list_from(
-    context: &StockContext,
+async fn chunk_list_from(
+    context: &ProvisioningContext,
     version: &VersionId,
     source: &WeightSource,
 ) -> Result<ChunkList, Box<str>> {
-    let origin = &context.borders.origin;
+    let origin = &context.platform.origin;
     let list = match source {
         WeightSource::Origin(address) => {
             origin.list(*address, &version.model, version.version).await?
         }
         WeightSource::Peer(peer) => {
-            let address = format!("{peer}:{}", context.config.stock.port);
-            list_at(context, version, &address).await?
+            let address = format!("{peer}:{}", context.config.settings.port);
+            chunk_list_over_http(context, version, &address).await?
+        }
+        WeightSource::Relay(address) => {
+            chunk_list_over_http(context, version, &address.to_string()).await?
         }
-        WeightSource::Relay(address) => list_at(context, version, &address.to_string()).await?,
     };
     if list.model != version.model || list.version != version.version {
-        return Err(format!("the list is of {}:{}", list.model, list.version).into());
+        return Err(format!("the chunk list is for {}:{}", list.model, list.version).into());
     }
     Ok(list)
 }
 
-/// A list from another agent or an entry.
-async fn list_at(
-    context: &StockContext,
+/// Fetches a chunk list from another agent or an entry.
+async fn chunk_list_over_http(
+    context: &ProvisioningContext,
     version: &VersionId,
     address: &str,
 ) -> Result<ChunkList, Box<str>> {
     let uri = format!("http://{address}{}", PeerCall::List(version.clone()));
-    let call = context.client.call(request("GET", &uri, Bytes::new()), LIST_TIMEOUT, PEER_LIMIT);
+    let call = context.peer_client.call(
+        request("GET", &uri, Bytes::new()),
+        CHUNK_LIST_TIMEOUT,
+        PEER_BODY_LIMIT_BYTES,
+    );
     let answer = call.await.map_err(|error| error.to_string())?;
     if answer.status != StatusCode::OK {
         return Err(format!("status {}", answer.status).into());
     }
-    context.borders.origin.read_list(answer.body)
+    context.platform.origin.read_list(answer.body)
 }
 
-/// Draws a chunk, verifies it and stages it.
-pub(crate) fn draw(
-    context: Arc<StockContext>,
-    actor: ActorRef<StockActor>,
+/// Fetches a chunk, verifies it and stages it; reports the outcome unless `token` cancels the fetch.
+pub(crate) fn fetch_chunk(
+    context: Arc<ProvisioningContext>,
+    actor: ActorRef<ProvisioningActor>,
     list: Arc<ChunkList>,
-    order: ChunkOrder,
+    task: ChunkFetchTask,
     token: CancellationToken,
 ) {
     tokio::spawn(async move {
-        let drawing = draw_and_stage(&context, &list, &order);
-        let patience = order.draw.patience.to_std();
+        let fetching = fetch_and_stage(&context, &list, &task);
+        let fetch_timeout = task.draw.patience.to_std();
         let outcome = tokio::select! {
-            outcome = tokio::time::timeout(patience, drawing) => outcome.unwrap_or(DrawOutcome::Failed),
+            outcome = tokio::time::timeout(fetch_timeout, fetching) => outcome.unwrap_or(DrawOutcome::Failed),
             () = token.cancelled() => return,
         };
-        let name = outcome_name(&outcome);
-        let _ = context.metrics.count(&format!("chunk_draws.{name}"), 1);
-        let ChunkDraw { index, source, .. } = order.draw;
-        let event = StockEvent::DrawEnded(order.version, index, source, outcome);
+        let label = metric_label(&outcome);
+        let _ = context.metrics.count(&format!("chunk_draws.{label}"), 1);
+        let ChunkDraw { index, source, .. } = task.draw;
+        let event = StockEvent::DrawEnded(task.version, index, source, outcome);
         let _ = actor.tell(Event(event)).await;
     });
 }
 
-async fn draw_and_stage(
-    context: &StockContext,
+async fn fetch_and_stage(
+    context: &ProvisioningContext,
     list: &ChunkList,
-    order: &ChunkOrder,
+    task: &ChunkFetchTask,
 ) -> DrawOutcome {
-    let ChunkOrder { version, draw, address } = order;
+    let ChunkFetchTask { version, draw, address } = task;
     let bytes = match &draw.source {
         ChunkSource::Origin => {
-            let origin = &context.borders.origin;
+            let origin = &context.platform.origin;
             let chunk = origin.chunk(*address, &version.model, version.version, draw.index);
             chunk.await.map_err(|reason| {
                 log::info!("chunk version={version} index={} source=origin outcome=failed reason=\"{reason}\"", draw.index);
                 DrawOutcome::Failed
             })
         }
-        ChunkSource::Peer(_) | ChunkSource::Relay(_) => chunk_from_peer(context, order).await,
+        ChunkSource::Peer(_) | ChunkSource::Relay(_) => chunk_from_peer(context, task).await,
     };
     let bytes = match bytes {
         Ok(bytes) => bytes,
         Err(outcome) => return outcome,
     };
-    if !context.borders.origin.verifies(list, draw.index, &bytes) {
+    if !context.platform.origin.verifies(list, draw.index, &bytes) {
         return DrawOutcome::Corrupt;
     }
     let length = bytes.len() as i64;
-    let is_kept = context.shelf.keep(version, draw.index, &bytes);
-    if !is_kept && !context.borders.engine.stage(&version.model, draw.index, bytes).await {
+    let is_buffered = context.early_chunks.push(version, draw.index, &bytes);
+    if !is_buffered && !context.platform.engine.stage(&version.model, draw.index, bytes).await {
         log::warn!("chunk version={version} index={} outcome=not-staged", draw.index);
-        // No fault of whoever gave it.
+        // The engine failed to stage it; the source must not be blamed.
         return DrawOutcome::Busy(Vec::new());
     }
     let source = match &draw.source {
@@ -193,8 +199,8 @@
     DrawOutcome::Verified
 }
 
-/// The outcome as a label of a metric.
-fn outcome_name(outcome: &DrawOutcome) -> &'static str {
+/// The label of the outcome in the metric `chunk_draws`.
+fn metric_label(outcome: &DrawOutcome) -> &'static str {
     match outcome {
         DrawOutcome::Verified => "whole",
         DrawOutcome::Corrupt => "corrupt",
@@ -204,22 +210,28 @@
     }
 }
 
-async fn chunk_from_peer(context: &StockContext, order: &ChunkOrder) -> Result<Bytes, DrawOutcome> {
+async fn chunk_from_peer(
+    context: &ProvisioningContext,
+    task: &ChunkFetchTask,
+) -> Result<Bytes, DrawOutcome> {
     let uri = format!(
         "http://{}{}",
-        order.address,
-        PeerCall::Chunk(order.version.clone(), order.draw.index)
+        task.address,
+        PeerCall::Chunk(task.version.clone(), task.draw.index)
     );
-    for _ in 0..PENDING_ASKS {
+    for _ in 0..PENDING_CHUNK_REQUESTS {
         let call = request("GET", &uri, Bytes::new());
-        let answer = context.client.call(call, order.draw.patience.to_std(), PEER_LIMIT).await;
+        let answer = context
+            .peer_client
+            .call(call, task.draw.patience.to_std(), PEER_BODY_LIMIT_BYTES)
+            .await;
         let answer = answer.map_err(|error| {
             log::debug!("chunk call={uri} outcome=failed reason=\"{error}\"");
             DrawOutcome::Failed
         })?;
         match answer.status {
             StatusCode::OK => return Ok(answer.body),
-            // It is being drawn.
+            // The entry is still fetching the chunk: ask again.
             StatusCode::ACCEPTED => {}
             StatusCode::SERVICE_UNAVAILABLE => return Err(DrawOutcome::Busy(Vec::new())),
             _ => return Err(DrawOutcome::Missing),
@@ -228,62 +240,68 @@
     Err(DrawOutcome::Busy(Vec::new()))
 }
 
-/// Reads all staged chunks back and says which are whole.
-pub(crate) fn read_back(
-    context: Arc<StockContext>,
-    actor: ActorRef<StockActor>,
+/// Reads all staged chunks back from the engine and reports which of them pass verification.
+pub(crate) fn verify_staged(
+    context: Arc<ProvisioningContext>,
+    actor: ActorRef<ProvisioningActor>,
     version: VersionId,
     list: Arc<ChunkList>,
 ) {
     tokio::spawn(async move {
         let total = list.digests.len() as u32;
-        let mut whole = ChunkBitmap::empty(total);
+        let mut verified = ChunkBitmap::empty(total);
         for index in (0..total).map(ChunkIndex) {
-            let bytes = context.borders.engine.staged(&version.model, index).await;
+            let bytes = context.platform.engine.staged(&version.model, index).await;
             let Some(bytes) = bytes else { continue };
-            if context.borders.origin.verifies(&list, index, &bytes) {
-                whole.insert(index);
+            if context.platform.origin.verifies(&list, index, &bytes) {
+                verified.insert(index);
             }
         }
-        let _ = actor.tell(Event(StockEvent::ReadBack(version, whole))).await;
+        let _ = actor.tell(Event(StockEvent::ReadBack(version, verified))).await;
     });
 }
 
-/// Orders the engine to load what is staged.
-pub(crate) fn order(
-    context: Arc<StockContext>,
-    actor: ActorRef<StockActor>,
+/// Orders the engine to load the staged version.
+pub(crate) fn order_load(
+    context: Arc<ProvisioningContext>,
+    actor: ActorRef<ProvisioningActor>,
     version: VersionId,
     sequence: u64,
 ) {
     tokio::spawn(async move {
-        let answer = context.borders.engine.load(&version.model, version.version, sequence).await;
+        let answer = context.platform.engine.load(&version.model, version.version, sequence).await;
         if answer != OrderAnswer::Taken {
             log::warn!("order version={version} sequence={sequence} outcome=\"{answer}\"");
         }
-        let fate = match answer {
+        let outcome = match answer {
             OrderAnswer::Taken => OrderFate::Taken,
             OrderAnswer::Conflict => OrderFate::Refused,
             OrderAnswer::Unknown(_) => OrderFate::Unknown,
         };
-        let _ = actor.tell(Event(StockEvent::Ordered(version, fate))).await;
+        let _ = actor.tell(Event(StockEvent::Ordered(version, outcome))).await;
     });
 }
 
-/// Tells all entries a word of the engine; twice, as datagrams get lost, unless a newer word follows.
+/// Sends an engine notice to all entries, and repeats it once because datagrams get lost.
 ///
-/// Load pattern: engines load while the store is slow. The second telling waits for a reading of the
-/// entries, and would come after what the engine did meanwhile.
-pub(crate) fn tell_entries(context: Arc<StockContext>, model: ModelName, word: EngineNotice) {
-    const TELL_AGAIN: Duration = Duration::from_millis(60);
-    let number = context.words.fetch_add(1, Ordering::Relaxed) + 1;
+/// The repetition is dropped when a newer notice has been sent. It waits until the entries have been
+/// read anew: while the store is slow it would arrive after the engine's next notices, and entries
+/// would take an outdated state for the newest.
+pub(crate) fn notify_entries(
+    context: Arc<ProvisioningContext>,
+    model: ModelName,
+    notice: EngineNotice,
+) {
+    const REPEAT_DELAY: Duration = Duration::from_millis(60);
+    let notice_number = context.engine_notices.fetch_add(1, Ordering::Relaxed) + 1;
     tokio::spawn(async move {
-        let mut datagram = Datagram::new(&context.config.stock.own);
-        let address = context.config.stock.engine;
-        datagram.engine = Some(EngineRow::new(address, &model, word));
+        let mut datagram = Datagram::new(&context.config.settings.own);
+        let address = context.config.settings.engine;
+        datagram.engine = Some(EngineRow::new(address, &model, notice));
         let addresses =
             |entries: &[PeerRecord]| entries.iter().map(|entry| entry.address).collect::<Vec<_>>();
-        // Who is known is told at once: reading them anew may take as long as the store is away.
+        // Known entries are notified at once: reading the entries anew may take as long as the store
+        // is unavailable.
         let known = addresses(context.entries.lock().await.known());
         peers::send(context.clone(), datagram.clone(), known.clone());
         let fresh = fleet::entries(&context).await.map(|entries| addresses(&entries));
@@ -291,8 +309,8 @@
             log::warn!("entries outcome=known-ones-told count={} reason=\"{error}\"", known.len());
             known
         });
-        tokio::time::sleep(TELL_AGAIN).await;
-        if context.words.load(Ordering::Relaxed) == number {
+        tokio::time::sleep(REPEAT_DELAY).await;
+        if context.engine_notices.load(Ordering::Relaxed) == notice_number {
             peers::send(context, datagram, fresh);
         }
     });
--- a/mustardrill_agent/src/stock/fleet.rs
+++ b/mustardrill_agent/src/stock/fleet.rs
@@ -1,9 +1,9 @@
-//! Learns of the fleet from an entry near by: when the agent starts, when a version is named, and
-//! before the agent tells entries of its engine.
+//! Reads the fleet from an entry of the data centre: when the agent starts, when a version is
+//! announced, and before the agent notifies entries of its engine's state.
 //!
-//! Load pattern: a version is named, and every agent wants to know who else needs it. Read from the
-//! store by each of them, all registrations cross the links between regions just as the chunks do.
-//! An entry has read it all and tells it within the data centre.
+//! When a version is announced, every agent needs to know which others need it. If each of them read
+//! the store, all registrations would cross the links between regions together with the chunks. An
+//! entry has read them already and returns them within the data centre.
 
 use std::time::Duration;
 
@@ -17,26 +17,25 @@
 use mustardrill_runtime::http::request;
 use mustardrill_runtime::peer_call::PeerCall;
 
-use crate::stock::actor::StockContext;
+use crate::stock::actor::ProvisioningContext;
 
-/// How long an entry may take: it has everything in memory.
+/// How long an entry may take to answer, which it does from memory.
 const ENTRY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often entries are asked before the agent reads the store itself. They start at the same
-/// time as the agents where all do, and take up to a second to read a large configuration.
-const ROUNDS: u32 = 5;
+/// How many times entries are asked before the agent reads the store itself. Where everything starts
+/// at once, an entry takes up to a second to read a large configuration.
+const MAX_ROUNDS: u32 = 5;
 
-/// The pause between two rounds.
-const ROUND_PAUSE: Duration = Duration::from_millis(300);
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The largest answer taken.
-const DIGEST_LIMIT: usize = 4 << 20;
+/// The largest answer accepted from an entry.
+const DIGEST_LIMIT_BYTES: usize = 4 << 20;
 
-/// What an entry of the agent's data centre tells of the fleet; nothing where none can.
-pub(crate) async fn read(context: &StockContext) -> Option<FleetUpdate> {
-    for round in 0..ROUNDS {
+/// Reads the fleet from an entry of the agent's data centre; `None` where no entry answered.
+pub(crate) async fn read_from_entries(context: &ProvisioningContext) -> Option<FleetUpdate> {
+    for round in 0..MAX_ROUNDS {
         if round > 0 {
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(ROUND_INTERVAL).await;
         }
         let entries = match entries(context).await {
             Ok(entries) => entries,
@@ -45,54 +44,57 @@
                 continue;
             }
         };
-        if let Some(page) = ask_entry(context, entries, round).await {
-            return Some(page);
+        if let Some(update) = ask_entry(context, entries, round).await {
+            return Some(update);
         }
     }
     None
 }
 
-/// What one of the entries known from before tells of the fleet; nothing where none can.
-pub(crate) async fn ask_known(context: &StockContext) -> Option<FleetUpdate> {
+/// Reads the fleet from one of the known entries; `None` where it did not answer.
+pub(crate) async fn ask_known_entry(context: &ProvisioningContext) -> Option<FleetUpdate> {
     let known = context.entries.lock().await.known().to_vec();
-    let page = ask_entry(context, known, 0).await?;
-    note_entries(context, &page).await;
-    Some(page)
+    let update = ask_entry(context, known, 0).await?;
+    record_entries(context, &update).await;
+    Some(update)
 }
 
-/// The entries, as an entry or else the store tells where they were not read lately.
-pub(crate) async fn entries(context: &StockContext) -> Result<Vec<PeerRecord>, StoreError> {
-    if is_due(context).await
-        && let Some(page) = ask_known(context).await
+/// The entries as they are known, or read from an entry or else the store where they are due to be
+/// read again.
+pub(crate) async fn entries(context: &ProvisioningContext) -> Result<Vec<PeerRecord>, StoreError> {
+    if is_read_due(context).await
+        && let Some(update) = ask_known_entry(context).await
     {
-        return Ok(entries_of(&page));
+        return Ok(peers_of(&update));
     }
-    stored_entries(context).await
+    entries_from_store(context).await
 }
 
-/// The entries, as the store tells where they were not read lately. The book is not held meanwhile,
-/// so that a word to those that are known does not wait for the store.
-pub(crate) async fn stored_entries(context: &StockContext) -> Result<Vec<PeerRecord>, StoreError> {
-    if !is_due(context).await {
+/// The entries as they are known, or read from the store where they are due to be read again. The
+/// lock is not held during the read, so that notices to the known entries do not wait for the store.
+pub(crate) async fn entries_from_store(
+    context: &ProvisioningContext,
+) -> Result<Vec<PeerRecord>, StoreError> {
+    if !is_read_due(context).await {
         return Ok(context.entries.lock().await.known().to_vec());
     }
-    let page = context.borders.source.read_part(FleetPart::Entries).await?;
-    note_entries(context, &page).await;
-    Ok(entries_of(&page))
+    let update = context.platform.fleet_source.read_part(FleetPart::Entries).await?;
+    record_entries(context, &update).await;
+    Ok(peers_of(&update))
 }
 
-async fn is_due(context: &StockContext) -> bool {
+async fn is_read_due(context: &ProvisioningContext) -> bool {
     let now = context.clock.now();
     context.entries.lock().await.is_due(now)
 }
 
-async fn note_entries(context: &StockContext, page: &FleetUpdate) {
+async fn record_entries(context: &ProvisioningContext, update: &FleetUpdate) {
     let now = context.clock.now();
-    context.entries.lock().await.note(now, entries_of(page));
+    context.entries.lock().await.note(now, peers_of(update));
 }
 
-fn entries_of(page: &FleetUpdate) -> Vec<PeerRecord> {
-    let peers = page.changes.iter().filter_map(|change| match change {
+fn peers_of(update: &FleetUpdate) -> Vec<PeerRecord> {
+    let peers = update.changes.iter().filter_map(|change| match change {
         FleetChange::Peer(peer) => Some(peer.clone()),
         _ => None,
     });
@@ -100,19 +102,24 @@
 }
 
 async fn ask_entry(
-    context: &StockContext,
+    context: &ProvisioningContext,
     entries: Vec<PeerRecord>,
     round: u32,
 ) -> Option<FleetUpdate> {
-    let (centre, service) = (&context.config.stock.data_centre, &context.config.stock.service);
+    let (data_centre, service) =
+        (&context.config.settings.data_centre, &context.config.settings.service);
     let mut table = RelayTable::default();
     table.set_relays(entries);
-    // Each agent asks in an order of its own, and another entry in each round.
-    let subject = format!("{}/{round}", context.config.stock.own);
-    let entry = table.nearest(context.clock.now(), &subject, RelayItem::List, centre)?;
+    // The subject spreads the agents over the entries, and picks another entry in each round.
+    let subject = format!("{}/{round}", context.config.settings.own);
+    let entry = table.nearest(context.clock.now(), &subject, RelayItem::List, data_centre)?;
     let uri = format!("http://{}{}", entry.address, PeerCall::Fleet(service.clone()));
-    let call = context.client.call(request("GET", &uri, Bytes::new()), ENTRY_TIMEOUT, DIGEST_LIMIT);
-    let page = match call.await {
+    let call = context.peer_client.call(
+        request("GET", &uri, Bytes::new()),
+        ENTRY_TIMEOUT,
+        DIGEST_LIMIT_BYTES,
+    );
+    let update = match call.await {
         Ok(answer) if answer.status == StatusCode::OK => {
             FleetDigest::read(&answer.body)?.into_page(service)
         }
@@ -125,8 +132,8 @@
             None
         }
     };
-    if let Some(page) = &page {
-        info!("fleet outcome=read source={} revision={}", entry.id, page.revision);
+    if let Some(update) = &update {
+        info!("fleet outcome=read source={} revision={}", entry.id, update.revision);
     }
-    page
+    update
 }
--- a/mustardrill_agent/src/stock/metrics.rs
+++ b/mustardrill_agent/src/stock/metrics.rs
@@ -1,8 +1,8 @@
-//! The metrics of an agent that stocks its engine; `docs/OPERATIONS.md` lists the same.
+//! Metrics of an agent that provisions its engine; `docs/OPERATIONS.md` lists the same.
 
 use mustardrill_runtime::exposition::{MetricKind, MetricRow};
 
-/// Every metric and what it counts.
+/// Every metric with its kind, the name of its label and its help text.
 pub const METRICS: [MetricRow; 6] = [
     MetricRow::new(
         "chunk_draws",
--- a/mustardrill_agent/src/stock/mod.rs
+++ b/mustardrill_agent/src/stock/mod.rs
@@ -1,4 +1,5 @@
-//! The agent on a platform where entries send to upstreams themselves: it stocks its engine.
+//! The agent on a platform where entries send requests to upstreams directly: it only provisions its
+//! engine with weights.
 
 mod actor;
 mod config;
@@ -9,6 +10,6 @@
 mod peers;
 mod watch;
 
-pub use actor::{StockBorders, StockHandle, spawn};
-pub use config::{StockConfig, read};
+pub use actor::{PlatformClients, ProvisioningHandle, spawn};
+pub use config::{ProvisioningConfig, read};
 pub use metrics::METRICS;
--- a/mustardrill_agent/src/stock/peers.rs
+++ b/mustardrill_agent/src/stock/peers.rs
@@ -1,4 +1,4 @@
-//! What agents tell and give each other: holdings by datagram, lists and chunks over HTTP.
+//! Exchange with other agents: holdings by datagram, chunk lists and chunks over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,24 +15,28 @@
 use mustardrill_runtime::peer_call::PeerCall;
 use mustardrill_types::{ChunkIndex, Millis, WeightVersion};
 
-use crate::stock::actor::{Event, HoldsQuery, ListQuery, StockActor, StockContext};
+use crate::stock::actor::{
+    ChunkListQuery, Event, HoldsChunkQuery, ProvisioningActor, ProvisioningContext,
+};
 
-/// The time of uploads that may wait for the link. One chunk more is then accepted: enough to keep
-/// the link busy, and little enough that an event of an answer, which goes over the same link, is
-/// not held up behind them.
-const LONGEST_QUEUE: Millis = Millis(45);
+/// How long the queued uploads may occupy the link; below it, one more chunk is accepted. That keeps
+/// the link busy, but does not hold up events of answers, which go over the same link.
+const UPLOAD_QUEUE_LIMIT: Millis = Millis(45);
 
-/// The size by which uploads are counted before they are read, in bytes.
-const USUAL_CHUNK: usize = 24_576;
+/// Estimated size of an upload, used before the chunk is read.
+const TYPICAL_CHUNK_BYTES: usize = 24_576;
 
-/// Answers other agents.
+/// Serves chunk lists and chunks to other agents.
 pub(crate) struct PeerHandler {
-    actor: ActorRef<StockActor>,
-    context: Arc<StockContext>,
+    actor: ActorRef<ProvisioningActor>,
+    context: Arc<ProvisioningContext>,
 }
 
 impl PeerHandler {
-    pub(crate) fn new(actor: ActorRef<StockActor>, context: Arc<StockContext>) -> Self {
+    pub(crate) fn new(
+        actor: ActorRef<ProvisioningActor>,
+        context: Arc<ProvisioningContext>,
+    ) -> Self {
         Self { actor, context }
     }
 }
@@ -42,68 +46,72 @@
         let (actor, context) = (self.actor.clone(), self.context.clone());
         Box::pin(async move {
             match PeerCall::read(request.uri()) {
-                Some(PeerCall::List(version)) => give_list(&actor, version).await,
+                Some(PeerCall::List(version)) => serve_chunk_list(&actor, version).await,
                 Some(PeerCall::Chunk(version, index)) => {
-                    give_chunk(&actor, &context, version, index).await
+                    serve_chunk(&actor, &context, version, index).await
                 }
-                // Agents draw nothing for others.
+                // Agents fetch nothing on behalf of others; only entries do.
                 _ => text_response(StatusCode::NOT_FOUND, "unknown path\n"),
             }
         })
     }
 }
 
-async fn give_list(actor: &ActorRef<StockActor>, version: VersionId) -> AnyResponse {
-    let list = actor.ask(ListQuery(version.clone())).await.ok().and_then(|reply| reply.0);
+async fn serve_chunk_list(actor: &ActorRef<ProvisioningActor>, version: VersionId) -> AnyResponse {
+    let list = actor.ask(ChunkListQuery(version.clone())).await.ok().and_then(|reply| reply.0);
     if let Some(list) = list {
         return Response::new(whole_body(list.published.clone()));
     }
-    // Whoever asks does so again in a moment, when the list may be here.
+    // The peer retries shortly; this event makes the agent fetch the list until then.
     let _ = actor.tell(Event(StockEvent::ListWanted(version))).await;
     text_response(StatusCode::NOT_FOUND, "not here\n")
 }
 
-async fn give_chunk(
-    actor: &ActorRef<StockActor>,
-    context: &StockContext,
+async fn serve_chunk(
+    actor: &ActorRef<ProvisioningActor>,
+    context: &ProvisioningContext,
     version: VersionId,
     index: ChunkIndex,
 ) -> AnyResponse {
     let model = version.model.clone();
-    if !actor.ask(HoldsQuery(version, index)).await.unwrap_or(false) {
+    if !actor.ask(HoldsChunkQuery(version, index)).await.unwrap_or(false) {
         return text_response(StatusCode::NOT_FOUND, "not here\n");
     }
-    if context.uploads.accept(context.clock.now(), USUAL_CHUNK, LONGEST_QUEUE).is_none() {
+    if context
+        .uploads
+        .accept(context.clock.now(), TYPICAL_CHUNK_BYTES, UPLOAD_QUEUE_LIMIT)
+        .is_none()
+    {
         return text_response(StatusCode::SERVICE_UNAVAILABLE, "busy\n");
     }
-    let bytes = context.borders.engine.staged(&model, index).await;
+    let bytes = context.platform.engine.staged(&model, index).await;
     match bytes {
         Some(bytes) => Response::new(whole_body(bytes)),
         None => text_response(StatusCode::NOT_FOUND, "not staged\n"),
     }
 }
 
-/// Tells other agents what is held of a version.
-pub(crate) fn tell_holding(
-    context: Arc<StockContext>,
+/// Sends the chunks held of a version to other agents.
+pub(crate) fn send_holding(
+    context: Arc<ProvisioningContext>,
     version: &VersionId,
     to: Vec<SocketAddr>,
     bitmap: &ChunkBitmap,
     asks: bool,
 ) {
-    let mut datagram = Datagram::new(&context.config.stock.own);
+    let mut datagram = Datagram::new(&context.config.settings.own);
     datagram.holding = Some(HoldingRow {
         model: version.model.to_string(),
         version: version.version.0,
         bitmap: bitmap.to_bytes(),
-        queue: context.uploads.waiting(context.clock.now(), USUAL_CHUNK),
+        queue: context.uploads.waiting(context.clock.now(), TYPICAL_CHUNK_BYTES),
         asks,
     });
     send(context, datagram, to);
 }
 
-/// Sends a datagram to each address.
-pub(crate) fn send(context: Arc<StockContext>, datagram: Datagram, to: Vec<SocketAddr>) {
+/// Sends a datagram to each address; failures are only logged.
+pub(crate) fn send(context: Arc<ProvisioningContext>, datagram: Datagram, to: Vec<SocketAddr>) {
     let bytes = datagram.to_bytes();
     tokio::spawn(async move {
         for address in to {
@@ -114,14 +122,17 @@
     });
 }
 
-/// Starts to hear other agents.
-pub(crate) fn spawn_hearing(actor: ActorRef<StockActor>, context: Arc<StockContext>) {
+/// Starts to receive datagrams.
+pub(crate) fn spawn_receiver(
+    actor: ActorRef<ProvisioningActor>,
+    context: Arc<ProvisioningContext>,
+) {
     let halt = context.halt.clone();
-    tokio::spawn(halt.run_until_cancelled_owned(hear(actor, context)));
+    tokio::spawn(halt.run_until_cancelled_owned(receive_datagrams(actor, context)));
 }
 
-async fn hear(actor: ActorRef<StockActor>, context: Arc<StockContext>) {
-    const ERROR_PAUSE: Duration = Duration::from_millis(50);
+async fn receive_datagrams(actor: ActorRef<ProvisioningActor>, context: Arc<ProvisioningContext>) {
+    const ERROR_DELAY: Duration = Duration::from_millis(50);
     let mut buffer = vec![0; DATAGRAM_LIMIT];
     loop {
         match context.socket.recv_from(&mut buffer).await {
@@ -131,23 +142,23 @@
                 }
             }
             Err(error) => {
-                // An earlier datagram met a closed port: its receiver is gone.
+                // The error is of an earlier datagram, sent to a port that is closed by now.
                 log::debug!("datagram outcome=unheard reason=\"{error}\"");
-                tokio::time::sleep(ERROR_PAUSE).await;
+                tokio::time::sleep(ERROR_DELAY).await;
             }
         }
     }
 }
 
 fn event_of(datagram: Datagram) -> Option<StockEvent> {
-    if let Some(named) = datagram.named {
-        let version = WeightVersion(named.version);
-        return Some(StockEvent::VersionHeard(named.model.parse().ok()?, version));
+    if let Some(announced) = datagram.named {
+        let version = WeightVersion(announced.version);
+        return Some(StockEvent::VersionHeard(announced.model.parse().ok()?, version));
     }
-    news_of(datagram).map(StockEvent::HoldingSeen)
+    holding_of(datagram).map(StockEvent::HoldingSeen)
 }
 
-fn news_of(datagram: Datagram) -> Option<HoldingNews> {
+fn holding_of(datagram: Datagram) -> Option<HoldingNews> {
     let row = datagram.holding?;
     let version = VersionId { model: row.model.parse().ok()?, version: WeightVersion(row.version) };
     Some(HoldingNews {
--- a/mustardrill_agent/src/stock/watch.rs
+++ b/mustardrill_agent/src/stock/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the versions named in the store, and the engine's state.
+//! Watches the store for announced versions, and polls the engine for its state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,72 +11,73 @@
 use mustardrill_runtime::border::{EngineState, FleetPart, FleetScope, StoreError};
 use mustardrill_types::Millis;
 
-use crate::stock::actor::{BusyQuery, Event, StockActor, StockContext};
-use crate::stock::early_chunks::ShelfContent;
+use crate::stock::actor::{BusyQuery, Event, ProvisioningActor, ProvisioningContext};
+use crate::stock::early_chunks::EarlyChunks;
 use crate::stock::fleet;
 
-/// The longest pause after a first call that failed.
-const FIRST_PAUSE: Millis = Millis(400);
+/// The longest delay after the first failed call.
+const FIRST_BACKOFF_LIMIT: Millis = Millis(400);
 
-/// The longest pause after any. Refused calls are billed, and agents outnumber entries, which ask more
-/// often and tell agents.
-const LONGEST_PAUSE: Millis = Millis(2_000);
+/// The longest delay after any failed call. Refused calls are billed, and agents outnumber entries;
+/// entries retry more often and notify the agents.
+const BACKOFF_LIMIT: Millis = Millis(2_000);
 
-/// How often the time is looked at while chunks are drawn or an order is under way: a chunk takes
-/// about 30 ms on the links of the engines.
-const BUSY_EVERY: Duration = Duration::from_millis(25);
+/// Interval of the reducer's ticks while chunks are fetched or a load order is in progress: a chunk
+/// takes about 30 ms on the links of the engines.
+const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How often the engine is asked while there is something to be done.
-const BUSY_LOOK: Millis = Millis(100);
+/// Interval at which the engine is polled while chunks are fetched or a load order is in progress.
+const BUSY_POLL_INTERVAL: Millis = Millis(100);
 
-/// Starts following the store and the engine.
-pub(crate) fn spawn(actor: ActorRef<StockActor>, context: Arc<StockContext>) {
+/// Starts the tasks that watch the store and poll the engine.
+pub(crate) fn spawn(actor: ActorRef<ProvisioningActor>, context: Arc<ProvisioningContext>) {
     let halt = context.halt.clone();
-    let following = follow(actor.clone(), context.clone());
+    let following = follow_store(actor.clone(), context.clone());
     tokio::spawn(halt.clone().run_until_cancelled_owned(following));
-    tokio::spawn(halt.run_until_cancelled_owned(look(actor, context)));
+    tokio::spawn(halt.run_until_cancelled_owned(poll_engine(actor, context)));
 }
 
-async fn follow(actor: ActorRef<StockActor>, context: Arc<StockContext>) {
-    let source = &context.borders.source;
+async fn follow_store(actor: ActorRef<ProvisioningActor>, context: Arc<ProvisioningContext>) {
+    let fleet_source = &context.platform.fleet_source;
     let (mut cursor, mut scope) = (StoreCursor::default(), FleetScope::Operator);
-    let mut begun = false;
-    let mut backoff = RetryBackoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut has_read = false;
+    let mut backoff = RetryBackoff::new(FIRST_BACKOFF_LIMIT, BACKOFF_LIMIT);
     loop {
         let read = match cursor.revision() {
             Some(revision) => {
-                let span = WatchTiming::for_agent(context.config.watch);
-                source.read_changes(scope, revision, span).await
+                let timing = WatchTiming::for_agent(context.config.watch_time);
+                fleet_source.read_changes(scope, revision, timing).await
             }
-            // A whole reading by each agent, with a configuration of which it needs some lines, fills
-            // the links between regions just as entries read it after an outage.
-            None if begun && scope == FleetScope::Versions => {
-                source.read_part(FleetPart::Versions).await
+            // An agent needs only a few lines of the configuration. If each agent read everything
+            // after an outage, that would fill the links between regions just when entries read it.
+            None if has_read && scope == FleetScope::Versions => {
+                fleet_source.read_part(FleetPart::Versions).await
             }
-            // What an entry tells may be older than the history that the store keeps.
-            None if begun => source.read_all().await,
-            None => match fleet::read(&context).await {
-                Some(page) => Ok(page),
-                None => source.read_all().await,
+            // The answer of an entry may be older than the history that the store keeps.
+            None if has_read => fleet_source.read_all().await,
+            None => match fleet::read_from_entries(&context).await {
+                Some(update) => Ok(update),
+                None => fleet_source.read_all().await,
             },
         };
-        begun |= read.is_ok();
+        has_read |= read.is_ok();
         match read {
-            Ok(page) => {
+            Ok(update) => {
                 backoff.answered();
-                let verdict = cursor.take(&page);
+                let verdict = cursor.take(&update);
                 if !matches!(verdict, CursorVerdict::Taken { .. }) {
-                    info!("store outcome=void era={} reason={verdict:?}", page.era);
-                    // Entries near by have read the new era, or are about to.
-                    begun = false;
-                    let pause = backoff.failed(&mut rand::rng());
-                    tokio::time::sleep(pause.to_std()).await;
+                    info!("store outcome=void era={} reason={verdict:?}", update.era);
+                    // Entries of the data centre have read the new era, or will soon: ask them first.
+                    has_read = false;
+                    let delay = backoff.failed(&mut rand::rng());
+                    tokio::time::sleep(delay.to_std()).await;
                     continue;
                 }
-                if page.changes.iter().any(|change| matches!(change, FleetChange::Configured(_))) {
+                if update.changes.iter().any(|change| matches!(change, FleetChange::Configured(_)))
+                {
                     scope = FleetScope::Versions;
                 }
-                let _ = actor.tell(Event(StockEvent::Fleet(page))).await;
+                let _ = actor.tell(Event(StockEvent::Fleet(update))).await;
             }
             Err(error @ (StoreError::HistoryGone | StoreError::EraChanged)) => {
                 info!(
@@ -87,31 +88,31 @@
             }
             Err(error) => {
                 warn!("dependency=store outcome=failed reason=\"{error}\"");
-                let pause = backoff.failed(&mut rand::rng());
-                tokio::time::sleep(pause.to_std()).await;
+                let delay = backoff.failed(&mut rand::rng());
+                tokio::time::sleep(delay.to_std()).await;
             }
         }
     }
 }
 
-/// Asks the engine for its state, and looks at the time more often while there is work.
-async fn look(actor: ActorRef<StockActor>, context: Arc<StockContext>) {
+/// Polls the engine for its state; both polls and ticks come more often while there is work.
+async fn poll_engine(actor: ActorRef<ProvisioningActor>, context: Arc<ProvisioningContext>) {
     loop {
-        let state = context.borders.engine.state().await.map(view);
+        let state = context.platform.engine.state().await.map(engine_view);
         if state.is_some() {
-            stage_kept(&context).await;
+            stage_early_chunks(&context).await;
         }
         let _ = actor.tell(Event(StockEvent::EngineSeen(state))).await;
-        let asked = context.clock.now();
+        let polled_at = context.clock.now();
         loop {
-            let busy = actor.ask(BusyQuery).await.unwrap_or(false);
-            let (pause, look) = if busy {
-                (BUSY_EVERY, BUSY_LOOK)
+            let is_busy = actor.ask(BusyQuery).await.unwrap_or(false);
+            let (tick_interval, poll_interval) = if is_busy {
+                (BUSY_TICK_INTERVAL, BUSY_POLL_INTERVAL)
             } else {
-                (context.config.look_every.to_std(), context.config.look_every)
+                (context.config.engine_poll_interval.to_std(), context.config.engine_poll_interval)
             };
-            tokio::time::sleep(pause).await;
-            if context.clock.now().since(asked) >= look {
+            tokio::time::sleep(tick_interval).await;
+            if context.clock.now().since(polled_at) >= poll_interval {
                 break;
             }
             let _ = actor.tell(Event(StockEvent::Woke)).await;
@@ -119,21 +120,21 @@
     }
 }
 
-/// Stages what came before the engine first answered. The staged chunks are read back before any
-/// order, so one that could not be staged is drawn again.
-async fn stage_kept(context: &StockContext) {
-    let Some(ShelfContent { version: Some(version), chunks }) = context.shelf.close() else {
+/// Stages the chunks that were buffered before the engine first answered. Staged chunks are read back
+/// before a load is ordered, so one that could not be staged is fetched again.
+async fn stage_early_chunks(context: &ProvisioningContext) {
+    let Some(EarlyChunks { version: Some(version), chunks }) = context.early_chunks.close() else {
         return;
     };
     info!("weights version={version} decision=stage-kept chunks={}", chunks.len());
     for (index, bytes) in chunks {
-        if !context.borders.engine.stage(&version.model, index, bytes).await {
+        if !context.platform.engine.stage(&version.model, index, bytes).await {
             warn!("chunk version={version} index={index} outcome=not-staged");
         }
     }
 }
 
-fn view(state: EngineState) -> EngineView {
+fn engine_view(state: EngineState) -> EngineView {
     let EngineState { start, busy, sequence, serving, .. } = state;
     EngineView { start, busy, sequence, serving }
 }
--- a/mustardrill_agent/tests/engine_notices.rs
+++ b/mustardrill_agent/tests/engine_notices.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 use log::LevelFilter;
-use mustardrill_agent::stock::{self, StockBorders, StockConfig};
+use mustardrill_agent::stock::{self, PlatformClients, ProvisioningConfig};
 use mustardrill_core::direct::{
     CallerLimits, EngineNotice, EngineProfile, FleetChange, FleetUpdate, ModelProfile, PeerRecord,
     RouteDocument, ServedWeights, ServiceProfile, WatchTiming,
@@ -189,18 +189,18 @@
     }
 }
 
-fn config(listen: SocketAddr) -> StockConfig {
+fn config(listen: SocketAddr) -> ProvisioningConfig {
     let turns = TurnSettings { first: Millis(2_400), last: Millis(7_100), switch: Millis(2_000) };
-    StockConfig {
+    ProvisioningConfig {
         instance: "agent-1".into(),
         listen,
         store: listen,
         metrics: None,
         log: LevelFilter::Off,
-        watch: Millis(4_000),
-        look_every: Millis(25),
+        watch_time: Millis(4_000),
+        engine_poll_interval: Millis(25),
         link_mbps: 1_000.0,
-        stock: StockSettings {
+        settings: StockSettings {
             own: listen.ip().to_string().parse().unwrap(),
             data_centre: "hall-a".parse().unwrap(),
             service: "pool".parse().unwrap(),
@@ -224,12 +224,12 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let read = Arc::new(AtomicBool::new(false));
     let entry = socket.local_addr().unwrap();
-    let borders = StockBorders {
-        source: Box::new(SlowStore { entry, read: read.clone(), asked: AtomicUsize::new(0) }),
+    let platform = PlatformClients {
+        fleet_source: Box::new(SlowStore { entry, read: read.clone(), asked: AtomicUsize::new(0) }),
         engine: Box::new(LoadingEngine { read, looks: AtomicUsize::new(0) }),
         origin: Box::new(NoOrigin),
     };
-    let agent = stock::spawn(config(free_port()), borders).await.unwrap();
+    let agent = stock::spawn(config(free_port()), platform).await.unwrap();
     let mut versions = Vec::new();
     let mut buffer = vec![0; 2_048];
     // Ends once nothing came for longer than the store's slow answer.
