--- a/mustardrill_agent/src/actor.rs
+++ b/mustardrill_agent/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the agent's reducer: events come in, effects go out.
+//! The actor that owns the agent's reducer, passes events to it and carries out its effects.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -31,78 +31,81 @@
 use crate::config::AgentConfig;
 use crate::context::AgentContext;
 use crate::effects;
-use crate::incarnation::StartCounter;
-use crate::link::{LinkPace, UploadGate};
+use crate::incarnation::IncarnationCounter;
+use crate::link::{RateLimiter, UploadLimiter};
 use crate::server;
 use crate::status::StatusHandler;
 use crate::store::ChunkStore;
 use crate::upstream::HttpUpstream;
 use crate::weights_http::WeightsHandler;
 
-/// What becomes of a request before it reaches the upstream.
+/// Whether a request may go to the upstream.
 #[derive(Debug)]
 pub(crate) enum Verdict {
-    /// Give it to the upstream now.
+    /// Send it to the upstream now.
     Run,
-    /// It was not run.
+    /// Refuse it; the upstream has not seen it.
     Refuse(AttemptRefusal),
 }
 
-/// A running agent.
+/// A running agent; it goes on running when the handle is dropped.
 #[derive(Debug)]
 pub struct AgentHandle {
-    /// Where entries and other agents reach it.
+    /// Address on which entries and other agents reach the agent.
     pub address: SocketAddr,
-    /// Where the engine fetches weights and operators ask for the status.
+    /// Address on which the engine fetches weights and operators read the status.
     pub local_address: SocketAddr,
     actor: ActorRef<AgentActor>,
     context: Arc<AgentContext>,
     halt: CancellationToken,
 }
 
-/// Owns the reducer; all of an agent's decisions are made here, one after the other.
+/// Owns the reducer and serializes its events.
 #[derive(Actor)]
 pub(crate) struct AgentActor {
     reducer: AgentReducer,
     context: Arc<AgentContext>,
-    waiting: FastMap<AttemptId, oneshot::Sender<Verdict>>,
-    claims: FastMap<AttemptId, oneshot::Sender<ClaimOutcome>>,
+    /// Requests that wait for a verdict.
+    pending_verdicts: FastMap<AttemptId, oneshot::Sender<Verdict>>,
+    /// Calls of entries that wait for the outcome of a claim.
+    pending_claims: FastMap<AttemptId, oneshot::Sender<ClaimOutcome>>,
 }
 
-/// An event for the reducer.
+/// Passes an event to the reducer.
 pub(crate) struct Event(pub(crate) AgentEvent);
 
-/// A request that asks for its verdict.
+/// Asks for the verdict on a request.
 pub(crate) struct Admit {
     pub(crate) attempt: AttemptId,
     pub(crate) class: RequestClass,
     pub(crate) pinned: Option<ManifestDigest>,
     pub(crate) deadline: Moment,
-    pub(crate) verdict: oneshot::Sender<Verdict>,
+    pub(crate) verdict_sender: oneshot::Sender<Verdict>,
 }
 
-/// A claim that asks what comes of it.
-pub(crate) struct AskClaim {
+/// Makes a claim for an attempt and asks for its outcome.
+pub(crate) struct MakeClaim {
     pub(crate) key: RequestKey,
     pub(crate) attempt: AttemptId,
-    pub(crate) settled: oneshot::Sender<ClaimOutcome>,
+    pub(crate) outcome_sender: oneshot::Sender<ClaimOutcome>,
 }
 
-/// Asks what is held of a version, and who else holds a chunk.
+/// Asks which chunks of a version are held, and for a chunk, which peers hold it.
 pub(crate) struct HoldingQuery(pub(crate) ManifestDigest, pub(crate) Option<ChunkIndex>);
 
-/// What is held of a version.
+/// The answer to `HoldingQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct HoldingAnswer {
     pub(crate) bitmap: ChunkBitmap,
     pub(crate) serving: bool,
+    /// The peers that hold the chunk; empty where none was asked for.
     pub(crate) others: Vec<InstanceId>,
 }
 
-/// Asks how the agent is.
+/// Asks for the status of the agent.
 pub(crate) struct StatusQuery;
 
-/// How the agent is.
+/// The answer to `StatusQuery`.
 #[derive(Debug, Reply)]
 pub(crate) struct StatusAnswer {
     pub(crate) generation: Generation,
@@ -112,19 +115,19 @@
     pub(crate) capacity: u32,
     pub(crate) serving: Vec<ManifestDigest>,
     pub(crate) progress: Vec<WeightsProgress>,
-    /// What entries told lately of requests under which upstreams ended.
+    /// Recent reports of entries on requests during which an upstream crashed.
     pub(crate) crashes: Vec<CrashReport>,
     pub(crate) document: Arc<CatalogueDocument>,
     pub(crate) sent_bytes: u64,
 }
 
-/// Asks for the sum of demand, and over how many entries it is.
+/// Asks for the total demand, and the number of entries that reported it.
 pub(crate) struct DemandQuery;
 
-/// Asks for the lease, to give it back.
+/// Asks for the lease in order to revoke it.
 pub(crate) struct LeaseQuery;
 
-/// Asks where an instance listens.
+/// Asks for the address of an instance's agent.
 pub(crate) struct AddressQuery(pub(crate) InstanceId);
 
 impl AgentActor {
@@ -137,24 +140,25 @@
         }
         for effect in effects {
             match effect {
-                AgentEffect::Dispatch(attempt) => self.decide(attempt, Verdict::Run),
+                AgentEffect::Dispatch(attempt) => self.send_verdict(attempt, Verdict::Run),
                 AgentEffect::Claim(ClaimEffect::Settle(attempt, outcome)) => {
-                    if let Some(waiting) = self.claims.remove(&attempt) {
-                        let _ = waiting.send(outcome);
+                    if let Some(sender) = self.pending_claims.remove(&attempt) {
+                        let _ = sender.send(outcome);
                     }
                 }
                 AgentEffect::Refuse(attempt, refusal) => {
-                    self.decide(attempt, Verdict::Refuse(refusal));
+                    self.send_verdict(attempt, Verdict::Refuse(refusal));
                 }
                 other => effects::carry_out(&self.context, &self.reducer, actor, other),
             }
         }
     }
 
-    fn decide(&mut self, attempt: AttemptId, verdict: Verdict) {
-        if let Some(waiting) = self.waiting.remove(&attempt) {
-            // The request's task may be gone; its guard has withdrawn it then.
-            let _ = waiting.send(verdict);
+    fn send_verdict(&mut self, attempt: AttemptId, verdict: Verdict) {
+        if let Some(sender) = self.pending_verdicts.remove(&attempt) {
+            // The receiver is gone where the entry has cancelled the request; the request's task
+            // withdraws it then.
+            let _ = sender.send(verdict);
         }
     }
 }
@@ -172,26 +176,26 @@
     type Reply = ();
 
     async fn handle(&mut self, message: Admit, context: &mut Context<Self, ()>) {
-        let Admit { attempt, class, pinned, deadline, verdict } = message;
+        let Admit { attempt, class, pinned, deadline, verdict_sender } = message;
         let actor = context.actor_ref().clone();
-        if self.waiting.contains_key(&attempt) {
+        if self.pending_verdicts.contains_key(&attempt) {
             let refusal = AttemptRefusal::new(ResultCode::AlreadyClaimed, Millis(0));
-            let _ = verdict.send(Verdict::Refuse(refusal));
+            let _ = verdict_sender.send(Verdict::Refuse(refusal));
             return;
         }
-        self.waiting.insert(attempt, verdict);
+        self.pending_verdicts.insert(attempt, verdict_sender);
         self.reduce(AgentEvent::RequestArrived { attempt, class, pinned, deadline }, &actor);
     }
 }
 
-impl Message<AskClaim> for AgentActor {
+impl Message<MakeClaim> for AgentActor {
     type Reply = ();
 
-    async fn handle(&mut self, message: AskClaim, context: &mut Context<Self, ()>) {
-        let AskClaim { key, attempt, settled } = message;
+    async fn handle(&mut self, message: MakeClaim, context: &mut Context<Self, ()>) {
+        let MakeClaim { key, attempt, outcome_sender } = message;
         let actor = context.actor_ref().clone();
-        // An entry that asks again has given up the call before.
-        self.claims.insert(attempt, settled);
+        // This drops the sender of an earlier call for the attempt, which the entry has given up.
+        self.pending_claims.insert(attempt, outcome_sender);
         let wall_s = self.context.clock.wall_s();
         self.reduce(AgentEvent::ClaimAsked(key, attempt, wall_s), &actor);
     }
@@ -270,13 +274,14 @@
     }
 }
 
-/// Starts an agent and returns its handle once it listens.
+/// Starts an agent and returns its handle once its listeners are bound; fails where an address
+/// cannot be bound.
 pub async fn spawn(config: AgentConfig) -> std::io::Result<AgentHandle> {
     let halt = CancellationToken::new();
     let store = Arc::<ChunkStore>::default();
     let weights = Box::new(WeightsHandler { store: store.clone() });
-    let status = Arc::new(std::sync::OnceLock::new());
-    let handler = Box::new(StatusHandler { weights, actor: status.clone() });
+    let actor_cell = Arc::new(std::sync::OnceLock::new());
+    let handler = Box::new(StatusHandler { weights, actor: actor_cell.clone() });
     let local = HttpServer::bind(config.local_listen, handler, halt.clone()).await?;
     let listener = tokio::net::TcpListener::bind(config.listen).await?;
     let address = listener.local_addr()?;
@@ -284,51 +289,53 @@
     let context = Arc::new(open_context(&config, store, &local, halt.clone())?);
     let seed = rand::random();
     let reducer = AgentReducer::new(context.clock.now(), config.agent.clone(), seed);
-    let (waiting, claims) = (FastMap::default(), FastMap::default());
-    let state = AgentActor { reducer, context: context.clone(), waiting, claims };
+    let (pending_verdicts, pending_claims) = (FastMap::default(), FastMap::default());
+    let state = AgentActor { reducer, context: context.clone(), pending_verdicts, pending_claims };
     let actor = AgentActor::spawn_with_mailbox(state, mailbox::unbounded());
-    let _ = status.set(actor.clone());
+    let _ = actor_cell.set(actor.clone());
     server::spawn(listener, actor.clone(), context.clone());
-    let ticked = actor.clone();
-    spawn_ticks(config.tick, halt.clone(), move || {
-        let actor = ticked.clone();
+    let ticked_actor = actor.clone();
+    spawn_ticks(config.tick_interval, halt.clone(), move || {
+        let actor = ticked_actor.clone();
         async move {
             let _ = actor.tell(Event(AgentEvent::Tick)).await;
         }
     });
-    spawn_list_reader(actor.clone(), context.clone(), config.platform.list_every);
+    spawn_instance_reader(actor.clone(), context.clone(), config.platform.list_every);
     log::info!("start instance={} address={address} local={}", config.agent.own.id, local.address);
     Ok(AgentHandle { address, local_address: local.address, actor, context, halt })
 }
 
 impl AgentHandle {
-    /// Takes no new work, finishes what runs within `patience`, gives the lease back and ends.
-    pub async fn stop(&self, patience: Duration) {
-        const LOOK_EVERY: Duration = Duration::from_millis(20);
-        const TELL_ENTRIES: Duration = Duration::from_millis(1_500);
+    /// Stops accepting requests, waits up to `drain_timeout` for those in progress, revokes the
+    /// lease and halts. Even where nothing is in progress it waits until entries have been notified
+    /// by heartbeat.
+    pub async fn stop(&self, drain_timeout: Duration) {
+        const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+        const ENTRY_NOTICE_TIME: Duration = Duration::from_millis(1_500);
         let _ = self.actor.tell(Event(AgentEvent::Stop)).await;
         let started = tokio::time::Instant::now();
-        while started.elapsed() < patience {
+        while started.elapsed() < drain_timeout {
             let drained = self.actor.ask(StatusQuery).await.is_ok_and(|status| status.drained);
-            // Entries learn from the next heartbeat; until then refusals send them elsewhere.
-            if drained && started.elapsed() >= TELL_ENTRIES.min(patience) {
+            // Entries see it in the next heartbeat; until then they are refused and try elsewhere.
+            if drained && started.elapsed() >= ENTRY_NOTICE_TIME.min(drain_timeout) {
                 break;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        // A successor need not wait for the lease to lapse.
+        // With the lease revoked, a successor need not wait for it to expire.
         if let Ok(Some(lease)) = self.actor.ask(LeaseQuery).await {
             let _ = self.context.key_value.revoke(LeaseId(lease)).await;
         }
         self.halt();
     }
 
-    /// Ends at once.
+    /// Stops at once and breaks off requests in progress.
     pub fn halt(&self) {
         self.halt.cancel();
     }
 
-    /// Waits until the agent has ended.
+    /// Waits until the agent has halted.
     pub async fn finished(&self) {
         self.halt.cancelled().await;
     }
@@ -340,34 +347,34 @@
     local: &HttpServer,
     halt: CancellationToken,
 ) -> std::io::Result<AgentContext> {
-    const CONNECT: Duration = Duration::from_secs(1);
-    let client = HttpClient::open(CONNECT);
+    const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+    let client = HttpClient::open(CONNECT_TIMEOUT);
     let owner = &config.agent.owner;
     let (platform, timeout) = (&config.platform, config.platform.timeout);
     let clock = ProcessClock::start();
-    let starts = StartCounter::new(clock.wall_s() * 1_000);
+    let incarnations = IncarnationCounter::new(clock.wall_s() * 1_000);
     Ok(AgentContext {
         own: config.agent.own.id.clone(),
         clock,
-        starts: Mutex::new(starts),
+        incarnations: Mutex::new(incarnations),
         store,
         origin: Box::new(HttpOrigin::open(client.clone(), &platform.origins)),
         key_value: Box::new(HttpKeyValue::open(client.clone(), &platform.key_value, timeout)),
         instances: Box::new(HttpInstanceList::open(client.clone(), &platform.instances, timeout)),
         upstream: Box::new(HttpUpstream::open(client, &config.upstream, owner)),
         peers: AgentPool::default(),
-        uploads: UploadGate::new(config.upload_rate, config.uploads),
-        downloads: LinkPace::new(config.download_rate),
+        uploads: UploadLimiter::new(config.upload_rate, config.upload_limit),
+        downloads: RateLimiter::new(config.download_rate),
         sent_bytes: AtomicU64::new(0),
         metrics: metrics::open("mustardrill.agent", config.metrics)?,
         owner_key: format!("mustardrill/owner/{}", config.agent.own.id).into(),
-        owner_span: owner.lease,
-        weights_base: format!("http://{}/weights/", local.address).into(),
+        owner_lease_ttl: owner.lease,
+        weights_base_url: format!("http://{}/weights/", local.address).into(),
         halt,
     })
 }
 
-fn spawn_list_reader(actor: ActorRef<AgentActor>, context: Arc<AgentContext>, every: Millis) {
+fn spawn_instance_reader(actor: ActorRef<AgentActor>, context: Arc<AgentContext>, every: Millis) {
     tokio::spawn(async move {
         loop {
             if let Ok(listing) = context.instances.read().await {
@@ -384,7 +391,7 @@
     });
 }
 
-/// Counts bytes sent to peers.
+/// Counts bytes of chunks sent to peers, for the status and for metrics.
 pub(crate) fn count_sent(context: &AgentContext, bytes: usize) {
     context.sent_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     let _ = context.metrics.count("chunk_bytes_sent", bytes as i64);
--- a/mustardrill_agent/src/cli.rs
+++ b/mustardrill_agent/src/cli.rs
@@ -1,22 +1,22 @@
-//! The agent's command line.
+//! Parses the command line of the agent.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
 
 use lexopt::prelude::*;
 
-/// What the command line asks for.
+/// What the command line asks the process to do.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AgentCommand {
-    /// Run with these settings.
+    /// Run an agent with the settings in this file.
     Run(PathBuf),
-    /// Check these settings and end.
+    /// Check the settings in this file and exit.
     CheckSettings(PathBuf),
-    /// Print a text and end.
+    /// Print a text and exit.
     Print(&'static str),
 }
 
-/// The text of `--help`.
+/// Output of `--help`.
 pub const HELP: &str = "\
 mustardrill-agent: the process in the slot beside each upstream
 
@@ -38,23 +38,24 @@
 Exit codes: 0 ended as planned, 1 could not start, 2 wrong command line or settings
 ";
 
-/// The text of `--version`.
+/// Output of `--version`.
 pub const VERSION: &str = concat!("mustardrill-agent ", env!("CARGO_PKG_VERSION"), "\n");
 
-/// Reads the command line, without the program's name.
+/// Parses the arguments that follow the program's name. Fails on an unknown option and where
+/// `--settings` is missing.
 pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<AgentCommand, lexopt::Error> {
     let mut parser = lexopt::Parser::from_args(args);
     let mut settings = None;
-    let mut check = false;
+    let mut is_check = false;
     while let Some(arg) = parser.next()? {
         match arg {
             Short('h') | Long("help") => return Ok(AgentCommand::Print(HELP)),
             Short('V') | Long("version") => return Ok(AgentCommand::Print(VERSION)),
             Long("settings") => settings = Some(PathBuf::from(parser.value()?)),
-            Value(word) if word == "check-settings" => check = true,
+            Value(value) if value == "check-settings" => is_check = true,
             other => return Err(other.unexpected()),
         }
     }
     let settings = settings.ok_or("--settings FILE is missing; see --help")?;
-    Ok(if check { AgentCommand::CheckSettings(settings) } else { AgentCommand::Run(settings) })
+    Ok(if is_check { AgentCommand::CheckSettings(settings) } else { AgentCommand::Run(settings) })
 }
--- a/mustardrill_agent/src/config.rs
+++ b/mustardrill_agent/src/config.rs
@@ -1,4 +1,4 @@
-//! The agent's settings; `docs/SETTINGS.md` lists every key.
+//! Settings of the agent; `docs/SETTINGS.md` lists every key.
 
 use std::net::SocketAddr;
 
@@ -12,36 +12,36 @@
 use mustardrill_runtime::settings::{SettingsOutcome, SettingsReader};
 use mustardrill_types::{ByteRate, ByteSize, Millis};
 
-/// All settings of one agent.
+/// Settings of the process, and below them those of the reducer.
 #[derive(Debug, Clone)]
 pub struct AgentConfig {
-    /// Where entries and other agents reach it.
+    /// Address on which entries and other agents reach the agent.
     pub listen: SocketAddr,
-    /// Where the engine beside it fetches weights.
+    /// Address on which the local engine fetches weights and operators read the status.
     pub local_listen: SocketAddr,
-    /// The upstream, as `ip:port`.
+    /// Address of the upstream, as `ip:port`.
     pub upstream: Box<str>,
-    /// The platform and the origin.
+    /// Addresses and time-outs of the platform's services and of the origin.
     pub platform: PlatformConfig,
-    /// How often the reducer looks at the time.
-    pub tick: Millis,
-    /// What weights may take of the link towards peers.
+    /// Interval at which the reducer gets a tick.
+    pub tick_interval: Millis,
+    /// Rate limit of chunks sent to peers; zero is unlimited.
     pub upload_rate: ByteRate,
-    /// What weights may take of the link from peers and origin.
+    /// Rate limit of chunks received from peers and the origin; zero is unlimited.
     pub download_rate: ByteRate,
-    /// How many uploads may wait for the link.
-    pub uploads: u32,
-    /// Where metrics go, if anywhere.
+    /// How many uploads may be queued or running; others are refused as busy.
+    pub upload_limit: u32,
+    /// Address to which StatsD metrics are sent; none turns them off.
     pub metrics: Option<SocketAddr>,
-    /// Which lines are logged.
+    /// Least severe level that is logged.
     pub log: LevelFilter,
     /// How long a planned stop waits for requests in progress.
-    pub drain: Millis,
-    /// What the reducer is told.
+    pub drain_timeout: Millis,
+    /// Settings of the reducer.
     pub agent: AgentSettings,
 }
 
-/// Reads and checks all settings.
+/// Reads and checks all settings; the outcome holds every fault found, not just the first.
 pub fn read(mut reader: SettingsReader) -> SettingsOutcome<AgentConfig> {
     let platform = PlatformConfig::read(&mut reader);
     let config = AgentConfig {
@@ -49,13 +49,13 @@
         local_listen: reader.value("agent", "local_listen", local()),
         upstream: address(&mut reader, "upstream", "address"),
         platform: platform.clone(),
-        tick: reader.value("agent", "tick", Millis(20)),
+        tick_interval: reader.value("agent", "tick", Millis(20)),
         upload_rate: reader.value("weights", "upload_rate", ByteRate(0)),
         download_rate: reader.value("weights", "download_rate", ByteRate(0)),
-        uploads: reader.bounded("weights", "uploads", 4, 1, 1_000),
+        upload_limit: reader.bounded("weights", "uploads", 4, 1, 1_000),
         metrics: reader.optional("agent", "metrics"),
         log: reader.value("agent", "log", LevelFilter::Info),
-        drain: reader.value("agent", "drain", Millis(30_000)),
+        drain_timeout: reader.value("agent", "drain", Millis(30_000)),
         agent: AgentSettings {
             own: TransferPeer {
                 id: name(&mut reader, "agent", "instance"),
--- a/mustardrill_agent/src/context.rs
+++ b/mustardrill_agent/src/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one agent share.
+//! State shared by the tasks of one agent.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex};
@@ -11,8 +11,8 @@
 use mustardrill_types::InstanceId;
 use tokio_util::sync::CancellationToken;
 
-use crate::incarnation::StartCounter;
-use crate::link::{LinkPace, UploadGate};
+use crate::incarnation::IncarnationCounter;
+use crate::link::{RateLimiter, UploadLimiter};
 use crate::store::ChunkStore;
 use crate::upstream::Upstream;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The borders of one agent to the outside; the reducer knows none of them.
+/// The clock, the clients and the limits of one agent; the reducer uses none of them.
 pub(crate) struct AgentContext {
     pub(crate) own: InstanceId,
     pub(crate) clock: ProcessClock,
@@ -31,16 +31,18 @@
     pub(crate) key_value: Box<dyn KeyValue>,
     pub(crate) instances: Box<dyn InstanceList>,
     pub(crate) upstream: Box<dyn Upstream>,
-    pub(crate) starts: Mutex<StartCounter>,
+    pub(crate) incarnations: Mutex<IncarnationCounter>,
     pub(crate) peers: AgentPool,
-    pub(crate) uploads: UploadGate,
-    pub(crate) downloads: LinkPace,
+    pub(crate) uploads: UploadLimiter,
+    pub(crate) downloads: RateLimiter,
+    /// Bytes of chunks sent to peers.
     pub(crate) sent_bytes: AtomicU64,
     pub(crate) metrics: StatsdClient,
-    /// The key of the upstream's owner in the platform's service.
+    /// The key in the platform's key-value store that names the owner of the upstream.
     pub(crate) owner_key: Box<str>,
-    pub(crate) owner_span: mustardrill_types::Millis,
-    /// Where the engine fetches staged weights, up to the digest.
-    pub(crate) weights_base: Box<str>,
+    /// The time to live of the lease on the owner's key.
+    pub(crate) owner_lease_ttl: mustardrill_types::Millis,
+    /// The URL from which the engine fetches staged weights, without the digest at its end.
+    pub(crate) weights_base_url: Box<str>,
     pub(crate) halt: CancellationToken,
 }
--- a/mustardrill_agent/src/effects.rs
+++ b/mustardrill_agent/src/effects.rs
@@ -1,4 +1,5 @@
-//! Carries the reducer's effects out, each in a task of its own that reports back as an event.
+//! Carries out the reducer's effects, each in a task of its own that reports the result as an
+//! event.
 
 use std::sync::Arc;
 
@@ -20,27 +21,26 @@
 use crate::actor::{AddressQuery, AgentActor, Event};
 use crate::context::AgentContext;
 
-/// How long a manifest may take.
+/// How long one source of a manifest may take.
 const MANIFEST_TIMEOUT: Millis = Millis(5_000);
 
-/// How long an exchange of holdings may take.
 const EXCHANGE_TIMEOUT: Millis = Millis(1_000);
 
-/// Starts what one effect asks for.
+/// Spawns the task of an effect. Verdicts and the outcomes of claims are sent by the actor itself.
 pub(crate) fn carry_out(
     context: &Arc<AgentContext>,
     reducer: &AgentReducer,
     actor: &ActorRef<AgentActor>,
     effect: AgentEffect,
 ) {
-    let task = Task { context: context.clone(), actor: actor.clone() };
+    let task = EffectTask { context: context.clone(), actor: actor.clone() };
     match effect {
         AgentEffect::FetchManifest { model, version, digest, sources } => {
             tokio::spawn(task.fetch_manifest(model, version, digest, sources));
         }
         AgentEffect::DrawChunk(digest, draw) => {
             let held = reducer.held(digest).cloned().unwrap_or_default();
-            tokio::spawn(task.draw(digest, draw, held));
+            tokio::spawn(task.fetch_chunk(digest, draw, held));
         }
         AgentEffect::Exchange(digest, id) => {
             let held = reducer.held(digest).cloned().unwrap_or_default();
@@ -53,7 +53,7 @@
         AgentEffect::ReadEngine => {
             tokio::spawn(async move {
                 let report = task.context.upstream.report().await;
-                task.report(AgentEvent::EngineSeen(report)).await;
+                task.send_event(AgentEvent::EngineSeen(report)).await;
             });
         }
         AgentEffect::DropWeights(digest) => context.store.remove(digest),
@@ -63,28 +63,29 @@
         AgentEffect::Claim(effect) => {
             tokio::spawn(task.claim(effect));
         }
-        // An overdue draw ends by its own patience; its late chunk is still verified and kept.
+        // An overdue fetch ends at its own timeout; a chunk that arrives late is still verified and
+        // kept.
         AgentEffect::CancelDraw(..) => {}
         AgentEffect::Wake(at) => {
             let wait = at.since(task.context.clock.now());
             tokio::spawn(async move {
                 tokio::time::sleep(wait.to_std()).await;
-                task.report(AgentEvent::Woke).await;
+                task.send_event(AgentEvent::Woke).await;
             });
         }
         AgentEffect::Dispatch(_) | AgentEffect::Refuse(..) => {
-            unreachable!("verdicts are given by the actor itself")
+            unreachable!("verdicts are sent by the actor itself")
         }
     }
 }
 
-struct Task {
+struct EffectTask {
     context: Arc<AgentContext>,
     actor: ActorRef<AgentActor>,
 }
 
-impl Task {
-    async fn report(&self, event: AgentEvent) {
+impl EffectTask {
+    async fn send_event(&self, event: AgentEvent) {
         let _ = self.actor.tell(Event(event)).await;
     }
 
@@ -115,19 +116,19 @@
                     self.manifest_from_peer(id, digest).await
                 }
             };
-            let opened = fetched.and_then(|bytes| {
+            let verified = fetched.and_then(|bytes| {
                 let manifest = Manifest::open(&bytes, digest).map_err(|error| error.to_string())?;
                 Ok((Arc::new(manifest), bytes))
             });
-            match opened {
+            match verified {
                 Ok((manifest, bytes)) => {
                     self.context.store.open(digest, manifest.clone(), bytes);
-                    return self.report(AgentEvent::ManifestLoaded(manifest, digest)).await;
+                    return self.send_event(AgentEvent::ManifestLoaded(manifest, digest)).await;
                 }
                 Err(error) => reason = format!("{source}: {error}").into(),
             }
         }
-        self.report(AgentEvent::ManifestFailed(digest, reason)).await;
+        self.send_event(AgentEvent::ManifestFailed(digest, reason)).await;
     }
 
     async fn manifest_from_origin(
@@ -146,34 +147,34 @@
         digest: ManifestDigest,
     ) -> Result<Bytes, String> {
         let mut client = self.client(id).await.ok_or("not listed")?;
-        let sent = proto::FetchManifestRequest { manifest: digest_bytes(digest) };
-        let call = client.fetch_manifest(sent);
+        let message = proto::FetchManifestRequest { manifest: digest_bytes(digest) };
+        let call = client.fetch_manifest(message);
         let answer = tokio::time::timeout(MANIFEST_TIMEOUT.to_std(), call).await;
         let answer = answer.map_err(|_| "no answer in time")?;
         let data = answer.map_err(|status| status.to_string())?.into_inner().data;
         if data.is_empty() { Err("lacks the manifest".into()) } else { Ok(data) }
     }
 
-    async fn draw(self, digest: ManifestDigest, draw: ChunkDraw, held: ChunkBitmap) {
+    async fn fetch_chunk(self, digest: ManifestDigest, draw: ChunkDraw, held: ChunkBitmap) {
         let outcome = match &draw.source {
-            ChunkSource::Origin => self.draw_from_origin(digest, &draw).await,
+            ChunkSource::Origin => self.chunk_from_origin(digest, &draw).await,
             ChunkSource::Peer(id) | ChunkSource::Relay(id) => {
-                self.draw_from_peer(digest, &draw, id, held).await
+                self.chunk_from_peer(digest, &draw, id, held).await
             }
         };
         if outcome == DrawOutcome::Corrupt {
             let _ = self.context.metrics.count("chunks_corrupt", 1);
         }
         let ChunkDraw { index, source, .. } = draw;
-        self.report(AgentEvent::DrawFinished { digest, index, source, outcome }).await;
+        self.send_event(AgentEvent::DrawFinished { digest, index, source, outcome }).await;
     }
 
-    async fn draw_from_origin(&self, digest: ManifestDigest, draw: &ChunkDraw) -> DrawOutcome {
+    async fn chunk_from_origin(&self, digest: ManifestDigest, draw: &ChunkDraw) -> DrawOutcome {
         let Some(manifest) = self.context.store.manifest(digest) else {
             return DrawOutcome::Failed;
         };
         match self.context.origin.chunk(&manifest, draw.index, draw.patience).await {
-            Ok(bytes) => self.keep(digest, draw, bytes, "chunk_bytes_origin").await,
+            Ok(bytes) => self.verify_and_store(digest, draw, bytes, "chunk_bytes_origin").await,
             Err(error) => {
                 log::warn!(
                     "chunk manifest={} index={} source=origin decision=later reason=\"{error}\"",
@@ -185,7 +186,7 @@
         }
     }
 
-    async fn draw_from_peer(
+    async fn chunk_from_peer(
         &self,
         digest: ManifestDigest,
         draw: &ChunkDraw,
@@ -193,15 +194,15 @@
         held: ChunkBitmap,
     ) -> DrawOutcome {
         let Some(mut client) = self.client(id).await else { return DrawOutcome::Failed };
-        let sent = proto::FetchChunkRequest {
+        let message = proto::FetchChunkRequest {
             manifest: digest_bytes(digest),
             index: draw.index.0,
             instance: self.context.own.to_string(),
             bitmap: held.to_bytes().into(),
         };
-        let call = tokio::time::timeout(draw.patience.to_std(), client.fetch_chunk(sent)).await;
+        let call = tokio::time::timeout(draw.patience.to_std(), client.fetch_chunk(message)).await;
         let Ok(Ok(answer)) = call else {
-            self.report(AgentEvent::PeerFailed(id.clone())).await;
+            self.send_event(AgentEvent::PeerFailed(id.clone())).await;
             return DrawOutcome::Failed;
         };
         let answer = answer.into_inner();
@@ -210,7 +211,9 @@
         }
         use proto::fetch_chunk_reply::Result as Reply;
         match answer.result {
-            Some(Reply::Data(bytes)) => self.keep(digest, draw, bytes, "chunk_bytes_peer").await,
+            Some(Reply::Data(bytes)) => {
+                self.verify_and_store(digest, draw, bytes, "chunk_bytes_peer").await
+            }
             Some(Reply::Refusal(refusal)) if refusal.busy => {
                 let others = refusal.others.iter().filter_map(|name| name.parse().ok());
                 DrawOutcome::Busy(others.collect())
@@ -219,8 +222,8 @@
         }
     }
 
-    /// Passes a chunk through the link's budget and keeps it where its digest is right.
-    async fn keep(
+    /// Accounts for a chunk in the download rate, and stores it where its digest is right.
+    async fn verify_and_store(
         &self,
         digest: ManifestDigest,
         draw: &ChunkDraw,
@@ -229,7 +232,7 @@
     ) -> DrawOutcome {
         let size = bytes.len();
         self.context.downloads.receive(ByteSize(size as u64)).await;
-        if !self.context.store.keep(digest, draw.index, bytes) {
+        if !self.context.store.verify_and_insert(digest, draw.index, bytes) {
             return DrawOutcome::Corrupt;
         }
         let _ = self.context.metrics.count(metric, size as i64);
@@ -244,16 +247,16 @@
         serving: bool,
     ) {
         let Some(mut client) = self.client(&id).await else { return };
-        let sent = proto::ExchangeRequest {
+        let message = proto::ExchangeRequest {
             manifest: digest_bytes(digest),
             instance: self.context.own.to_string(),
             bitmap: held.to_bytes().into(),
             serving,
         };
-        let call = tokio::time::timeout(EXCHANGE_TIMEOUT.to_std(), client.exchange(sent)).await;
+        let call = tokio::time::timeout(EXCHANGE_TIMEOUT.to_std(), client.exchange(message)).await;
         match call {
             Ok(Ok(answer)) => self.report_holding(digest, &id, &answer.into_inner()).await,
-            _ => self.report(AgentEvent::PeerFailed(id)).await,
+            _ => self.send_event(AgentEvent::PeerFailed(id)).await,
         }
     }
 
@@ -266,18 +269,18 @@
         let total = self.context.store.manifest(digest).map_or(0, |it| it.chunk_count());
         let bitmap = ChunkBitmap::from_bytes(&holding.bitmap, total);
         let (id, queue, serving) = (id.clone(), holding.queue, Some(holding.serving));
-        self.report(AgentEvent::HoldingSeen { digest, id, bitmap, queue, serving }).await;
+        self.send_event(AgentEvent::HoldingSeen { digest, id, bitmap, queue, serving }).await;
     }
 
     async fn order_load(self, order: LoadOrder) {
         let result = match self.context.store.manifest(order.digest) {
             Some(manifest) => {
-                let source = format!("{}{}", self.context.weights_base, order.digest);
+                let source = format!("{}{}", self.context.weights_base_url, order.digest);
                 self.context.upstream.load(&order, &manifest, &source).await
             }
             None => Err("the weights are not staged any more".into()),
         };
-        self.report(AgentEvent::LoadAnswered(order.digest, result)).await;
+        self.send_event(AgentEvent::LoadAnswered(order.digest, result)).await;
     }
 
     async fn claim(self, effect: ClaimEffect) {
@@ -286,9 +289,11 @@
             ClaimEffect::Write { shard, expect, document } => {
                 (shard, write_claims(&self.context, shard, expect, &document).await)
             }
-            ClaimEffect::Settle(..) => unreachable!("the actor itself tells what came of a claim"),
+            ClaimEffect::Settle(..) => {
+                unreachable!("outcomes of claims are sent by the actor itself")
+            }
         };
-        self.report(AgentEvent::ClaimAnswered(shard, answer)).await;
+        self.send_event(AgentEvent::ClaimAnswered(shard, answer)).await;
     }
 
     async fn call_owner(self, call: OwnerCall) {
@@ -300,20 +305,22 @@
                 Err(_) => OwnerAnswer::Unavailable,
             },
         };
-        self.report(AgentEvent::OwnerAnswered(answer)).await;
+        self.send_event(AgentEvent::OwnerAnswered(answer)).await;
     }
 
-    /// Makes a lease and the owner's key under it; the key's revision is the fencing number.
+    /// Grants a lease and writes the owner's key under it; the revision of the key is the fencing
+    /// number.
     async fn acquire(&self) -> OwnerAnswer {
         let service = &self.context.key_value;
-        let Ok(lease) = service.grant(self.context.owner_span).await else {
+        let Ok(lease) = service.grant(self.context.owner_lease_ttl).await else {
             return OwnerAnswer::Unavailable;
         };
         let name = Bytes::from(self.context.own.to_string());
         match service.write(&self.context.owner_key, name, 0, Some(lease)).await {
             Ok(revision) => OwnerAnswer::Acquired { lease, fence: FencingNumber(revision) },
             Err(error) => {
-                // Whether or not a lost write took effect, it ends with its lease.
+                // A write whose answer was lost may have taken effect; its key is deleted with the
+                // lease.
                 let _ = service.revoke(lease).await;
                 match error {
                     KeyValueError::Conflict => OwnerAnswer::HeldByOther,
--- a/mustardrill_agent/src/execute.rs
+++ b/mustardrill_agent/src/execute.rs
@@ -1,4 +1,5 @@
-//! One request at the agent: verdict, upstream, frames back to the entry.
+//! Runs one attempt of a request: asks for the verdict, calls the upstream, and streams the answer
+//! back to the entry in frames.
 
 use std::sync::Arc;
 
@@ -21,18 +22,19 @@
 
 use crate::actor::{Admit, AgentActor, Event, Verdict};
 use crate::context::AgentContext;
-use crate::upstream::{EXPECT_HEADER, PRIORITY_HEADER, RESUME_HEADER, WEIGHTS_HEADER};
+use crate::upstream::{EXPECTED_WEIGHTS_HEADER, PRIORITY_HEADER, RESUME_HEADER, WEIGHTS_HEADER};
 
-/// How many frames may wait for a slow entry.
+/// How many frames are buffered for a slow entry; then the answer is read no further.
 const FRAME_BUFFER: usize = 16;
 
-/// The status with which an engine refuses weights other than those it serves; nothing was run.
-const WEIGHTS_REFUSED: u16 = 412;
+/// The status with which an engine refuses a request for weights that it does not serve; it has run
+/// nothing.
+const WEIGHTS_REFUSED_STATUS: u16 = 412;
 
 /// Frames of one attempt's answer.
 type FrameSender = mpsc::Sender<Result<proto::ExecuteFrame, Status>>;
 
-/// Starts a request; its frames come through the receiver.
+/// Starts an attempt and returns the receiver of its frames.
 pub(crate) fn spawn(
     actor: ActorRef<AgentActor>,
     context: Arc<AgentContext>,
@@ -44,32 +46,38 @@
             let _ = sender.send(Err(Status::invalid_argument("attempt"))).await;
             return;
         };
-        let run =
-            Run { actor, context, attempt, frames: sender, pinned: digest_of(&request.manifest) };
-        run.run(request).await;
+        let attempt_run = AttemptRun {
+            actor,
+            context,
+            attempt,
+            frames: sender,
+            pinned: digest_of(&request.manifest),
+        };
+        attempt_run.run(request).await;
     });
     receiver
 }
 
-struct Run {
+struct AttemptRun {
     actor: ActorRef<AgentActor>,
     context: Arc<AgentContext>,
     attempt: AttemptId,
     frames: FrameSender,
+    /// The weights from which the answer must be made, if any.
     pinned: Option<ManifestDigest>,
 }
 
-/// Why an attempt did not end with a whole answer.
+/// Why an attempt did not end with a complete answer.
 enum RunError {
-    /// It was not run.
+    /// The attempt was not run.
     NotRun(AttemptRefusal),
-    /// It may have run; the stream ends with an error.
+    /// The attempt may have run; the stream ends with an error.
     Broken(Box<str>),
-    /// The upstream ended while it had the attempt.
-    UpstreamEnded(StartStamp),
-    /// It was answered from other weights than those pinned.
+    /// The upstream crashed during the attempt; the incarnation that crashed.
+    UpstreamCrashed(StartStamp),
+    /// The answer was made from other weights than the pinned ones.
     WrongWeights,
-    /// The entry is gone.
+    /// The entry has closed the stream.
     EntryGone,
 }
 
@@ -79,32 +87,34 @@
     }
 }
 
-impl Run {
+impl AttemptRun {
     async fn run(self, request: proto::ExecuteRequest) {
-        let (end_event, ended) = match self.verdict(&request).await {
+        let (end_event, result) = match self.request_verdict(&request).await {
             Ok(()) => {
-                let answered = tokio::select! {
-                    answered = self.answer(request) => answered,
-                    // Dropping the answer closes the connection to the upstream, which cancels it.
+                let result = tokio::select! {
+                    result = self.answer(request) => result,
+                    // Dropping the answer closes the connection, which makes the upstream cancel
+                    // it.
                     () = self.frames.closed() => Err(RunError::EntryGone),
                 };
-                (AgentEvent::RequestFinished(self.attempt), answered)
+                (AgentEvent::RequestFinished(self.attempt), result)
             }
             Err(RunError::EntryGone) => {
                 (AgentEvent::RequestWithdrawn(self.attempt), Err(RunError::EntryGone))
             }
-            // The reducer refused it and has nothing of it any more.
-            Err(other) => return self.end_with(other).await,
+            // The reducer has refused the attempt and keeps no state of it.
+            Err(other) => return self.end_with_error(other).await,
         };
         let _ = self.actor.tell(Event(end_event)).await;
-        if let Err(error) = ended {
-            self.end_with(error).await;
+        if let Err(error) = result {
+            self.end_with_error(error).await;
         }
     }
 
-    async fn verdict(&self, request: &proto::ExecuteRequest) -> Result<(), RunError> {
+    async fn request_verdict(&self, request: &proto::ExecuteRequest) -> Result<(), RunError> {
         let now = self.context.clock.now();
-        // The deadline on this agent's own clock holds however long the entry was paused.
+        // This deadline is on the agent's own clock, so it holds however long the entry was
+        // suspended.
         if request.agent_deadline_ms > 0 && now.0 >= request.agent_deadline_ms {
             return Err(RunError::not_run(ResultCode::DeadlinePassed, Millis(0)));
         }
@@ -114,7 +124,7 @@
             class: RequestClass::from_rank(request.priority as usize),
             pinned: self.pinned,
             deadline: now + Millis(request.remaining_ms),
-            verdict: sender,
+            verdict_sender: sender,
         };
         let _ = self.actor.tell(admit).await;
         let verdict = tokio::select! {
@@ -130,21 +140,21 @@
 
     async fn answer(&self, request: proto::ExecuteRequest) -> Result<(), RunError> {
         let resume_from = request.resume_from;
-        let sent = self.upstream_request(request)?;
-        let answer = match self.context.upstream.run(sent).await {
+        let upstream_request = self.upstream_request(request)?;
+        let answer = match self.context.upstream.run(upstream_request).await {
             Ok(answer) => answer,
             Err(CallError::NotSent { .. }) => {
                 return Err(RunError::not_run(ResultCode::NoUpstream, Millis(100)));
             }
-            Err(other) => return Err(self.broken(other).await),
+            Err(other) => return Err(self.classify_failure(other).await),
         };
-        if self.pinned.is_some() && answer.status().as_u16() == WEIGHTS_REFUSED {
-            let serving = named_weights(answer.headers()).into_iter().collect();
+        if self.pinned.is_some() && answer.status().as_u16() == WEIGHTS_REFUSED_STATUS {
+            let serving = weights_of(answer.headers()).into_iter().collect();
             return Err(RunError::NotRun(AttemptRefusal::other_weights(Millis(1), serving)));
         }
         self.check_weights(answer.headers())?;
-        self.head(&answer).await?;
-        self.body(answer, resume_from).await
+        self.send_head(&answer).await?;
+        self.send_body(answer, resume_from).await
     }
 
     fn upstream_request(
@@ -157,7 +167,7 @@
         }
         builder = builder.header(PRIORITY_HEADER, request.priority);
         if let Some(digest) = self.pinned {
-            builder = builder.header(EXPECT_HEADER, digest.to_string());
+            builder = builder.header(EXPECTED_WEIGHTS_HEADER, digest.to_string());
         }
         if request.resume_from > 0 {
             builder = builder.header(RESUME_HEADER, request.resume_from);
@@ -166,13 +176,13 @@
         built.map_err(|_| RunError::not_run(ResultCode::BadRequest, Millis(0)))
     }
 
-    /// An answer that does not name the pinned weights never leaves this process.
+    /// An answer that does not name the pinned weights is not passed on to the entry.
     fn check_weights(&self, headers: &HeaderMap) -> Result<(), RunError> {
         let Some(pinned) = self.pinned else { return Ok(()) };
-        if named_weights(headers) == Some(pinned) { Ok(()) } else { Err(RunError::WrongWeights) }
+        if weights_of(headers) == Some(pinned) { Ok(()) } else { Err(RunError::WrongWeights) }
     }
 
-    async fn head(&self, answer: &Response<Incoming>) -> Result<(), RunError> {
+    async fn send_head(&self, answer: &Response<Incoming>) -> Result<(), RunError> {
         let headers = answer.headers().iter().filter_map(|(name, value)| {
             let value = value.to_str().ok()?.to_owned();
             Some(proto::Header { name: name.to_string(), value })
@@ -185,14 +195,18 @@
         self.send(Part::Head(head)).await
     }
 
-    async fn body(&self, answer: Response<Incoming>, resume_from: u64) -> Result<(), RunError> {
+    async fn send_body(
+        &self,
+        answer: Response<Incoming>,
+        resume_from: u64,
+    ) -> Result<(), RunError> {
         let mut body = answer.into_body();
         let mut hasher = blake3::Hasher::new();
         let mut length = resume_from;
         while let Some(frame) = body.frame().await {
             let frame = match frame {
                 Ok(frame) => frame,
-                Err(error) => return Err(self.broken(error).await),
+                Err(error) => return Err(self.classify_failure(error).await),
             };
             let Ok(data) = frame.into_data() else { continue };
             hasher.update(&data);
@@ -203,14 +217,15 @@
         self.send(Part::End(proto::ExecuteEnd { length, digest })).await
     }
 
-    /// Tells an upstream that has ended, perhaps by this very attempt, from a broken connection.
-    async fn broken(&self, error: impl std::fmt::Display) -> RunError {
+    /// Distinguishes a crash of the upstream, which this attempt may have caused, from a broken
+    /// connection.
+    async fn classify_failure(&self, error: impl std::fmt::Display) -> RunError {
         if !self.context.upstream.has_ended().await {
             return RunError::Broken(error.to_string().into());
         }
         let now = self.context.clock.now();
-        let mut starts = self.context.starts.lock().expect("no holder panics");
-        RunError::UpstreamEnded(starts.ended(now))
+        let mut incarnations = self.context.incarnations.lock().expect("no holder panics");
+        RunError::UpstreamCrashed(incarnations.record_crash(now))
     }
 
     async fn send(&self, part: Part) -> Result<(), RunError> {
@@ -219,7 +234,7 @@
         self.frames.send(Ok(frame)).await.map_err(|_| RunError::EntryGone)
     }
 
-    async fn end_with(&self, error: RunError) {
+    async fn end_with_error(&self, error: RunError) {
         match error {
             RunError::NotRun(refusal) => {
                 info!("request attempt={} decision=refuse code={}", self.attempt, refusal.code);
@@ -234,12 +249,12 @@
                 info!("request attempt={} decision=break reason=\"{reason}\"", self.attempt);
                 let _ = self.frames.send(Err(Status::aborted(reason))).await;
             }
-            RunError::UpstreamEnded(start) => {
+            RunError::UpstreamCrashed(incarnation) => {
                 info!(
-                    "request attempt={} decision=break reason=upstream-ended start={start}",
+                    "request attempt={} decision=break reason=upstream-ended start={incarnation}",
                     self.attempt
                 );
-                let _ = self.send(Part::Ended(proto::UpstreamEnd { start: start.0 })).await;
+                let _ = self.send(Part::Ended(proto::UpstreamEnd { start: incarnation.0 })).await;
             }
             RunError::EntryGone => {
                 info!("request attempt={} decision=cancel reason=entry-gone", self.attempt);
@@ -248,8 +263,8 @@
     }
 }
 
-/// The weights that an engine's answer names.
-fn named_weights(headers: &HeaderMap) -> Option<ManifestDigest> {
+/// The weights from which an engine says it made its answer.
+fn weights_of(headers: &HeaderMap) -> Option<ManifestDigest> {
     headers.get(WEIGHTS_HEADER)?.to_str().ok()?.parse().ok()
 }
 
--- a/mustardrill_agent/src/incarnation.rs
+++ b/mustardrill_agent/src/incarnation.rs
@@ -1,30 +1,32 @@
-//! Counts the starts of the upstream beside the agent, as far as its ends are seen.
+//! Numbers the incarnations of the local upstream by the crashes that requests see.
 
 use mustardrill_types::{Millis, Moment, StartStamp};
 
-/// Requests that break off within this see the same end; a new start takes longer to be ready.
-const SAME_END: Millis = Millis(1_000);
+/// Requests that break off within this time see the same crash: a new incarnation takes longer to
+/// be ready.
+const SAME_CRASH_WINDOW: Millis = Millis(1_000);
 
-/// Which start of the upstream runs.
+/// Counts the crashes of the upstream; each crash has the number of the incarnation that it ended.
 #[derive(Debug)]
-pub(crate) struct StartCounter {
-    start: StartStamp,
-    ended: Option<Moment>,
+pub(crate) struct IncarnationCounter {
+    /// The incarnation that crashed last, or the initial number where none has crashed.
+    incarnation: StartStamp,
+    last_crash: Option<Moment>,
 }
 
-impl StartCounter {
-    /// Counts from the agent's own start, in Unix milliseconds, as an agent that starts again must
-    /// not name two starts alike.
+impl IncarnationCounter {
+    /// Counts from the agent's own start, in Unix milliseconds, so that an agent that is restarted
+    /// does not reuse a number.
     pub(crate) fn new(started_ms: u64) -> Self {
-        Self { start: StartStamp(started_ms), ended: None }
+        Self { incarnation: StartStamp(started_ms), last_crash: None }
     }
 
-    /// Notes that a request saw the upstream end; names the start that ended.
-    pub(crate) fn ended(&mut self, now: Moment) -> StartStamp {
-        if self.ended.is_none_or(|ended| now.since(ended) >= SAME_END) {
-            self.start = StartStamp(self.start.0 + 1);
-            self.ended = Some(now);
+    /// Records that a request saw the upstream crash; returns the incarnation that crashed.
+    pub(crate) fn record_crash(&mut self, now: Moment) -> StartStamp {
+        if self.last_crash.is_none_or(|crash| now.since(crash) >= SAME_CRASH_WINDOW) {
+            self.incarnation = StartStamp(self.incarnation.0 + 1);
+            self.last_crash = Some(now);
         }
-        self.start
+        self.incarnation
     }
 }
--- a/mustardrill_agent/src/lib.rs
+++ b/mustardrill_agent/src/lib.rs
@@ -1,4 +1,5 @@
-//! The process in the slot beside each upstream: draws weights, orders the upstream, runs requests.
+//! The agent, a process on the machine of each upstream: it fetches weights, orders the upstream to
+//! load them, and passes requests on to it.
 #![deny(missing_docs, unsafe_code, clippy::unwrap_used)]
 
 pub mod actor;
--- a/mustardrill_agent/src/link.rs
+++ b/mustardrill_agent/src/link.rs
@@ -1,4 +1,4 @@
-//! The budget of one direction of the machine's link for weights; live requests don't pass here.
+//! Limits the rate of weights in each direction of the machine's link; requests are not limited.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -6,43 +6,45 @@
 
 use mustardrill_types::{ByteRate, ByteSize};
 
-/// Paces bytes at a rate, in the order in which they come.
+/// Limits bytes to a rate, in the order of the calls.
 #[derive(Debug)]
-pub(crate) struct LinkPace {
+pub(crate) struct RateLimiter {
     rate: ByteRate,
+    /// When the bytes accepted so far are through.
     free_at: Mutex<Instant>,
 }
 
-/// Bounds how many uploads wait for the link at once.
+/// Limits the number of uploads that wait for the link or use it.
 #[derive(Debug)]
-pub(crate) struct UploadGate {
-    pace: LinkPace,
+pub(crate) struct UploadLimiter {
+    rate_limiter: RateLimiter,
     limit: u32,
     queued: AtomicU32,
 }
 
-/// A place in the queue of uploads, given back when dropped.
+/// A slot of an upload, released when dropped.
 #[derive(Debug)]
-pub(crate) struct UploadTicket<'a>(&'a UploadGate);
+pub(crate) struct UploadSlot<'a>(&'a UploadLimiter);
 
-impl LinkPace {
-    /// A pace of `rate`; zero is unlimited.
+impl RateLimiter {
+    /// A rate of zero is unlimited.
     pub(crate) fn new(rate: ByteRate) -> Self {
         Self { rate, free_at: Mutex::new(Instant::now()) }
     }
 
-    /// Sends `size` bytes: they begin when the link is free, and this waits until they are through.
+    /// Accounts for `size` bytes to be sent: waits until the link is free and the bytes are
+    /// through.
     pub(crate) async fn send(&self, size: ByteSize) {
-        self.pass(size, |free_at, now, span| free_at.max(now) + span).await;
+        self.wait_through(size, |free_at, now, span| free_at.max(now) + span).await;
     }
 
-    /// Takes `size` bytes that just came: they were on the link while they were sent, so this
-    /// waits only for what came over the same link before them.
+    /// Accounts for `size` bytes just received. They were on the link while they were sent, so this
+    /// waits only for bytes that were received before them.
     pub(crate) async fn receive(&self, size: ByteSize) {
-        self.pass(size, |free_at, now, span| (free_at + span).max(now)).await;
+        self.wait_through(size, |free_at, now, span| (free_at + span).max(now)).await;
     }
 
-    async fn pass(
+    async fn wait_through(
         &self,
         size: ByteSize,
         through_at: impl Fn(Instant, Instant, Duration) -> Instant,
@@ -52,7 +54,7 @@
         }
         let span = Duration::from_secs_f64(size.0 as f64 / self.rate.0 as f64);
         let until = {
-            let mut free_at = self.free_at.lock().expect("nobody panics under this lock");
+            let mut free_at = self.free_at.lock().expect("no holder panics");
             *free_at = through_at(*free_at, Instant::now(), span);
             *free_at
         };
@@ -60,34 +62,34 @@
     }
 }
 
-impl UploadGate {
-    /// A gate of `limit` uploads at a pace.
+impl UploadLimiter {
+    /// Allows `limit` uploads at once, all of them together at `rate`.
     pub(crate) fn new(rate: ByteRate, limit: u32) -> Self {
-        Self { pace: LinkPace::new(rate), limit, queued: AtomicU32::new(0) }
+        Self { rate_limiter: RateLimiter::new(rate), limit, queued: AtomicU32::new(0) }
     }
 
-    /// Takes a place, or nothing where the budget is used up.
-    pub(crate) fn enter(&self) -> Option<UploadTicket<'_>> {
+    /// Takes a slot; `None` where all are taken.
+    pub(crate) fn try_acquire(&self) -> Option<UploadSlot<'_>> {
         let before = self.queued.fetch_add(1, Ordering::AcqRel);
-        let ticket = UploadTicket(self);
-        // The ticket gives the place back when it is dropped here.
-        (before < self.limit).then_some(ticket)
+        let slot = UploadSlot(self);
+        // A slot beyond the limit is dropped here and so released.
+        (before < self.limit).then_some(slot)
     }
 
-    /// How many uploads wait or run.
+    /// The number of slots taken.
     pub(crate) fn queued(&self) -> u32 {
         self.queued.load(Ordering::Acquire)
     }
 }
 
-impl UploadTicket<'_> {
+impl UploadSlot<'_> {
     /// Waits until `size` bytes are through.
     pub(crate) async fn send(&self, size: ByteSize) {
-        self.0.pace.send(size).await;
+        self.0.rate_limiter.send(size).await;
     }
 }
 
-impl Drop for UploadTicket<'_> {
+impl Drop for UploadSlot<'_> {
     fn drop(&mut self) {
         self.0.queued.fetch_sub(1, Ordering::AcqRel);
     }
--- a/mustardrill_agent/src/main.rs
+++ b/mustardrill_agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `mustardrill-agent`: the process in the slot beside each upstream.
+//! `mustardrill-agent`: the process on the machine of each upstream.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -12,10 +12,10 @@
 use mustardrill_runtime::{logging, signal};
 use tokio_util::sync::CancellationToken;
 
-/// Wrong command line or settings.
-const USAGE: u8 = 2;
+/// Exit code for a wrong command line or wrong settings.
+const USAGE_ERROR: u8 = 2;
 
-/// How long a connection to the store, the origin or the engine may take to be made.
+/// Applies to connections to the store, the origin and the engine.
 const CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
 
 fn main() -> ExitCode {
@@ -23,7 +23,7 @@
         Ok(command) => command,
         Err(error) => {
             eprintln!("mustardrill-agent: {error}");
-            return ExitCode::from(USAGE);
+            return ExitCode::from(USAGE_ERROR);
         }
     };
     match command {
@@ -31,27 +31,27 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        AgentCommand::CheckSettings(path) => match read(&path) {
+        AgentCommand::CheckSettings(path) => match read_settings(&path) {
             Some(_) => {
                 println!("{}: the settings are right", path.display());
                 ExitCode::SUCCESS
             }
-            None => ExitCode::from(USAGE),
+            None => ExitCode::from(USAGE_ERROR),
         },
-        AgentCommand::Run(path) => match read(&path) {
+        AgentCommand::Run(path) => match read_settings(&path) {
             Some(config) => run(config),
-            None => ExitCode::from(USAGE),
+            None => ExitCode::from(USAGE_ERROR),
         },
     }
 }
 
-/// The settings of an agent, by the platform that it runs on.
-enum AnyConfig {
+/// The settings of either kind of agent; `[agent] platform` selects the kind.
+enum SelectedConfig {
     Own(AgentConfig),
     Prepared(ProvisioningConfig),
 }
 
-fn read(path: &Path) -> Option<AnyConfig> {
+fn read_settings(path: &Path) -> Option<SelectedConfig> {
     let reader = match SettingsReader::open(path) {
         Ok(reader) => reader,
         Err(fault) => {
@@ -60,12 +60,13 @@
         }
     };
     match reader.platform("agent") {
-        PlatformKind::Own => checked(config::read(reader)).map(AnyConfig::Own),
-        PlatformKind::Prepared => checked(stock::read(reader)).map(AnyConfig::Prepared),
+        PlatformKind::Own => report_faults(config::read(reader)).map(SelectedConfig::Own),
+        PlatformKind::Prepared => report_faults(stock::read(reader)).map(SelectedConfig::Prepared),
     }
 }
 
-fn checked<T>(outcome: SettingsOutcome<T>) -> Option<T> {
+/// Prints warnings and faults of the settings to stderr.
+fn report_faults<T>(outcome: SettingsOutcome<T>) -> Option<T> {
     outcome.warnings.iter().for_each(|warning| eprintln!("mustardrill-agent: warning: {warning}"));
     match outcome.settings {
         Ok(config) => Some(config),
@@ -76,16 +77,16 @@
     }
 }
 
-fn run(config: AnyConfig) -> ExitCode {
+fn run(config: SelectedConfig) -> ExitCode {
     match config {
-        AnyConfig::Own(config) => run_own(config),
-        AnyConfig::Prepared(config) => run_prepared(config),
+        SelectedConfig::Own(config) => run_own(config),
+        SelectedConfig::Prepared(config) => run_prepared(config),
     }
 }
 
 fn run_prepared(config: ProvisioningConfig) -> ExitCode {
     logging::init(&config.instance, config.log);
-    // One thread: the machines of that platform have a fraction of one core.
+    // A single thread, as machines of that platform have a fraction of one core.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("the runtime starts");
     let code = runtime.block_on(serve_prepared(config));
@@ -130,7 +131,7 @@
 async fn serve(config: AgentConfig) -> ExitCode {
     let (stop, halt) = (CancellationToken::new(), CancellationToken::new());
     signal::spawn(stop.clone(), halt.clone()).expect("signals can be watched");
-    let (listen, drain) = (config.listen, config.drain);
+    let (listen, drain_timeout) = (config.listen, config.drain_timeout);
     let handle = match mustardrill_agent::spawn(config).await {
         Ok(handle) => handle,
         Err(error) => {
@@ -146,7 +147,7 @@
         () = handle.finished() => return ExitCode::SUCCESS,
     }
     tokio::select! {
-        () = handle.stop(drain.to_std()) => {}
+        () = handle.stop(drain_timeout.to_std()) => {}
         () = halt.cancelled() => handle.halt(),
     }
     ExitCode::SUCCESS
--- a/mustardrill_agent/src/server.rs
+++ b/mustardrill_agent/src/server.rs
@@ -1,4 +1,4 @@
-//! What the agent offers to entries and other agents, over tonic.
+//! The gRPC service of the agent for entries and other agents.
 
 use std::sync::Arc;
 
@@ -24,12 +24,12 @@
 use tonic::{Request, Response, Status};
 
 use crate::actor::{
-    AgentActor, AskClaim, DemandQuery, Event, HoldingAnswer, HoldingQuery, StatusQuery, count_sent,
+    AgentActor, DemandQuery, Event, HoldingAnswer, HoldingQuery, MakeClaim, StatusQuery, count_sent,
 };
 use crate::context::AgentContext;
 use crate::execute;
 
-/// Starts answering on `listener` until the agent halts.
+/// Serves calls on `listener` until the agent halts.
 pub(crate) fn spawn(
     listener: TcpListener,
     actor: ActorRef<AgentActor>,
@@ -46,8 +46,8 @@
     tokio::spawn(async move {
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
         tokio::select! {
-            ended = server.serve_with_incoming(incoming) => {
-                if let Err(error) = ended {
+            result = server.serve_with_incoming(incoming) => {
+                if let Err(error) = result {
                     warn!("server decision=end reason=\"{error}\"");
                 }
             }
@@ -67,8 +67,8 @@
         digest: ManifestDigest,
         index: Option<ChunkIndex>,
     ) -> Result<HoldingAnswer, Status> {
-        let asked = self.actor.ask(HoldingQuery(digest, index)).await;
-        asked.map_err(|_| Status::unavailable("the agent is ending"))
+        let reply = self.actor.ask(HoldingQuery(digest, index)).await;
+        reply.map_err(|_| Status::unavailable("the agent is ending"))
     }
 
     fn holding_message(&self, digest: ManifestDigest, answer: &HoldingAnswer) -> proto::Holding {
@@ -81,26 +81,28 @@
         }
     }
 
-    /// Notes what an entry tells of crashes.
-    async fn note_crashes(&self, sent: &[proto::CrashRow]) {
+    /// Passes the crash reports of an entry to the reducer.
+    async fn record_crashes(&self, rows: &[proto::CrashRow]) {
         let now = self.context.clock.now();
-        let words: Vec<_> = sent.iter().filter_map(|row| crash_word(now, row)).collect();
-        if !words.is_empty() {
-            let _ = self.actor.tell(Event(AgentEvent::CrashesHeard(words))).await;
+        let reports: Vec<_> = rows.iter().filter_map(|row| crash_word(now, row)).collect();
+        if !reports.is_empty() {
+            let _ = self.actor.tell(Event(AgentEvent::CrashesHeard(reports))).await;
         }
     }
 
-    /// Notes what customers asked of an entry; returns the sum over all entries heard of.
-    async fn trade_demand(&self, sent: &proto::SyncRequest) -> (Vec<DemandRow>, u32) {
-        if let Ok(entry) = sent.entry.parse() {
-            let rows = sent.demand.iter().filter_map(demand_row).collect();
+    /// Records the demand of customers at an entry; returns the total over all entries that
+    /// reported theirs, and the number of these entries.
+    async fn exchange_demand(&self, request: &proto::SyncRequest) -> (Vec<DemandRow>, u32) {
+        if let Ok(entry) = request.entry.parse() {
+            let rows = request.demand.iter().filter_map(demand_row).collect();
             let _ = self.actor.tell(Event(AgentEvent::DemandSeen(entry, rows))).await;
         }
         self.actor.ask(DemandQuery).await.unwrap_or_default()
     }
 
-    /// Takes what a caller says it holds; it costs nothing, as the caller asked anyway.
-    async fn note_holding(
+    /// Records which chunks the caller holds. It sends them along with a call that it makes anyway,
+    /// so they cost no call of their own.
+    async fn record_holding(
         &self,
         digest: ManifestDigest,
         instance: &str,
@@ -131,15 +133,18 @@
         &self,
         request: Request<proto::SyncRequest>,
     ) -> Result<Response<proto::SyncReply>, Status> {
-        let sent = request.into_inner();
-        if let Some(document) = catalogue_of(&sent.catalogue, &sent.entry) {
+        let message = request.into_inner();
+        if let Some(document) = catalogue_of(&message.catalogue, &message.entry) {
             let _ = self.actor.tell(Event(AgentEvent::CatalogueSeen(Arc::new(document)))).await;
         }
-        self.note_crashes(&sent.crashes).await;
-        let (demand, entries) =
-            if sent.with_demand { self.trade_demand(&sent).await } else { Default::default() };
-        let asked = self.actor.ask(StatusQuery).await;
-        let status = asked.map_err(|_| Status::unavailable("the agent is ending"))?;
+        self.record_crashes(&message.crashes).await;
+        let (demand, entries) = if message.with_demand {
+            self.exchange_demand(&message).await
+        } else {
+            Default::default()
+        };
+        let reply = self.actor.ask(StatusQuery).await;
+        let status = reply.map_err(|_| Status::unavailable("the agent is ending"))?;
         let now = self.context.clock.now();
         let progress = status.progress.iter().map(|row| proto::Progress {
             model: row.model.to_string(),
@@ -162,10 +167,10 @@
             serving: status.serving.iter().map(|digest| digest_bytes(*digest)).collect(),
             progress: progress.collect(),
             clock_ms: now.0,
-            catalogue: newer_catalogue(&status.document, sent.generation),
+            catalogue: newer_catalogue(&status.document, message.generation),
             demand: demand.iter().map(demand_message).collect(),
             entries,
-            crashes: status.crashes.iter().map(|word| crash_message(now, word)).collect(),
+            crashes: status.crashes.iter().map(|report| crash_message(now, report)).collect(),
         }))
     }
 
@@ -173,10 +178,10 @@
         &self,
         request: Request<proto::ExchangeRequest>,
     ) -> Result<Response<proto::Holding>, Status> {
-        let sent = request.into_inner();
-        let digest = digest_of(&sent.manifest).ok_or(Status::invalid_argument("manifest"))?;
-        let serving = Some(sent.serving);
-        self.note_holding(digest, &sent.instance, &sent.bitmap, serving).await;
+        let message = request.into_inner();
+        let digest = digest_of(&message.manifest).ok_or(Status::invalid_argument("manifest"))?;
+        let serving = Some(message.serving);
+        self.record_holding(digest, &message.instance, &message.bitmap, serving).await;
         let answer = self.holding(digest, None).await?;
         Ok(Response::new(self.holding_message(digest, &answer)))
     }
@@ -185,22 +190,22 @@
         &self,
         request: Request<proto::ClaimRequest>,
     ) -> Result<Response<proto::ClaimReply>, Status> {
-        let sent = request.into_inner();
-        let key = key_of(&sent.key).ok_or(Status::invalid_argument("key"))?;
-        let attempt = attempt_of(&sent.attempt).ok_or(Status::invalid_argument("attempt"))?;
-        let is_late =
-            sent.agent_deadline_ms > 0 && self.context.clock.now().0 >= sent.agent_deadline_ms;
-        if is_late && !sent.release {
+        let message = request.into_inner();
+        let key = key_of(&message.key).ok_or(Status::invalid_argument("key"))?;
+        let attempt = attempt_of(&message.attempt).ok_or(Status::invalid_argument("attempt"))?;
+        let is_late = message.agent_deadline_ms > 0
+            && self.context.clock.now().0 >= message.agent_deadline_ms;
+        if is_late && !message.release {
             return Err(Status::deadline_exceeded("the claim was given up before it came"));
         }
-        let outcome = if sent.release {
+        let outcome = if message.release {
             let wall_s = self.context.clock.wall_s();
             let event = AgentEvent::ClaimReleased(key, attempt, wall_s);
             let _ = self.actor.tell(Event(event)).await;
             ClaimOutcome::Unavailable
         } else {
-            let (settled, receiver) = oneshot::channel();
-            let _ = self.actor.tell(AskClaim { key, attempt, settled }).await;
+            let (outcome_sender, receiver) = oneshot::channel();
+            let _ = self.actor.tell(MakeClaim { key, attempt, outcome_sender }).await;
             receiver.await.map_err(|_| Status::unavailable("the agent is ending"))?
         };
         let outcome = claim_message(outcome) as i32;
@@ -220,16 +225,16 @@
         &self,
         request: Request<proto::FetchChunkRequest>,
     ) -> Result<Response<proto::FetchChunkReply>, Status> {
-        let sent = request.into_inner();
-        let digest = digest_of(&sent.manifest).ok_or(Status::invalid_argument("manifest"))?;
-        let index = ChunkIndex(sent.index);
-        self.note_holding(digest, &sent.instance, &sent.bitmap, None).await;
+        let message = request.into_inner();
+        let digest = digest_of(&message.manifest).ok_or(Status::invalid_argument("manifest"))?;
+        let index = ChunkIndex(message.index);
+        self.record_holding(digest, &message.instance, &message.bitmap, None).await;
         use proto::fetch_chunk_reply::Result as Reply;
         let chunk = self.context.store.chunk(digest, index);
-        let ticket = self.context.uploads.enter();
-        let (result, asked) = match (chunk, ticket) {
-            (Some(bytes), Some(ticket)) => {
-                ticket.send(ByteSize(bytes.len() as u64)).await;
+        let slot = self.context.uploads.try_acquire();
+        let (result, queried_index) = match (chunk, slot) {
+            (Some(bytes), Some(slot)) => {
+                slot.send(ByteSize(bytes.len() as u64)).await;
                 count_sent(&self.context, bytes.len());
                 (Reply::Data(bytes), None)
             }
@@ -238,8 +243,8 @@
                 (Reply::Refusal(proto::FetchRefusal { busy, others: Vec::new() }), Some(index))
             }
         };
-        // What is held is read last, so that the answer tells the newest.
-        let answer = self.holding(digest, asked).await?;
+        // The holding is read last, so that the answer has the newest.
+        let answer = self.holding(digest, queried_index).await?;
         let result = match result {
             Reply::Refusal(mut refusal) => {
                 refusal.others = answer.others.iter().map(ToString::to_string).collect();
@@ -252,7 +257,8 @@
     }
 }
 
-/// The catalogue for an entry that is behind, as one is that starts during an outage.
+/// The catalogue for an entry with an older one, such as one that starts during an outage; empty
+/// for others.
 fn newer_catalogue(document: &CatalogueDocument, generation: u64) -> bytes::Bytes {
     if document.generation.0 > generation {
         return document.encode().into();
--- a/mustardrill_agent/src/status.rs
+++ b/mustardrill_agent/src/status.rs
@@ -1,4 +1,5 @@
-//! The agent's listener on its own machine: staged weights for the engine, status for operators.
+//! The agent's HTTP service for its own machine: staged weights for the engine, status for
+//! operators.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
@@ -13,10 +14,10 @@
 use crate::actor::{AgentActor, StatusAnswer, StatusQuery};
 use crate::weights_http::WeightsHandler;
 
-/// Answers `GET /status`, and hands everything else to the weights.
+/// Serves `GET /status`, and passes all other paths to `WeightsHandler`.
 pub(crate) struct StatusHandler {
     pub(crate) weights: Box<WeightsHandler>,
-    /// Set once the actor runs, which is after the listener is bound.
+    /// Set once the actor runs, shortly after the listener is bound.
     pub(crate) actor: Arc<OnceLock<ActorRef<AgentActor>>>,
 }
 
@@ -27,7 +28,7 @@
     outstanding: u32,
     capacity: u32,
     serving: Vec<Box<str>>,
-    /// Bytes of chunks sent to peers since the start.
+    /// Bytes of chunks sent to peers since the agent started.
     sent_bytes: u64,
     versions: Vec<VersionBody>,
 }
@@ -41,7 +42,7 @@
     total: u32,
     origin_bytes: u64,
     peer_bytes: u64,
-    /// Until all chunks are held; absent where that can't be told.
+    /// Estimated time until all chunks are held; `None` where there is no estimate.
     remaining_ms: Option<u64>,
     trouble: Box<str>,
 }
--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/stock/actor.rs
@@ -259,8 +259,8 @@
     }
 }
 
-/// Starts an agent and returns its handle once its listeners are bound; fails where an address cannot
-/// be bound.
+/// Starts an agent and returns its handle once its listeners are bound; fails where an address
+/// cannot be bound.
 pub async fn spawn(
     config: ProvisioningConfig,
     platform: PlatformClients,
--- a/mustardrill_agent/src/stock/config.rs
+++ b/mustardrill_agent/src/stock/config.rs
@@ -34,8 +34,8 @@
 }
 
 /// When the first engine loads, in percent of the time bound for a version: about when the version
-/// is staged on every machine. Where staging is faster, the short wait lets callers choose among the
-/// engines with the old version for longer.
+/// is staged on every machine. Where staging is faster, the short wait lets callers choose among
+/// the engines with the old version for longer.
 const FIRST_LOAD_PERCENT: u64 = 30;
 
 /// How long before the end of the time bound for a version the last engine loads. Soon after that,
@@ -44,7 +44,8 @@
 
 /// Reads and checks all settings; the outcome holds every fault found, not just the first.
 pub fn read(mut reader: SettingsReader) -> SettingsOutcome<ProvisioningConfig> {
-    // The caller has read this key to choose the kind of settings; reading it again marks it as known.
+    // The caller has read this key to choose the kind of settings; reading it again marks it as
+    // known.
     let _: Option<PlatformKind> = reader.optional("agent", "platform");
     let version_bound = reader.value("bounds", "version", Millis(8_000));
     let listen: SocketAddr = reader.required("agent", "listen", "IP:PORT", local());
--- a/mustardrill_agent/src/stock/early_chunks.rs
+++ b/mustardrill_agent/src/stock/early_chunks.rs
@@ -1,8 +1,8 @@
 //! Buffers chunks that are fetched before the local engine answers for the first time.
 //!
 //! An agent runs about a second before its engine does, which is half of the time that a copy takes
-//! over its link. Without the buffer that second is lost when engines are added while the others are
-//! overloaded.
+//! over its link. Without the buffer that second is lost when engines are added while the others
+//! are overloaded.
 
 use std::sync::Mutex;
 
@@ -10,8 +10,8 @@
 use mustardrill_core::stock::VersionId;
 use mustardrill_types::{ByteSize, ChunkIndex};
 
-/// The largest total size of buffered chunks: what a narrow link carries while an engine starts, and
-/// a small part of an engine machine's memory.
+/// The largest total size of buffered chunks: what a narrow link carries while an engine starts,
+/// and a small part of an engine machine's memory.
 const BUFFER_LIMIT: ByteSize = ByteSize(8 << 20);
 
 /// Verified chunks of one version, until the engine has answered; then it is closed for good.
--- a/mustardrill_agent/src/stock/effects.rs
+++ b/mustardrill_agent/src/stock/effects.rs
@@ -136,7 +136,8 @@
     context.platform.origin.read_list(answer.body)
 }
 
-/// Fetches a chunk, verifies it and stages it; reports the outcome unless `token` cancels the fetch.
+/// Fetches a chunk, verifies it and stages it; reports the outcome unless `token` cancels the
+/// fetch.
 pub(crate) fn fetch_chunk(
     context: Arc<ProvisioningContext>,
     actor: ActorRef<ProvisioningActor>,
@@ -284,9 +285,9 @@
 
 /// Sends an engine notice to all entries, and repeats it once because datagrams get lost.
 ///
-/// The repetition is dropped when a newer notice has been sent. It waits until the entries have been
-/// read anew: while the store is slow it would arrive after the engine's next notices, and entries
-/// would take an outdated state for the newest.
+/// The repetition is dropped when a newer notice has been sent. It waits until the entries have
+/// been read anew: while the store is slow it would arrive after the engine's next notices, and
+/// entries would take an outdated state for the newest.
 pub(crate) fn notify_entries(
     context: Arc<ProvisioningContext>,
     model: ModelName,
@@ -300,8 +301,8 @@
         datagram.engine = Some(EngineRow::new(address, &model, notice));
         let addresses =
             |entries: &[PeerRecord]| entries.iter().map(|entry| entry.address).collect::<Vec<_>>();
-        // Known entries are notified at once: reading the entries anew may take as long as the store
-        // is unavailable.
+        // Known entries are notified at once: reading the entries anew may take as long as the
+        // store is unavailable.
         let known = addresses(context.entries.lock().await.known());
         peers::send(context.clone(), datagram.clone(), known.clone());
         let fresh = fleet::entries(&context).await.map(|entries| addresses(&entries));
--- a/mustardrill_agent/src/stock/fleet.rs
+++ b/mustardrill_agent/src/stock/fleet.rs
@@ -1,9 +1,9 @@
 //! Reads the fleet from an entry of the data centre: when the agent starts, when a version is
 //! announced, and before the agent notifies entries of its engine's state.
 //!
-//! When a version is announced, every agent needs to know which others need it. If each of them read
-//! the store, all registrations would cross the links between regions together with the chunks. An
-//! entry has read them already and returns them within the data centre.
+//! When a version is announced, every agent needs to know which others need it. If each of them
+//! read the store, all registrations would cross the links between regions together with the
+//! chunks. An entry has read them already and returns them within the data centre.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
 /// How long an entry may take to answer, which it does from memory.
 const ENTRY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How many times entries are asked before the agent reads the store itself. Where everything starts
-/// at once, an entry takes up to a second to read a large configuration.
+/// How many times entries are asked before the agent reads the store itself. Where everything
+/// starts at once, an entry takes up to a second to read a large configuration.
 const MAX_ROUNDS: u32 = 5;
 
 const ROUND_INTERVAL: Duration = Duration::from_millis(300);
@@ -71,7 +71,8 @@
 }
 
 /// The entries as they are known, or read from the store where they are due to be read again. The
-/// lock is not held during the read, so that notices to the known entries do not wait for the store.
+/// lock is not held during the read, so that notices to the known entries do not wait for the
+/// store.
 pub(crate) async fn entries_from_store(
     context: &ProvisioningContext,
 ) -> Result<Vec<PeerRecord>, StoreError> {
--- a/mustardrill_agent/src/stock/mod.rs
+++ b/mustardrill_agent/src/stock/mod.rs
@@ -1,5 +1,5 @@
-//! The agent on a platform where entries send requests to upstreams directly: it only provisions its
-//! engine with weights.
+//! The agent on a platform where entries send requests to upstreams directly: it only provisions
+//! its engine with weights.
 
 mod actor;
 mod config;
--- a/mustardrill_agent/src/stock/peers.rs
+++ b/mustardrill_agent/src/stock/peers.rs
@@ -19,8 +19,8 @@
     ChunkListQuery, Event, HoldsChunkQuery, ProvisioningActor, ProvisioningContext,
 };
 
-/// How long the queued uploads may occupy the link; below it, one more chunk is accepted. That keeps
-/// the link busy, but does not hold up events of answers, which go over the same link.
+/// How long the queued uploads may occupy the link; below it, one more chunk is accepted. That
+/// keeps the link busy, but does not hold up events of answers, which go over the same link.
 const UPLOAD_QUEUE_LIMIT: Millis = Millis(45);
 
 /// Estimated size of an upload, used before the chunk is read.
--- a/mustardrill_agent/src/stock/watch.rs
+++ b/mustardrill_agent/src/stock/watch.rs
@@ -67,7 +67,8 @@
                 let verdict = cursor.take(&update);
                 if !matches!(verdict, CursorVerdict::Taken { .. }) {
                     info!("store outcome=void era={} reason={verdict:?}", update.era);
-                    // Entries of the data centre have read the new era, or will soon: ask them first.
+                    // Entries of the data centre have read the new era, or will soon: ask them
+                    // first.
                     has_read = false;
                     let delay = backoff.failed(&mut rand::rng());
                     tokio::time::sleep(delay.to_std()).await;
@@ -120,8 +121,8 @@
     }
 }
 
-/// Stages the chunks that were buffered before the engine first answered. Staged chunks are read back
-/// before a load is ordered, so one that could not be staged is fetched again.
+/// Stages the chunks that were buffered before the engine first answered. Staged chunks are read
+/// back before a load is ordered, so one that could not be staged is fetched again.
 async fn stage_early_chunks(context: &ProvisioningContext) {
     let Some(EarlyChunks { version: Some(version), chunks }) = context.early_chunks.close() else {
         return;
--- a/mustardrill_agent/src/upstream.rs
+++ b/mustardrill_agent/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream beside the agent: a model engine or a plain service, behind a trait.
+//! The client of the local upstream, which is a model engine or a plain service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,21 +15,22 @@
 use mustardrill_types::ManifestDigest;
 use serde::{Deserialize, Serialize};
 
-/// The header in which an engine names the weights of its answer.
+/// The header of an answer in which an engine names the weights it was made from.
 pub(crate) const WEIGHTS_HEADER: &str = "x-weights";
 
-/// The header that tells an engine which weights the answer must be made from.
-pub(crate) const EXPECT_HEADER: &str = "x-expected-weights";
+/// The header of a request that names the weights from which the answer must be made.
+pub(crate) const EXPECTED_WEIGHTS_HEADER: &str = "x-expected-weights";
 
-/// The header that tells an engine the priority, 0 first.
+/// The header of a request with its priority; 0 is the highest.
 pub(crate) const PRIORITY_HEADER: &str = "x-priority";
 
-/// The header that tells an engine at which byte of the answer to begin.
+/// The header of a request with the byte of the answer at which to start.
 pub(crate) const RESUME_HEADER: &str = "x-resume-from";
 
-/// What the agent asks of its upstream.
+/// The calls of the agent to its upstream.
 pub(crate) trait Upstream: Send + Sync {
-    /// Orders staged weights to be loaded; ends when the engine has loaded or refused them.
+    /// Orders the engine to load staged weights from the URL `source`; returns when the engine has
+    /// loaded or refused them.
     fn load<'a>(
         &'a self,
         order: &'a LoadOrder,
@@ -37,25 +38,25 @@
         source: &'a str,
     ) -> BoxFuture<'a, Result<(), Box<str>>>;
 
-    /// Asks what the engine serves.
+    /// Asks which weights the engine serves; `None` where it gives no valid answer.
     fn report(&self) -> BoxFuture<'_, Option<EngineReport>>;
 
-    /// Whether it has ended, and not only a connection to it.
+    /// Whether the upstream itself is down, rather than just a connection to it.
     fn has_ended(&self) -> BoxFuture<'_, bool>;
 
-    /// Runs a request.
+    /// Sends a request and returns the answer once its headers have arrived.
     fn run(
         &self,
         request: Request<Full<Bytes>>,
     ) -> BoxFuture<'_, Result<Response<Incoming>, CallError>>;
 }
 
-/// An upstream over HTTP.
+/// An upstream that is called over HTTP.
 #[derive(Debug)]
 pub(crate) struct HttpUpstream {
     client: HttpClient,
-    base: Box<str>,
-    /// Nothing where the upstream is named otherwise than by its address.
+    base_url: Box<str>,
+    /// `None` where the settings give a host name in place of an IP address.
     address: Option<SocketAddr>,
     load_timeout: Duration,
 }
@@ -77,12 +78,12 @@
 }
 
 impl HttpUpstream {
-    /// A client of the upstream at `address`.
+    /// Takes the upstream's address as `host:port`.
     pub(crate) fn open(client: HttpClient, address: &str, owner: &OwnerSettings) -> Self {
-        // An order is given up before the next holder of the lease may give one.
+        // An order times out before the next holder of the lease may give one.
         let load_timeout = owner.longest_order.to_std();
-        let base = format!("http://{address}").into();
-        Self { client, base, address: address.parse().ok(), load_timeout }
+        let base_url = format!("http://{address}").into();
+        Self { client, base_url, address: address.parse().ok(), load_timeout }
     }
 }
 
@@ -105,8 +106,8 @@
                 source,
             };
             let body = serde_json::to_vec(&body).expect("an order is plain data");
-            let sent = request("POST", &format!("{}/v1/load", self.base), body);
-            let answer = self.client.call(sent, self.load_timeout, ANSWER_LIMIT).await;
+            let call = request("POST", &format!("{}/v1/load", self.base_url), body);
+            let answer = self.client.call(call, self.load_timeout, ANSWER_LIMIT).await;
             let answer = answer.map_err(|error| Box::<str>::from(error.to_string()))?;
             if answer.status != StatusCode::OK {
                 let text = String::from_utf8_lossy(&answer.body);
@@ -120,8 +121,8 @@
         const TIMEOUT: Duration = Duration::from_secs(1);
         const ANSWER_LIMIT: usize = 1_000_000;
         Box::pin(async move {
-            let sent = request("GET", &format!("{}/v1/state", self.base), Bytes::new());
-            let answer = self.client.call(sent, TIMEOUT, ANSWER_LIMIT).await.ok()?;
+            let call = request("GET", &format!("{}/v1/state", self.base_url), Bytes::new());
+            let answer = self.client.call(call, TIMEOUT, ANSWER_LIMIT).await.ok()?;
             let state: StateBody = serde_json::from_slice(&answer.body).ok()?;
             let serving = state.serving.iter().map(|text| text.parse::<ManifestDigest>());
             Some(EngineReport { serving: serving.collect::<Result<_, _>>().ok()? })
@@ -143,7 +144,7 @@
     ) -> BoxFuture<'_, Result<Response<Incoming>, CallError>> {
         let (mut head, body) = request.into_parts();
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-        let uri = format!("{}{path}", self.base).parse();
+        let uri = format!("{}{path}", self.base_url).parse();
         Box::pin(async move {
             head.uri = uri.map_err(|_| CallError::NotSent { reason: "malformed path".into() })?;
             self.client.stream(Request::from_parts(head, body)).await
--- a/mustardrill_agent/src/weights_http.rs
+++ b/mustardrill_agent/src/weights_http.rs
@@ -1,4 +1,4 @@
-//! Staged weights for the engine beside the agent, over HTTP on this machine.
+//! Serves staged weights to the local engine over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 use crate::store::ChunkStore;
 
-/// Answers `GET /weights/DIGEST` with a version's bytes, all of them verified.
+/// Serves `GET /weights/DIGEST`: all bytes of a version, from verified chunks.
 #[derive(Debug)]
 pub(crate) struct WeightsHandler {
     pub(crate) store: Arc<ChunkStore>,
@@ -45,7 +45,8 @@
     response
 }
 
-/// One chunk as a frame; a chunk that is missing cuts the answer rather than shortening it.
+/// One chunk as a frame. A missing chunk breaks the answer off with an error, so that the engine
+/// does not take a shortened answer for complete weights.
 fn chunk(store: &ChunkStore, digest: ManifestDigest, index: u32) -> Result<Frame<Bytes>, CutError> {
     store.chunk(digest, ChunkIndex(index)).map(Frame::data).ok_or(CutError)
 }
--- a/mustardrill_agent/tests/engine_notices.rs
+++ b/mustardrill_agent/tests/engine_notices.rs
@@ -1,4 +1,4 @@
-//! What an agent tells entries of its engine, in which order it reaches them.
+//! The engine notices of an agent reach the entries in the order in which the engine changed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,23 +25,25 @@
 };
 use tokio::net::UdpSocket;
 
-/// A store with one configuration and one entry, that is slow to tell of entries the first time.
+/// A store with one configuration and one entry, whose first answer on entries is slow. Until the
+/// configuration has been read it is unavailable.
 struct SlowStore {
     entry: SocketAddr,
-    read: Arc<AtomicBool>,
-    asked: AtomicUsize,
+    is_configuration_read: Arc<AtomicBool>,
+    entry_reads: AtomicUsize,
 }
 
-/// An engine that serves the version after the first one as soon as it was looked at often enough.
+/// An engine that serves version 1 for the first polls and version 2 after them. It answers once
+/// the configuration has been read from the store.
 struct LoadingEngine {
-    read: Arc<AtomicBool>,
-    looks: AtomicUsize,
+    is_configuration_read: Arc<AtomicBool>,
+    polls: AtomicUsize,
 }
 
-struct NoOrigin;
+struct UnavailableOrigin;
 
-const FIRST_ANSWER: Duration = Duration::from_millis(900);
-const LOOKS_BEFORE: usize = 5;
+const FIRST_ENTRY_READ_TIME: Duration = Duration::from_millis(900);
+const POLLS_BEFORE_LOAD: usize = 5;
 
 impl SlowStore {
     fn peer(&self) -> FleetChange {
@@ -63,31 +65,31 @@
     Arc::new(RouteDocument::new(Generation(1), Vec::new(), services, Vec::new(), limits))
 }
 
-fn page(changes: Vec<FleetChange>, is_snapshot: bool) -> FleetUpdate {
+fn fleet_update(changes: Vec<FleetChange>, is_snapshot: bool) -> FleetUpdate {
     FleetUpdate { changes, revision: StoreRevision(1), is_snapshot, ..FleetUpdate::default() }
 }
 
-fn away<T>() -> Result<T, StoreError> {
+fn unavailable<T>() -> Result<T, StoreError> {
     Err(StoreError::Unavailable { reason: "away".into() })
 }
 
 impl FleetSource for SlowStore {
     fn read_all(&self) -> BoxFuture<'_, Result<FleetUpdate, StoreError>> {
         Box::pin(async move {
-            self.read.store(true, Ordering::SeqCst);
-            Ok(page(vec![FleetChange::Configured(document()), self.peer()], true))
+            self.is_configuration_read.store(true, Ordering::SeqCst);
+            Ok(fleet_update(vec![FleetChange::Configured(document()), self.peer()], true))
         })
     }
 
     fn read_part(&self, _: FleetPart) -> BoxFuture<'_, Result<FleetUpdate, StoreError>> {
         Box::pin(async move {
-            if !self.read.load(Ordering::SeqCst) {
-                return away();
+            if !self.is_configuration_read.load(Ordering::SeqCst) {
+                return unavailable();
             }
-            if self.asked.fetch_add(1, Ordering::SeqCst) == 0 {
-                tokio::time::sleep(FIRST_ANSWER).await;
+            if self.entry_reads.fetch_add(1, Ordering::SeqCst) == 0 {
+                tokio::time::sleep(FIRST_ENTRY_READ_TIME).await;
             }
-            Ok(page(vec![self.peer()], false))
+            Ok(fleet_update(vec![self.peer()], false))
         })
     }
 
@@ -105,15 +107,15 @@
         _: &'a PeerRecord,
         _: Millis,
     ) -> BoxFuture<'a, Result<LeaseGrant, StoreError>> {
-        Box::pin(async { away() })
+        Box::pin(async { unavailable() })
     }
 
     fn renew(&self, _: LeaseGrant) -> BoxFuture<'_, Result<(), StoreError>> {
-        Box::pin(async { away() })
+        Box::pin(async { unavailable() })
     }
 
     fn withdraw(&self, _: LeaseGrant) -> BoxFuture<'_, Result<(), StoreError>> {
-        Box::pin(async { away() })
+        Box::pin(async { unavailable() })
     }
 
     fn keep_quarantine(
@@ -121,22 +123,22 @@
         _: RequestDigest,
         _: Millis,
     ) -> BoxFuture<'_, Result<(), StoreError>> {
-        Box::pin(async { away() })
+        Box::pin(async { unavailable() })
     }
 
     fn end_quarantine(&self, _: RequestDigest) -> BoxFuture<'_, Result<(), StoreError>> {
-        Box::pin(async { away() })
+        Box::pin(async { unavailable() })
     }
 }
 
 impl EngineControl for LoadingEngine {
     fn state(&self) -> BoxFuture<'_, Option<EngineState>> {
         Box::pin(async move {
-            if !self.read.load(Ordering::SeqCst) {
+            if !self.is_configuration_read.load(Ordering::SeqCst) {
                 return None;
             }
-            let looks = self.looks.fetch_add(1, Ordering::SeqCst);
-            let version = WeightVersion(if looks < LOOKS_BEFORE { 1 } else { 2 });
+            let polls = self.polls.fetch_add(1, Ordering::SeqCst);
+            let version = WeightVersion(if polls < POLLS_BEFORE_LOAD { 1 } else { 2 });
             let serving = vec![ServedWeights { model: "m".parse().unwrap(), version }];
             Some(EngineState { serving, ..EngineState::default() })
         })
@@ -160,7 +162,7 @@
     }
 }
 
-impl ChunkOrigin for NoOrigin {
+impl ChunkOrigin for UnavailableOrigin {
     fn list<'a>(
         &'a self,
         _: SocketAddr,
@@ -213,28 +215,36 @@
     }
 }
 
-/// A port of this machine that is free for both protocols.
+/// An address with a free port; it is tried with TCP and taken to be free for UDP as well.
 fn free_port() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
+/// Notices are sent twice, as datagrams get lost. The repetition waits for a read of the entries;
+/// while the store is slow, it must be dropped once the engine has loaded a newer version.
 #[tokio::test]
-async fn a_word_on_an_engine_comes_again_after_a_newer_one() {
+async fn an_outdated_engine_notice_is_repeated_after_a_newer_one() {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let read = Arc::new(AtomicBool::new(false));
+    let is_configuration_read = Arc::new(AtomicBool::new(false));
     let entry = socket.local_addr().unwrap();
     let platform = PlatformClients {
-        fleet_source: Box::new(SlowStore { entry, read: read.clone(), asked: AtomicUsize::new(0) }),
-        engine: Box::new(LoadingEngine { read, looks: AtomicUsize::new(0) }),
-        origin: Box::new(NoOrigin),
+        fleet_source: Box::new(SlowStore {
+            entry,
+            is_configuration_read: is_configuration_read.clone(),
+            entry_reads: AtomicUsize::new(0),
+        }),
+        engine: Box::new(LoadingEngine { is_configuration_read, polls: AtomicUsize::new(0) }),
+        origin: Box::new(UnavailableOrigin),
     };
     let agent = stock::spawn(config(free_port()), platform).await.unwrap();
     let mut versions = Vec::new();
     let mut buffer = vec![0; 2_048];
-    // Ends once nothing came for longer than the store's slow answer.
-    let patience = Duration::from_secs(4);
-    while let Ok(received) = tokio::time::timeout(patience, socket.recv_from(&mut buffer)).await {
+    // Stops once nothing was received for longer than the store's slow answer takes.
+    let silence_timeout = Duration::from_secs(4);
+    while let Ok(received) =
+        tokio::time::timeout(silence_timeout, socket.recv_from(&mut buffer)).await
+    {
         let datagram = Datagram::read(&buffer[..received.unwrap().0]).unwrap();
         if let Some(EngineNotice::Serving(version)) = datagram.engine.map(|row| row.word()) {
             versions.push(version.0);
@@ -242,5 +252,8 @@
     }
     agent.halt();
     assert!(versions.contains(&2), "{versions:?}");
-    assert!(versions.is_sorted(), "what was told before comes again later: {versions:?}");
+    assert!(
+        versions.is_sorted(),
+        "a notice of an older version was repeated after a newer one: {versions:?}"
+    );
 }
--- a/mustardrill_standins/tests/deployment.rs
+++ b/mustardrill_standins/tests/deployment.rs
@@ -82,9 +82,9 @@
     let outcome = mustardrill_agent::stock::read(rendered("deploy/agent.ini"));
     assert_eq!(outcome.warnings, []);
     let config = outcome.settings.unwrap();
-    assert_eq!(config.stock.own.as_str(), "10.1.0.40");
+    assert_eq!(config.settings.own.as_str(), "10.1.0.40");
     assert_eq!(config.link_mbps, 7.3);
-    assert!(config.stock.turns.first < config.stock.turns.last);
+    assert!(config.settings.turns.first < config.settings.turns.last);
 }
 
 #[test]
