--- a/mustardrill_agent/src/actor.rs
+++ b/mustardrill_agent/src/actor.rs
@@ -41,7 +41,7 @@
 
 /// Whether a request may go to the upstream.
 #[derive(Debug)]
-pub(crate) enum Verdict {
+pub(crate) enum AdmissionVerdict {
     /// Send it to the upstream now.
     Run,
     /// Refuse it; the upstream has not seen it.
@@ -66,7 +66,7 @@
     reducer: AgentReducer,
     context: Arc<AgentContext>,
     /// Requests that wait for a verdict.
-    pending_verdicts: FastMap<AttemptId, oneshot::Sender<Verdict>>,
+    pending_verdicts: FastMap<AttemptId, oneshot::Sender<AdmissionVerdict>>,
     /// Calls of entries that wait for the outcome of a claim.
     pending_claims: FastMap<AttemptId, oneshot::Sender<ClaimOutcome>>,
 }
@@ -80,11 +80,11 @@
     pub(crate) class: RequestClass,
     pub(crate) pinned: Option<ManifestDigest>,
     pub(crate) deadline: Moment,
-    pub(crate) verdict_sender: oneshot::Sender<Verdict>,
+    pub(crate) verdict_sender: oneshot::Sender<AdmissionVerdict>,
 }
 
-/// Makes a claim for an attempt and asks for its outcome.
-pub(crate) struct MakeClaim {
+/// Acquires a claim for an attempt; the outcome is sent once it is known.
+pub(crate) struct AcquireClaim {
     pub(crate) key: RequestKey,
     pub(crate) attempt: AttemptId,
     pub(crate) outcome_sender: oneshot::Sender<ClaimOutcome>,
@@ -95,7 +95,7 @@
 
 /// The answer to `HoldingQuery`.
 #[derive(Debug, Reply)]
-pub(crate) struct HoldingAnswer {
+pub(crate) struct HoldingReply {
     pub(crate) bitmap: ChunkBitmap,
     pub(crate) serving: bool,
     /// The peers that hold the chunk; empty where none was asked for.
@@ -107,7 +107,7 @@
 
 /// The answer to `StatusQuery`.
 #[derive(Debug, Reply)]
-pub(crate) struct StatusAnswer {
+pub(crate) struct StatusReply {
     pub(crate) generation: Generation,
     pub(crate) leaving: bool,
     pub(crate) drained: bool,
@@ -140,21 +140,21 @@
         }
         for effect in effects {
             match effect {
-                AgentEffect::Dispatch(attempt) => self.send_verdict(attempt, Verdict::Run),
+                AgentEffect::Dispatch(attempt) => self.send_verdict(attempt, AdmissionVerdict::Run),
                 AgentEffect::Claim(ClaimEffect::Settle(attempt, outcome)) => {
                     if let Some(sender) = self.pending_claims.remove(&attempt) {
                         let _ = sender.send(outcome);
                     }
                 }
                 AgentEffect::Refuse(attempt, refusal) => {
-                    self.send_verdict(attempt, Verdict::Refuse(refusal));
+                    self.send_verdict(attempt, AdmissionVerdict::Refuse(refusal));
                 }
                 other => effects::carry_out(&self.context, &self.reducer, actor, other),
             }
         }
     }
 
-    fn send_verdict(&mut self, attempt: AttemptId, verdict: Verdict) {
+    fn send_verdict(&mut self, attempt: AttemptId, verdict: AdmissionVerdict) {
         if let Some(sender) = self.pending_verdicts.remove(&attempt) {
             // The receiver is gone where the entry has cancelled the request; the request's task
             // withdraws it then.
@@ -180,7 +180,7 @@
         let actor = context.actor_ref().clone();
         if self.pending_verdicts.contains_key(&attempt) {
             let refusal = AttemptRefusal::new(ResultCode::AlreadyClaimed, Millis(0));
-            let _ = verdict_sender.send(Verdict::Refuse(refusal));
+            let _ = verdict_sender.send(AdmissionVerdict::Refuse(refusal));
             return;
         }
         self.pending_verdicts.insert(attempt, verdict_sender);
@@ -188,11 +188,11 @@
     }
 }
 
-impl Message<MakeClaim> for AgentActor {
+impl Message<AcquireClaim> for AgentActor {
     type Reply = ();
 
-    async fn handle(&mut self, message: MakeClaim, context: &mut Context<Self, ()>) {
-        let MakeClaim { key, attempt, outcome_sender } = message;
+    async fn handle(&mut self, message: AcquireClaim, context: &mut Context<Self, ()>) {
+        let AcquireClaim { key, attempt, outcome_sender } = message;
         let actor = context.actor_ref().clone();
         // This drops the sender of an earlier call for the attempt, which the entry has given up.
         self.pending_claims.insert(attempt, outcome_sender);
@@ -202,14 +202,14 @@
 }
 
 impl Message<HoldingQuery> for AgentActor {
-    type Reply = HoldingAnswer;
+    type Reply = HoldingReply;
 
     async fn handle(
         &mut self,
         HoldingQuery(digest, index): HoldingQuery,
-        _: &mut Context<Self, HoldingAnswer>,
-    ) -> HoldingAnswer {
-        HoldingAnswer {
+        _: &mut Context<Self, HoldingReply>,
+    ) -> HoldingReply {
+        HoldingReply {
             bitmap: self.reducer.held(digest).cloned().unwrap_or_default(),
             serving: self.reducer.serving().contains(&digest),
             others: index.map_or_else(Vec::new, |index| self.reducer.holders(digest, index)),
@@ -218,15 +218,11 @@
 }
 
 impl Message<StatusQuery> for AgentActor {
-    type Reply = StatusAnswer;
+    type Reply = StatusReply;
 
-    async fn handle(
-        &mut self,
-        _: StatusQuery,
-        _: &mut Context<Self, StatusAnswer>,
-    ) -> StatusAnswer {
+    async fn handle(&mut self, _: StatusQuery, _: &mut Context<Self, StatusReply>) -> StatusReply {
         let now = self.context.clock.now();
-        StatusAnswer {
+        StatusReply {
             generation: self.reducer.generation(),
             leaving: self.reducer.is_leaving(),
             drained: self.reducer.is_drained(),
@@ -374,7 +370,11 @@
     })
 }
 
-fn spawn_instance_reader(actor: ActorRef<AgentActor>, context: Arc<AgentContext>, every: Millis) {
+fn spawn_instance_reader(
+    actor: ActorRef<AgentActor>,
+    context: Arc<AgentContext>,
+    interval: Millis,
+) {
     tokio::spawn(async move {
         loop {
             if let Ok(listing) = context.instances.read().await {
@@ -384,7 +384,7 @@
                 let _ = actor.tell(Event(AgentEvent::InstancesSeen(listing.instances))).await;
             }
             tokio::select! {
-                () = tokio::time::sleep(every.to_std()) => {}
+                () = tokio::time::sleep(interval.to_std()) => {}
                 () = context.halt.cancelled() => return,
             }
         }
--- a/mustardrill_agent/src/effects.rs
+++ b/mustardrill_agent/src/effects.rs
@@ -311,17 +311,17 @@
     /// Grants a lease and writes the owner's key under it; the revision of the key is the fencing
     /// number.
     async fn acquire(&self) -> OwnerAnswer {
-        let service = &self.context.key_value;
-        let Ok(lease) = service.grant(self.context.owner_lease_ttl).await else {
+        let key_value = &self.context.key_value;
+        let Ok(lease) = key_value.grant(self.context.owner_lease_ttl).await else {
             return OwnerAnswer::Unavailable;
         };
         let name = Bytes::from(self.context.own.to_string());
-        match service.write(&self.context.owner_key, name, 0, Some(lease)).await {
+        match key_value.write(&self.context.owner_key, name, 0, Some(lease)).await {
             Ok(revision) => OwnerAnswer::Acquired { lease, fence: FencingNumber(revision) },
             Err(error) => {
                 // A write whose answer was lost may have taken effect; its key is deleted with the
                 // lease.
-                let _ = service.revoke(lease).await;
+                let _ = key_value.revoke(lease).await;
                 match error {
                     KeyValueError::Conflict => OwnerAnswer::HeldByOther,
                     _ => OwnerAnswer::Unavailable,
--- a/mustardrill_agent/src/execute.rs
+++ b/mustardrill_agent/src/execute.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tonic::Status;
 
-use crate::actor::{Admit, AgentActor, Event, Verdict};
+use crate::actor::{AdmissionVerdict, Admit, AgentActor, Event};
 use crate::context::AgentContext;
 use crate::upstream::{EXPECTED_WEIGHTS_HEADER, PRIORITY_HEADER, RESUME_HEADER, WEIGHTS_HEADER};
 
@@ -132,8 +132,8 @@
             () = self.frames.closed() => return Err(RunError::EntryGone),
         };
         match verdict {
-            Ok(Verdict::Run) => Ok(()),
-            Ok(Verdict::Refuse(refusal)) => Err(RunError::NotRun(refusal)),
+            Ok(AdmissionVerdict::Run) => Ok(()),
+            Ok(AdmissionVerdict::Refuse(refusal)) => Err(RunError::NotRun(refusal)),
             Err(_) => Err(RunError::not_run(ResultCode::Leaving, Millis(1))),
         }
     }
--- a/mustardrill_agent/src/main.rs
+++ b/mustardrill_agent/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use mustardrill_agent::cli::{self, AgentCommand};
-use mustardrill_agent::stock::{self, PlatformClients, ProvisioningConfig};
+use mustardrill_agent::stock::{self, PlatformAdapters, ProvisioningConfig};
 use mustardrill_agent::{AgentConfig, config};
 use mustardrill_platform::{PlatformEngine, PlatformOrigin, PlatformStore};
 use mustardrill_runtime::http::HttpClient;
@@ -89,16 +89,16 @@
     // A single thread, as machines of that platform have a fraction of one core.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("the runtime starts");
-    let code = runtime.block_on(serve_prepared(config));
+    let exit_code = runtime.block_on(serve_prepared(config));
     runtime.shutdown_background();
-    code
+    exit_code
 }
 
 async fn serve_prepared(config: ProvisioningConfig) -> ExitCode {
     let (stop, halt) = (CancellationToken::new(), CancellationToken::new());
     signal::spawn(stop.clone(), halt).expect("signals can be watched");
     let client = HttpClient::open(CONNECT_TIMEOUT);
-    let platform = PlatformClients {
+    let platform = PlatformAdapters {
         fleet_source: Box::new(PlatformStore::open(client.clone(), config.store)),
         engine: Box::new(PlatformEngine::open(client, config.settings.engine)),
         origin: Box::new(PlatformOrigin::open(CONNECT_TIMEOUT)),
@@ -123,9 +123,9 @@
     logging::init(config.agent.own.id.as_str(), config.log);
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.expect("the runtime starts");
-    let code = runtime.block_on(serve(config));
+    let exit_code = runtime.block_on(serve(config));
     runtime.shutdown_background();
-    code
+    exit_code
 }
 
 async fn serve(config: AgentConfig) -> ExitCode {
--- a/mustardrill_agent/src/server.rs
+++ b/mustardrill_agent/src/server.rs
@@ -24,7 +24,8 @@
 use tonic::{Request, Response, Status};
 
 use crate::actor::{
-    AgentActor, DemandQuery, Event, HoldingAnswer, HoldingQuery, MakeClaim, StatusQuery, count_sent,
+    AcquireClaim, AgentActor, DemandQuery, Event, HoldingQuery, HoldingReply, StatusQuery,
+    count_sent,
 };
 use crate::context::AgentContext;
 use crate::execute;
@@ -66,12 +67,12 @@
         &self,
         digest: ManifestDigest,
         index: Option<ChunkIndex>,
-    ) -> Result<HoldingAnswer, Status> {
+    ) -> Result<HoldingReply, Status> {
         let reply = self.actor.ask(HoldingQuery(digest, index)).await;
         reply.map_err(|_| Status::unavailable("the agent is ending"))
     }
 
-    fn holding_message(&self, digest: ManifestDigest, answer: &HoldingAnswer) -> proto::Holding {
+    fn holding_message(&self, digest: ManifestDigest, answer: &HoldingReply) -> proto::Holding {
         proto::Holding {
             manifest: digest_bytes(digest),
             instance: self.context.own.to_string(),
@@ -205,7 +206,7 @@
             ClaimOutcome::Unavailable
         } else {
             let (outcome_sender, receiver) = oneshot::channel();
-            let _ = self.actor.tell(MakeClaim { key, attempt, outcome_sender }).await;
+            let _ = self.actor.tell(AcquireClaim { key, attempt, outcome_sender }).await;
             receiver.await.map_err(|_| Status::unavailable("the agent is ending"))?
         };
         let outcome = claim_message(outcome) as i32;
--- a/mustardrill_agent/src/status.rs
+++ b/mustardrill_agent/src/status.rs
@@ -11,7 +11,7 @@
 use mustardrill_runtime::http::{AnyResponse, HttpHandler, json_response, text_response};
 use serde::Serialize;
 
-use crate::actor::{AgentActor, StatusAnswer, StatusQuery};
+use crate::actor::{AgentActor, StatusQuery, StatusReply};
 use crate::weights_http::WeightsHandler;
 
 /// Serves `GET /status`, and passes all other paths to `WeightsHandler`.
@@ -69,8 +69,8 @@
     }
 }
 
-impl From<StatusAnswer> for StatusBody {
-    fn from(status: StatusAnswer) -> Self {
+impl From<StatusReply> for StatusBody {
+    fn from(status: StatusReply) -> Self {
         let versions = status.progress.into_iter().map(|row| VersionBody {
             model: row.model.as_str().into(),
             manifest: row.digest.to_string().into(),
--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/stock/actor.rs
@@ -26,13 +26,13 @@
 use crate::stock::peers::PeerHandler;
 use crate::stock::{effects, peers, watch};
 
-/// The clients through which the agent reaches the platform.
-pub struct PlatformClients {
+/// The adapters through which the agent reaches the platform.
+pub struct PlatformAdapters {
     /// Reads the fleet from the store.
     pub fleet_source: Box<dyn FleetSource>,
     /// Controls the engine on the same machine.
     pub engine: Box<dyn EngineControl>,
-    /// Serves the published weights.
+    /// Fetches chunk lists and chunks from the origin.
     pub origin: Box<dyn ChunkOrigin>,
 }
 
@@ -46,7 +46,7 @@
 pub(crate) struct ProvisioningContext {
     pub(crate) clock: ProcessClock,
     pub(crate) config: ProvisioningConfig,
-    pub(crate) platform: PlatformClients,
+    pub(crate) platform: PlatformAdapters,
     /// For calls to other agents and to entries.
     pub(crate) peer_client: HttpClient,
     pub(crate) socket: UdpSocket,
@@ -263,7 +263,7 @@
 /// cannot be bound.
 pub async fn spawn(
     config: ProvisioningConfig,
-    platform: PlatformClients,
+    platform: PlatformAdapters,
 ) -> std::io::Result<ProvisioningHandle> {
     let halt = CancellationToken::new();
     let socket = UdpSocket::bind(config.listen).await?;
--- a/mustardrill_agent/src/stock/effects.rs
+++ b/mustardrill_agent/src/stock/effects.rs
@@ -74,12 +74,12 @@
     sources: Vec<WeightSource>,
 ) {
     tokio::spawn(async move {
-        let mut found = None;
+        let mut found_list = None;
         for source in &sources {
             match chunk_list_from(&context, &version, source).await {
                 Ok(list) => {
                     log::info!("list version={version} source={source} outcome=fetched");
-                    found = Some(list);
+                    found_list = Some(list);
                     break;
                 }
                 Err(reason) => {
@@ -89,7 +89,7 @@
                 }
             }
         }
-        let _ = actor.tell(ChunkListFetched(version, found)).await;
+        let _ = actor.tell(ChunkListFetched(version, found_list)).await;
     });
 }
 
@@ -303,16 +303,19 @@
             |entries: &[PeerRecord]| entries.iter().map(|entry| entry.address).collect::<Vec<_>>();
         // Known entries are notified at once: reading the entries anew may take as long as the
         // store is unavailable.
-        let known = addresses(context.entries.lock().await.known());
-        peers::send(context.clone(), datagram.clone(), known.clone());
-        let fresh = fleet::entries(&context).await.map(|entries| addresses(&entries));
-        let fresh = fresh.unwrap_or_else(|error| {
-            log::warn!("entries outcome=known-ones-told count={} reason=\"{error}\"", known.len());
-            known
+        let known_addresses = addresses(context.entries.lock().await.known());
+        peers::send(context.clone(), datagram.clone(), known_addresses.clone());
+        let fresh_addresses = fleet::entries(&context).await.map(|entries| addresses(&entries));
+        let fresh_addresses = fresh_addresses.unwrap_or_else(|error| {
+            log::warn!(
+                "entries outcome=known-ones-told count={} reason=\"{error}\"",
+                known_addresses.len()
+            );
+            known_addresses
         });
         tokio::time::sleep(REPEAT_DELAY).await;
         if context.engine_notices.load(Ordering::Relaxed) == notice_number {
-            peers::send(context, datagram, fresh);
+            peers::send(context, datagram, fresh_addresses);
         }
     });
 }
--- a/mustardrill_agent/src/stock/mod.rs
+++ b/mustardrill_agent/src/stock/mod.rs
@@ -10,6 +10,6 @@
 mod peers;
 mod watch;
 
-pub use actor::{PlatformClients, ProvisioningHandle, spawn};
+pub use actor::{PlatformAdapters, ProvisioningHandle, spawn};
 pub use config::{ProvisioningConfig, read};
 pub use metrics::METRICS;
--- a/mustardrill_agent/src/stock/watch.rs
+++ b/mustardrill_agent/src/stock/watch.rs
@@ -43,7 +43,7 @@
     let mut has_read = false;
     let mut backoff = RetryBackoff::new(FIRST_BACKOFF_LIMIT, BACKOFF_LIMIT);
     loop {
-        let read = match cursor.revision() {
+        let read_result = match cursor.revision() {
             Some(revision) => {
                 let timing = WatchTiming::for_agent(context.config.watch_time);
                 fleet_source.read_changes(scope, revision, timing).await
@@ -60,8 +60,8 @@
                 None => fleet_source.read_all().await,
             },
         };
-        has_read |= read.is_ok();
-        match read {
+        has_read |= read_result.is_ok();
+        match read_result {
             Ok(update) => {
                 backoff.answered();
                 let verdict = cursor.take(&update);
--- a/mustardrill_agent/tests/engine_notices.rs
+++ b/mustardrill_agent/tests/engine_notices.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 use log::LevelFilter;
-use mustardrill_agent::stock::{self, PlatformClients, ProvisioningConfig};
+use mustardrill_agent::stock::{self, PlatformAdapters, ProvisioningConfig};
 use mustardrill_core::direct::{
     CallerLimits, EngineNotice, EngineProfile, FleetChange, FleetUpdate, ModelProfile, PeerRecord,
     RouteDocument, ServedWeights, ServiceProfile, WatchTiming,
@@ -228,7 +228,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let is_configuration_read = Arc::new(AtomicBool::new(false));
     let entry = socket.local_addr().unwrap();
-    let platform = PlatformClients {
+    let platform = PlatformAdapters {
         fleet_source: Box::new(SlowStore {
             entry,
             is_configuration_read: is_configuration_read.clone(),
