--- a/mustardrill_agent/src/effects.rs
+++ b/mustardrill_agent/src/effects.rs
@@ -117,7 +117,8 @@
                 }
             };
             let verified = fetched.and_then(|bytes| {
-                let manifest = Manifest::open(&bytes, digest).map_err(|error| error.to_string())?;
+                let manifest =
+                    Manifest::decode_verified(&bytes, digest).map_err(|error| error.to_string())?;
                 Ok((Arc::new(manifest), bytes))
             });
             match verified {
