--- a/mustardrill_agent/src/stock/effects.rs
+++ b/mustardrill_agent/src/stock/effects.rs
@@ -285,9 +285,9 @@
 
 /// Sends an engine notice to all entries, and repeats it once because datagrams get lost.
 ///
-/// The repetition is dropped when a newer notice has been sent. It waits until the entries have
-/// been read anew: while the store is slow it would arrive after the engine's next notices, and
-/// entries would take an outdated state for the newest.
+/// The repetition waits until the entries have been read anew. While the store is slow, that may be
+/// after the engine's next notices, and entries would take an outdated state for the newest; so
+/// the repetition is dropped once a newer notice has been sent.
 pub(crate) fn notify_entries(
     context: Arc<ProvisioningContext>,
     model: ModelName,
