--- a/mustardrill_core/src/entry/dispatch.rs
+++ b/mustardrill_core/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! How an entry sends attempts of a request, and what it makes of their ends.
+//! Dispatch of a request's attempts to agents, and retries according to their results.
 
 use log::info;
 use mustardrill_types::{
@@ -12,29 +12,30 @@
 use crate::refusal::AttemptRefusal;
 use crate::routing::RoutingReason;
 
-/// When a caller may come back where no upstream serves what it asks for.
-const NO_UPSTREAM_RETRY: Millis = Millis(1_000);
+/// Retry-after for a caller whose request no upstream can serve.
+const RETRY_AFTER_NO_UPSTREAM: Millis = Millis(1_000);
 
 impl EntryReducer {
-    /// Sends the next attempt of a request, or rejects it.
-    pub(super) fn send(&mut self, now: Moment, id: RequestId) -> Vec<EntryEffect> {
-        self.send_to(now, id, None)
+    /// Sends the next attempt of a request. The request is rejected where its deadline has passed or
+    /// no upstream can serve it.
+    pub(super) fn send_attempt(&mut self, now: Moment, id: RequestId) -> Vec<EntryEffect> {
+        self.send_attempt_preferring(now, id, None)
     }
 
-    /// Sends the next attempt to `switched` where it is a candidate, or to a chosen one.
-    fn send_to(
+    /// Like [`Self::send_attempt`], but skips load balancing where `preferred` is a candidate.
+    fn send_attempt_preferring(
         &mut self,
         now: Moment,
         id: RequestId,
-        switched: Option<&InstanceId>,
+        preferred: Option<&InstanceId>,
     ) -> Vec<EntryEffect> {
         let Some(state) = self.requests.get(id) else { return Vec::new() };
         if state.deadline <= now {
             return self.reject(now, id, ResultCode::DeadlinePassed, Millis(0));
         }
         let candidates = self.candidates(now, state);
-        let switched = switched.filter(|instance| candidates.contains(instance));
-        let chosen = match switched {
+        let preferred = preferred.filter(|instance| candidates.contains(instance));
+        let chosen = match preferred {
             Some(instance) => Some((instance.clone(), RoutingReason::Switched)),
             None => {
                 let (tried, affinity) = (&state.tried, state.affinity.as_deref());
@@ -47,17 +48,17 @@
                 state.target,
                 candidates.len()
             );
-            return self.reject(now, id, ResultCode::NoUpstream, NO_UPSTREAM_RETRY);
+            return self.reject(now, id, ResultCode::NoUpstream, RETRY_AFTER_NO_UPSTREAM);
         };
-        let pinned = self.pin(&state.target, &instance);
+        let pinned = self.servable_weights(&state.target, &instance);
         let address = self.members.get(&instance).map(|record| record.agent.clone());
         let attempt = AttemptId(self.random.random());
-        self.requests.bind(attempt, id);
+        self.requests.bind_attempt(attempt, id);
         self.routing.record_sent(&instance);
         let state = self.requests.get_mut(id).expect("the request was looked up");
         state.attempts += 1;
         state.tried.push(instance.clone());
-        state.sent = now;
+        state.sent_at = now;
         state.stage = RequestStage::Sent(attempt, instance.clone());
         state.pinned = pinned;
         info!(
@@ -79,28 +80,29 @@
         })]
     }
 
-    /// The upstreams that may answer the request; after a first byte only those with its weights.
+    /// The live upstreams of this entry's subset that can serve the request. Once answer bytes were
+    /// delivered, only those with the same weights, as the answer must come from one version.
     fn candidates(&self, now: Moment, state: &RequestState) -> Vec<InstanceId> {
         let Some(entry) = self.document.entries.get(&state.target) else { return Vec::new() };
         let Some(subset) = self.subsets.get(&entry.service) else { return Vec::new() };
-        let is_listed = |id: &&InstanceId| {
+        let is_available = |id: &&InstanceId| {
             let record = self.members.get(id);
             record.is_some_and(|it| !it.leaving) && self.members.is_live(now, id)
         };
-        let fits = |id: &&InstanceId| {
-            let pin = self.pin(&state.target, id);
+        let has_weights = |id: &&InstanceId| {
+            let weights = self.servable_weights(&state.target, id);
             match (&entry.weights, state.delivered) {
                 (None, _) => true,
-                (Some(_), 0) => pin.is_some(),
-                (Some(_), _) => pin.is_some() && pin == state.pinned,
+                (Some(_), 0) => weights.is_some(),
+                (Some(_), _) => weights.is_some() && weights == state.pinned,
             }
         };
-        subset.iter().filter(is_listed).filter(fits).cloned().collect()
+        subset.iter().filter(is_available).filter(has_weights).cloned().collect()
     }
 
-    /// The weights of the model that the instance serves: the version wanted, or an earlier one
-    /// of the same model while a switch is under way.
-    fn pin(&self, model: &ModelName, instance: &InstanceId) -> Option<ManifestDigest> {
+    /// The weights of the model that the instance serves: the catalogue's current version, or the
+    /// most recent earlier one while the instance has not switched to the current version yet.
+    fn servable_weights(&self, model: &ModelName, instance: &InstanceId) -> Option<ManifestDigest> {
         let weights = self.document.entries.get(model)?.weights.as_ref()?;
         let serving = &self.routing.get(instance)?.report.serving;
         if serving.contains(&weights.manifest) {
@@ -121,7 +123,7 @@
         end: &AttemptEnd,
         delivered: u64,
     ) -> Vec<EntryEffect> {
-        let Some(id) = self.requests.of_attempt(attempt) else {
+        let Some(id) = self.requests.request_of_attempt(attempt) else {
             info!("attempt={attempt} decision=drop reason=not-awaited");
             return Vec::new();
         };
@@ -130,7 +132,7 @@
         if awaited != attempt {
             return Vec::new();
         }
-        self.requests.unbind(attempt);
+        self.requests.unbind_attempt(attempt);
         if let Some(state) = self.requests.get_mut(id) {
             state.delivered = delivered;
         }
@@ -138,24 +140,24 @@
         self.routing.record_ended(now, &instance, is_healthy);
         match end {
             AttemptEnd::Whole => {
-                if let Some(state) = self.finish(id) {
-                    self.run_succeeded(now, state.digest);
+                if let Some(state) = self.remove_request(id) {
+                    self.record_complete_answer(now, state.digest);
                 }
                 Vec::new()
             }
-            AttemptEnd::Refused(refusal) => self.refused(now, id, &instance, refusal),
+            AttemptEnd::Refused(refusal) => self.attempt_refused(now, id, &instance, refusal),
             AttemptEnd::NotSent => {
                 self.members.record_failure(now, &instance);
-                self.retry(now, id, ResultCode::NoUpstream, NO_UPSTREAM_RETRY, None)
+                self.retry(now, id, ResultCode::NoUpstream, RETRY_AFTER_NO_UPSTREAM, None)
             }
-            AttemptEnd::Lost => self.lost(now, id, ResultCode::Unknown),
-            AttemptEnd::UpstreamEnded(start) => self.upstream_ended(now, id, &instance, *start),
-            AttemptEnd::WrongWeights => self.lost(now, id, ResultCode::WrongWeights),
+            AttemptEnd::Lost => self.attempt_lost(now, id, ResultCode::Unknown),
+            AttemptEnd::UpstreamEnded(start) => self.upstream_crashed(now, id, &instance, *start),
+            AttemptEnd::WrongWeights => self.attempt_lost(now, id, ResultCode::WrongWeights),
         }
     }
 
-    /// Goes on after an attempt that was not run.
-    fn refused(
+    /// Handles a refusal: the attempt was not run, so any request may be retried.
+    fn attempt_refused(
         &mut self,
         now: Moment,
         id: RequestId,
@@ -170,19 +172,20 @@
             return self.retry(now, id, *code, *retry_after, None);
         }
         self.routing.update_serving(instance, serving);
-        // Of all upstreams this one's weights are known best: the others may have switched too.
-        let switched = Some(instance).filter(|instance| self.serves_otherwise(id, instance));
-        self.retry(now, id, *code, *retry_after, switched)
+        // This upstream has just reported which weights it serves. What is known of the others may be
+        // outdated, as they may have switched versions too.
+        let preferred = Some(instance).filter(|instance| self.serves_other_weights(id, instance));
+        self.retry(now, id, *code, *retry_after, preferred)
     }
 
-    /// Whether the instance serves other weights of the model than those that it refused.
-    fn serves_otherwise(&self, id: RequestId, instance: &InstanceId) -> bool {
+    /// Whether the instance serves other weights of the model than those of the refused attempt.
+    fn serves_other_weights(&self, id: RequestId, instance: &InstanceId) -> bool {
         let state = self.requests.get(id);
-        state.is_some_and(|state| self.pin(&state.target, instance) != state.pinned)
+        state.is_some_and(|state| self.servable_weights(&state.target, instance) != state.pinned)
     }
 
-    /// Goes on after an attempt that may have run.
-    pub(super) fn lost(
+    /// Handles an attempt that may have run: the request is retried only if it is idempotent.
+    pub(super) fn attempt_lost(
         &mut self,
         now: Moment,
         id: RequestId,
@@ -193,16 +196,18 @@
         if !state.is_idempotent() {
             return self.reject(now, id, ResultCode::Unknown, Millis(0));
         }
-        self.retry(now, id, code, NO_UPSTREAM_RETRY, None)
+        self.retry(now, id, code, RETRY_AFTER_NO_UPSTREAM, None)
     }
 
+    /// Sends another attempt, or rejects the request with `code` where its deadline has passed or the
+    /// retry budget is used up.
     fn retry(
         &mut self,
         now: Moment,
         id: RequestId,
         code: ResultCode,
         retry_after: Millis,
-        switched: Option<&InstanceId>,
+        preferred: Option<&InstanceId>,
     ) -> Vec<EntryEffect> {
         let Some(state) = self.requests.get(id) else { return Vec::new() };
         let attempts = state.attempts;
@@ -211,10 +216,10 @@
             return self.reject(now, id, code, retry_after);
         }
         info!("retry request={id} attempts={attempts} decision=send code={code}");
-        self.send_to(now, id, switched)
+        self.send_attempt_preferring(now, id, preferred)
     }
 
-    /// Ends a request without a whole answer, at once.
+    /// Ends a request without a complete answer.
     pub(super) fn reject(
         &mut self,
         now: Moment,
@@ -222,11 +227,11 @@
         code: ResultCode,
         retry_after: Millis,
     ) -> Vec<EntryEffect> {
-        let Some(state) = self.finish(id) else { return Vec::new() };
+        let Some(state) = self.remove_request(id) else { return Vec::new() };
         let mut effects = Vec::new();
-        // A later attempt's refusal says nothing of an earlier one that was lost.
+        // A refusal of the last attempt does not tell whether an earlier, lost one was run.
         let code = if state.may_have_run && code.is_not_run() { ResultCode::Unknown } else { code };
-        // The claim goes back with the proof that nothing was run, so that the caller may come back.
+        // Nothing was run, so the claim is released and the caller may send the key again.
         if code.is_not_run() {
             effects.extend(self.release_claim(now, &state));
         }
@@ -244,7 +249,8 @@
         Some(EntryEffect::ReleaseClaim(self.claim_order(now, key, claimant)))
     }
 
-    pub(super) fn finish(&mut self, id: RequestId) -> Option<RequestState> {
+    /// Removes a request from the table and from the customer's requests in flight.
+    pub(super) fn remove_request(&mut self, id: RequestId) -> Option<RequestState> {
         let state = self.requests.remove(id)?;
         self.limits.release(&(state.customer.clone(), state.target.clone()));
         Some(state)
--- a/mustardrill_core/src/entry/event.rs
+++ b/mustardrill_core/src/entry/event.rs
@@ -1,4 +1,4 @@
-//! What an entry sees and what it does about it, as data.
+//! The events that an entry's reducer takes and the effects that it returns.
 
 use std::sync::Arc;
 
@@ -18,180 +18,183 @@
 use crate::refusal::AttemptRefusal;
 use crate::routing::{RoutingSettings, UpstreamReport};
 
-/// The number of a request within one entry.
+/// Identifies a request within one entry process.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A request as it came from a caller.
+/// A request as received from a caller.
 #[derive(Debug, Clone)]
 pub struct IncomingRequest {
-    /// The request.
+    /// Unique within this entry process.
     pub id: RequestId,
-    /// Who calls.
+    /// The authenticated customer.
     pub customer: CustomerName,
-    /// The catalogue's entry that is called.
+    /// The name of the catalogue entry that is called.
     pub target: ModelName,
-    /// Whether a model or a plain service is called.
+    /// Whether the path called a model; a plain service otherwise.
     pub is_model: bool,
-    /// The key of a non-idempotent request; nothing where it may be repeated.
+    /// The key of a non-idempotent request. `None` where the request may be run more than once.
     pub key: Option<RequestKey>,
-    /// When its answer is worth nothing any more.
+    /// After this time the answer is of no use to the caller, and the request is rejected.
     pub deadline: Moment,
-    /// What requests with a common prefix share.
+    /// Shared by requests with a common prefix, so that they are routed to the same upstream.
     pub affinity: Option<Box<str>>,
-    /// The same for each sending of this request by its customer, whatever its key.
+    /// Equal each time the customer sends this request, whatever its key; quarantine uses it.
     pub digest: RequestDigest,
 }
 
-/// How an attempt ended.
+/// The result of one attempt at an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The agent refused it: it was not run.
+    /// The agent refused the attempt without running it.
     Refused(AttemptRefusal),
-    /// The agent could not be reached, and nothing of the attempt was sent: it was not run.
+    /// The agent could not be reached. Nothing was sent, so the attempt was not run.
     NotSent,
-    /// The agent or its upstream was lost after the attempt was sent.
+    /// The connection to the agent or its upstream failed after the attempt was sent, so it may
+    /// have run.
     Lost,
-    /// This start of the upstream ended while it had the attempt.
+    /// This incarnation of the upstream crashed while it ran the attempt.
     UpstreamEnded(StartStamp),
-    /// The answer was made from other weights than those pinned.
+    /// The answer was computed with other weights than the pinned ones.
     WrongWeights,
-    /// The whole answer came.
+    /// The complete answer was received.
     Whole,
 }
 
-/// Something that happened at or to an entry.
+/// An input of the entry's reducer.
 #[derive(Debug, Clone)]
 pub enum EntryEvent {
-    /// A caller sent a request.
+    /// A caller sent a request; it is not admitted yet.
     RequestArrived(IncomingRequest),
-    /// The caller went away.
+    /// The caller disconnected before the request was answered.
     CallerGone(RequestId),
-    /// An attempt ended; the caller has this many bytes of the answer.
+    /// An attempt ended, with the number of answer bytes that the caller has received.
     AttemptEnded(AttemptId, AttemptEnd, u64),
-    /// What came of a claim.
+    /// The outcome of a claim; `Unavailable` where no shard coordinator answered.
     ClaimSettled(AttemptId, ClaimOutcome),
-    /// A catalogue was read.
+    /// A catalogue was read from the store; it is ignored unless its generation is newer.
     CatalogueSeen(Arc<CatalogueDocument>),
-    /// The platform's instance list was read.
+    /// The platform's complete instance list was read.
     InstancesSeen(Vec<InstanceRecord>),
     /// An agent answered a heartbeat.
     Synced(AgentSync),
-    /// An agent did not answer a heartbeat.
+    /// An agent did not answer a heartbeat in time.
     SyncFailed(InstanceId),
-    /// How many entries there are, this one included.
+    /// The number of live entries, this one included; limits are divided by it.
     EntriesCounted(usize),
-    /// Time passed.
+    /// Sent periodically: deadlines, verdicts and heartbeats that are due are handled.
     Tick,
-    /// A planned stop begins.
+    /// A planned shutdown starts: new requests are refused, those in progress are completed.
     Stop,
 }
 
-/// What an agent's heartbeat says.
+/// An agent's reply to a heartbeat.
 #[derive(Debug, Clone)]
 pub struct AgentSync {
-    /// The agent's instance.
+    /// The instance that the agent runs on.
     pub id: InstanceId,
-    /// The generation in force there.
+    /// The catalogue generation that the agent has applied.
     pub generation: Generation,
-    /// Load, capacity, weights and whether it is leaving.
+    /// Load, capacity, served weights and whether the agent is draining.
     pub report: UpstreamReport,
-    /// How far its wanted versions are.
+    /// The transfer progress of each version that the agent should hold.
     pub progress: Vec<WeightsProgress>,
-    /// What customers asked of all entries that the agent heard lately.
+    /// Demand by customer, summed over the entries whose heartbeats the agent received recently.
     pub demand: Vec<DemandRow>,
-    /// How many entries these are.
+    /// The number of entries in the sum, this one included; 0 where the agent sent no sum.
     pub entries: u32,
-    /// What the agent heard of requests under which upstreams ended.
+    /// Reports from other entries about requests whose upstream crashed.
     pub crashes: Vec<CrashReport>,
 }
 
-/// Something that an entry does.
+/// An action that the reducer asks the entry's tasks to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryEffect {
     /// Send an attempt to an agent.
     Send(SendOrder),
-    /// Give up an attempt.
+    /// Cancel an attempt; its result is not awaited any longer.
     Cancel(AttemptId),
-    /// Give up an attempt whose agent is silent, and report it as lost.
+    /// Cancel an attempt whose agent does not answer, and report it as [`AttemptEnd::Lost`].
     Abandon(AttemptId),
-    /// Tell the caller that there is no answer, or cut the answer that is under way.
+    /// Refuse the request, or cut off its answer where the caller has received a part of it.
     Reject {
-        /// The request.
+        /// The request, which the reducer has already removed.
         id: RequestId,
-        /// Why.
+        /// The reason sent to the caller.
         code: ResultCode,
-        /// When it is worth coming back.
+        /// How long the caller should wait before it tries again.
         retry_after: Millis,
     },
-    /// Ask for a claim, one keeper after the other until one answers.
+    /// Ask for a claim, one shard coordinator after the other until one answers.
     AskClaim(ClaimOrder),
-    /// Take a claim back, until a keeper has noted it.
+    /// Release a claim, retrying until a shard coordinator confirms it.
     ReleaseClaim(ClaimOrder),
-    /// Send a heartbeat, with the catalogue where the agent is behind.
+    /// Send a heartbeat to an agent.
     Sync {
-        /// The agent's instance.
+        /// The instance that the agent runs on.
         id: InstanceId,
-        /// Where it listens.
+        /// The agent's `host:port`.
         address: Box<str>,
-        /// Whether to send the catalogue along.
+        /// Whether to include the catalogue, because the agent has an older generation.
         with_catalogue: bool,
-        /// Whether to tell what customers ask for, and to ask for the sum.
+        /// Whether to include this entry's demand and ask for the sum over all entries.
         with_demand: bool,
-        /// What to tell of requests under which upstreams ended.
+        /// Reports to pass on about requests whose upstream crashed.
         crashes: Vec<CrashReport>,
     },
 }
 
-/// A claim to be asked for or taken back.
+/// A claim to request or to release.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimOrder {
-    /// The request's key.
+    /// The key of the non-idempotent request.
     pub key: RequestKey,
-    /// The attempt that claims it.
+    /// The attempt in whose name the key is claimed.
     pub attempt: AttemptId,
-    /// Whom to ask, first choice first.
+    /// The shard's coordinators in the order in which to ask them.
     pub keepers: Vec<ClaimCoordinator>,
 }
 
-/// An attempt to be sent.
+/// An attempt to send to an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SendOrder {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub id: RequestId,
-    /// The attempt.
+    /// A new random id; the agent runs each id once.
     pub attempt: AttemptId,
-    /// The agent's instance.
+    /// The instance whose agent runs the attempt.
     pub instance: InstanceId,
-    /// Where the agent listens.
+    /// The agent's `host:port`.
     pub address: Box<str>,
-    /// The weights that the answer must be made from, for a model.
+    /// The weights that must compute the answer; `None` for a plain service.
     pub pinned: Option<ManifestDigest>,
-    /// The request's class.
+    /// The class from the catalogue, by which the agent's queue orders requests.
     pub class: RequestClass,
-    /// How much time is left.
+    /// The time until the request's deadline.
     pub remaining: Millis,
-    /// How many bytes of the answer the caller has.
+    /// The number of answer bytes that the caller has received; the answer resumes after them.
     pub resume_from: u64,
 }
 
-/// What an entry must know of itself and how it decides.
+/// The settings of an entry's reducer.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// The entry's own instance.
+    /// This entry's instance id; it also seeds the choice of agents.
     pub own: InstanceId,
-    /// Its data centre.
+    /// This entry's data centre; upstreams in it are preferred.
     pub data_centre: DataCentre,
-    /// How upstreams are chosen.
+    /// Settings of the choice of an upstream.
     pub routing: RoutingSettings,
-    /// How attempts are repeated.
+    /// The retry budget.
     pub retry: RetrySettings,
-    /// Over how many documents claims are spread; the same at all agents.
+    /// The number of shards, each a document in the store, that hold the claims. All entries and
+    /// agents must use the same number.
     pub claim_shards: u32,
-    /// How the instance list is corrected.
+    /// When an instance of the list is considered dead after failed heartbeats.
     pub members: MemberSettings,
-    /// How many agents of each service this entry talks to.
+    /// The maximum number of agents per service that this entry sends heartbeats and requests to.
     pub subset: usize,
-    /// How often it sends a heartbeat to each of them.
+    /// The interval between heartbeats to one agent, in milliseconds; up to a quarter is added at
+    /// random.
     pub sync_every: Millis,
 }
--- a/mustardrill_core/src/entry/mod.rs
+++ b/mustardrill_core/src/entry/mod.rs
@@ -1,4 +1,5 @@
-//! The entry's reducer: everything that the process before the callers decides.
+//! The entry's reducer: admission, routing, claims, retries and heartbeats of the process that
+//! accepts callers' connections.
 
 mod dispatch;
 mod event;
--- a/mustardrill_core/src/entry/reducer.rs
+++ b/mustardrill_core/src/entry/reducer.rs
@@ -1,4 +1,4 @@
-//! One reducer over all events of an entry.
+//! The reducer of an entry. It does no input or output: it takes events and returns effects.
 
 use std::sync::Arc;
 
@@ -28,13 +28,13 @@
 use crate::rendezvous;
 use crate::routing::RoutingTable;
 
-/// When a caller may come back where the platform's service does not answer.
-const CLAIM_RETRY: Millis = Millis(2_000);
+/// Retry-after for a caller whose claim could not be made because the store does not answer.
+const RETRY_AFTER_CLAIM_UNAVAILABLE: Millis = Millis(2_000);
 
-/// How long a round of demand is, by which limits are shared.
+/// The period over which requests are counted to divide the customers' limits between entries.
 const DEMAND_ROUND: Millis = Millis(1_000);
 
-/// Everything that an entry knows; it holds no bytes of requests or answers.
+/// The state of an entry. It holds no bytes of requests or answers.
 #[derive(Debug)]
 pub struct EntryReducer {
     pub(super) settings: EntrySettings,
@@ -45,36 +45,39 @@
     pub(super) limits: LimitTable,
     pub(super) budget: RetryBudget,
     agents: FastMap<InstanceId, AgentView>,
-    /// The agents of each service that this entry talks to.
+    /// By service, the instances that this entry sends heartbeats and requests to.
     pub(super) subsets: FastMap<ServiceName, Vec<InstanceId>>,
+    /// The number of live entries, this one included.
     pub(super) entries: usize,
-    /// What customers asked of this entry during the last round.
+    /// The requests that this entry received in the last complete round, by customer and target.
     pub(super) demand: Vec<DemandRow>,
     pub(super) next_round: Moment,
-    /// The number of the round of demand.
-    round: u64,
-    /// Requests under which upstreams ended, and what is passed on of them.
+    /// The number of the current demand round.
+    demand_round: u64,
     pub(super) quarantine: QuarantineTable,
     pub(super) crashes: CrashReportRelay,
-    /// Requests that wait for the verdict on them.
-    pub(super) undecided: Vec<RequestId>,
+    /// Suspected requests that are held until the verdict on them.
+    pub(super) awaiting_verdict: Vec<RequestId>,
     pub(super) leaving: bool,
     pub(super) random: SmallRng,
 }
 
-/// What an entry knows of one agent that it talks to.
+/// The state of the heartbeats to one agent.
 #[derive(Debug, Default)]
 struct AgentView {
+    /// The catalogue generation that the agent has applied; 0 where it is unknown.
     generation: Generation,
     next_sync: Moment,
-    /// The last round whose demand the agent was told.
-    told_round: u64,
-    pending: bool,
+    /// The last demand round that was sent to the agent.
+    sent_round: u64,
+    /// Whether a heartbeat was sent that is not answered yet.
+    is_sync_pending: bool,
     progress: Vec<WeightsProgress>,
 }
 
 impl EntryReducer {
-    /// An entry that knows nothing yet. `seed` decides between equals and makes attempt ids.
+    /// Creates an entry without catalogue and instances. `seed` is for random choices among
+    /// upstreams, the spread of heartbeats, and attempt ids.
     pub fn new(settings: EntrySettings, seed: u64) -> Self {
         Self {
             document: Arc::default(),
@@ -88,28 +91,29 @@
             entries: 1,
             demand: Vec::new(),
             next_round: Moment(0),
-            round: 1,
-            // A word goes to an agent with one heartbeat, and on with the next of each entry.
+            demand_round: 1,
+            // A crash report reaches an agent with one heartbeat and the other entries with their
+            // next ones, so verdicts wait for two and a half heartbeat intervals.
             quarantine: QuarantineTable::new(Millis(settings.sync_every.0 * 5 / 2)),
             crashes: CrashReportRelay::default(),
-            undecided: Vec::new(),
+            awaiting_verdict: Vec::new(),
             leaving: false,
             random: SmallRng::seed_from_u64(seed),
             settings,
         }
     }
 
-    /// Takes one event and returns what is to be done.
+    /// Applies one event and returns the effects to carry out, in order.
     pub fn reduce(&mut self, now: Moment, event: EntryEvent) -> Vec<EntryEffect> {
         match event {
             EntryEvent::RequestArrived(incoming) => self.request_arrived(now, incoming),
-            EntryEvent::CallerGone(id) => self.caller_gone(now, id),
+            EntryEvent::CallerGone(id) => self.caller_disconnected(now, id),
             EntryEvent::AttemptEnded(attempt, end, delivered) => {
                 self.attempt_ended(now, attempt, &end, delivered)
             }
             EntryEvent::ClaimSettled(attempt, outcome) => self.claim_settled(now, attempt, outcome),
-            EntryEvent::CatalogueSeen(document) => self.catalogue_seen(now, document),
-            EntryEvent::InstancesSeen(list) => self.instances_seen(now, list),
+            EntryEvent::CatalogueSeen(document) => self.catalogue_received(now, document),
+            EntryEvent::InstancesSeen(list) => self.instances_received(now, list),
             EntryEvent::Synced(sync) => self.synced(now, sync),
             EntryEvent::SyncFailed(id) => self.sync_failed(now, &id),
             EntryEvent::EntriesCounted(count) => {
@@ -125,47 +129,48 @@
         }
     }
 
-    /// The catalogue in force here.
+    /// The catalogue that this entry has applied.
     pub fn document(&self) -> &Arc<CatalogueDocument> {
         &self.document
     }
 
-    /// What customers asked of this entry during the last round.
+    /// The requests that this entry received in the last complete round, by customer and target.
     pub fn demand(&self) -> &[DemandRow] {
         &self.demand
     }
 
-    /// The members as this entry sees them.
+    /// The instance list, with the failures of heartbeats that this entry has seen.
     pub fn members(&self) -> &MemberTable {
         &self.members
     }
 
-    /// The limits in use, for the check of edits.
+    /// The customers' limits and their current use, which the check of catalogue edits needs.
     pub fn limits(&self) -> &LimitTable {
         &self.limits
     }
 
-    /// Whether the entry takes no new work.
+    /// Whether the entry is draining and refuses new requests.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether nothing is in progress.
+    /// Whether no requests are in progress.
     pub fn is_drained(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// The request that awaits an attempt; nothing for a late or foreign one.
+    /// The request that waits for an attempt's result; `None` where the attempt is late or unknown.
     pub fn awaits(&self, attempt: AttemptId) -> Option<RequestId> {
-        self.requests.of_attempt(attempt)
+        self.requests.request_of_attempt(attempt)
     }
 
-    /// The agents that this entry talks to, each with the generation in force there.
+    /// The agents that this entry sends heartbeats to, each with the catalogue generation that it
+    /// has applied and the transfer progress that it reported.
     pub fn agents(&self) -> impl Iterator<Item = (&InstanceId, Generation, &[WeightsProgress])> {
         self.agents.iter().map(|(id, view)| (id, view.generation, &*view.progress))
     }
 
-    /// The upstreams' last reports.
+    /// The load balancer's table, with the last report of each upstream.
     pub fn routing(&self) -> &RoutingTable {
         &self.routing
     }
@@ -184,20 +189,21 @@
         };
         self.budget.earn();
         self.requests.insert(id, RequestState::new(incoming, entry.class));
-        self.hold_suspect(now, id).unwrap_or_else(|| self.begin(now, id))
+        self.hold_suspect(now, id).unwrap_or_else(|| self.start_request(now, id))
     }
 
-    /// Asks for the claim of a request that was admitted, or sends one that needs none.
-    pub(super) fn begin(&mut self, now: Moment, id: RequestId) -> Vec<EntryEffect> {
+    /// Starts an admitted request: a non-idempotent one is claimed first, others are sent at once.
+    pub(super) fn start_request(&mut self, now: Moment, id: RequestId) -> Vec<EntryEffect> {
         let Some(state) = self.requests.get_mut(id) else { return Vec::new() };
-        let Some(key) = state.key else { return self.send(now, id) };
+        let Some(key) = state.key else { return self.send_attempt(now, id) };
         let attempt = AttemptId(self.random.random());
         state.stage = RequestStage::Claiming;
         state.claimant = Some(attempt);
-        self.requests.bind(attempt, id);
+        self.requests.bind_attempt(attempt, id);
         vec![EntryEffect::AskClaim(self.claim_order(now, key, attempt))]
     }
 
+    /// Checks that the caller may make the request now and counts it against the customer's limits.
     fn admit(
         &mut self,
         now: Moment,
@@ -223,18 +229,19 @@
         Ok(entry)
     }
 
-    fn caller_gone(&mut self, now: Moment, id: RequestId) -> Vec<EntryEffect> {
-        let Some(state) = self.finish(id) else { return Vec::new() };
+    fn caller_disconnected(&mut self, now: Moment, id: RequestId) -> Vec<EntryEffect> {
+        let Some(state) = self.remove_request(id) else { return Vec::new() };
         match state.stage {
             RequestStage::Sent(attempt, instance) => {
                 self.routing.record_ended(now, &instance, true);
                 vec![EntryEffect::Cancel(attempt)]
             }
             RequestStage::Claiming => self.release_claim(now, &state).into_iter().collect(),
-            RequestStage::Judged => Vec::new(),
+            RequestStage::AwaitingVerdict => Vec::new(),
         }
     }
 
+    /// A claim to request or release, with the shard's coordinators as this entry knows them now.
     pub(super) fn claim_order(
         &self,
         now: Moment,
@@ -256,32 +263,36 @@
         attempt: AttemptId,
         outcome: ClaimOutcome,
     ) -> Vec<EntryEffect> {
-        let Some(id) = self.requests.of_attempt(attempt) else { return Vec::new() };
-        self.requests.unbind(attempt);
+        let Some(id) = self.requests.request_of_attempt(attempt) else { return Vec::new() };
+        self.requests.unbind_attempt(attempt);
         info!("claim request={id} attempt={attempt} decision={outcome:?}");
         match outcome {
             ClaimOutcome::Granted => {
-                self.reject_quarantined(now, id).unwrap_or_else(|| self.send(now, id))
+                self.reject_quarantined(now, id).unwrap_or_else(|| self.send_attempt(now, id))
             }
             ClaimOutcome::Taken => {
-                // The key is another sending's: nothing of ours is to be taken back.
-                self.forget_claim(id);
+                // Another request holds the key, so this one has no claim to release.
+                self.clear_claimant(id);
                 self.reject(now, id, ResultCode::AlreadyClaimed, Millis(0))
             }
             ClaimOutcome::Unavailable => {
-                // A keeper that did not answer may still write it: it is taken back as well.
-                self.reject(now, id, ResultCode::ClaimUnavailable, CLAIM_RETRY)
+                // A coordinator that did not answer may still write the claim, so it is released.
+                self.reject(now, id, ResultCode::ClaimUnavailable, RETRY_AFTER_CLAIM_UNAVAILABLE)
             }
         }
     }
 
-    fn forget_claim(&mut self, id: RequestId) {
+    fn clear_claimant(&mut self, id: RequestId) {
         if let Some(state) = self.requests.get_mut(id) {
             state.claimant = None;
         }
     }
 
-    fn catalogue_seen(&mut self, now: Moment, next: Arc<CatalogueDocument>) -> Vec<EntryEffect> {
+    fn catalogue_received(
+        &mut self,
+        now: Moment,
+        next: Arc<CatalogueDocument>,
+    ) -> Vec<EntryEffect> {
         if !adopt(&mut self.document, next) {
             return Vec::new();
         }
@@ -289,11 +300,11 @@
         self.sync_due(now)
     }
 
-    fn instances_seen(&mut self, now: Moment, list: Vec<InstanceRecord>) -> Vec<EntryEffect> {
+    fn instances_received(&mut self, now: Moment, list: Vec<InstanceRecord>) -> Vec<EntryEffect> {
         if !self.members.replace(list) {
             return Vec::new();
         }
-        self.subsets = self.choose_subsets();
+        self.subsets = self.select_subsets();
         let chosen: FastSet<_> = self.subsets.values().flatten().cloned().collect();
         let is_gone = |id: &&InstanceId| !chosen.contains(*id);
         let gone: Vec<_> = self.agents.keys().filter(is_gone).cloned().collect();
@@ -309,47 +320,49 @@
         self.sync_due(now)
     }
 
-    /// The agents that this entry talks to: of each service a few, by rendezvous hashing.
-    fn choose_subsets(&self) -> FastMap<ServiceName, Vec<InstanceId>> {
+    /// Selects, by rendezvous hashing, up to `subset` instances of each service to send heartbeats
+    /// and requests to.
+    fn select_subsets(&self) -> FastMap<ServiceName, Vec<InstanceId>> {
         let mut services: FastMap<ServiceName, Vec<&InstanceRecord>> = FastMap::default();
         for record in self.members.records() {
             services.entry(record.service.clone()).or_default().push(record);
         }
         let own = self.settings.own.as_str().as_bytes();
-        let choose = |records: Vec<&InstanceRecord>| {
+        let select = |records: Vec<&InstanceRecord>| {
             let ranked = rendezvous::ranked(own, &records, |record| record.id.as_str());
             ranked.iter().take(self.settings.subset).map(|record| record.id.clone()).collect()
         };
-        services.into_iter().map(|(service, records)| (service, choose(records))).collect()
+        services.into_iter().map(|(service, records)| (service, select(records))).collect()
     }
 
     fn synced(&mut self, now: Moment, sync: AgentSync) -> Vec<EntryEffect> {
         let Some(view) = self.agents.get_mut(&sync.id) else { return Vec::new() };
-        view.pending = false;
-        // An agent that was replaced begins anew, whatever its forerunner had.
+        view.is_sync_pending = false;
+        // May be lower than before: a restarted agent has no catalogue, whatever its predecessor had.
         view.generation = sync.generation;
-        self.crashes_heard(now, sync.crashes);
+        self.record_crash_reports(now, sync.crashes);
         let Some(view) = self.agents.get_mut(&sync.id) else { return Vec::new() };
         view.progress = sync.progress;
-        self.share_limits(&sync.demand, sync.entries);
+        self.update_limit_shares(&sync.demand, sync.entries);
         self.members.record_success(&sync.id);
-        let near = self
+        let is_local = self
             .members
             .get(&sync.id)
             .is_some_and(|record| record.data_centre == self.settings.data_centre);
-        self.routing.record_report(now, &sync.id, near, sync.report);
+        self.routing.record_report(now, &sync.id, is_local, sync.report);
         Vec::new()
     }
 
-    /// Moves this entry's shares of the limits towards its part of the demand.
-    fn share_limits(&mut self, totals: &[DemandRow], heard: u32) {
-        if heard == 0 {
+    /// Moves this entry's shares of the limits towards its part of the demand. `totals` is the sum
+    /// over `reporting` entries, this one included; with none there is nothing to update from.
+    fn update_limit_shares(&mut self, totals: &[DemandRow], reporting: u32) {
+        if reporting == 0 {
             return;
         }
         for row in totals {
             let own = self.demand.iter().find(|mine| mine.key == row.key);
             let own = own.map_or(0, |mine| mine.requests);
-            let all = demand_of_all(own, row.requests, heard, self.entries);
+            let all = estimate_total_demand(own, row.requests, reporting, self.entries);
             let entry = self.document.entries.get(&row.key.1);
             let limit = entry.map_or(0, |entry| entry.limits.requests_per_second);
             let demand = RoundDemand { own, all, limit };
@@ -357,21 +370,21 @@
         }
     }
 
-    /// Ends a round of demand.
-    fn count_demand(&mut self, now: Moment) {
+    /// Ends the demand round where its time is over.
+    fn close_demand_round(&mut self, now: Moment) {
         if now < self.next_round {
             return;
         }
         self.next_round = now + DEMAND_ROUND;
-        self.round += 1;
+        self.demand_round += 1;
         let requests = self.limits.take_demand().into_iter().filter(|(_, requests)| *requests > 0);
         self.demand = requests.map(|(key, requests)| DemandRow { key, requests }).collect();
     }
 
     fn sync_failed(&mut self, now: Moment, id: &InstanceId) -> Vec<EntryEffect> {
         if let Some(view) = self.agents.get_mut(id) {
-            view.pending = false;
-            // A replaced agent starts with nothing, so it is sent the catalogue again.
+            view.is_sync_pending = false;
+            // The agent may be restarting, and starts without a catalogue: it is sent again.
             view.generation = Generation(0);
         }
         self.members.record_failure(now, id);
@@ -379,17 +392,19 @@
         if self.members.is_live(now, id) {
             return Vec::new();
         }
-        // A connection that is silent without being closed would hold them until their deadlines.
-        let attempts = self.requests.repeatable_at(id);
+        // A connection that is silent without being closed would hold the attempts until their
+        // deadlines. Those that may run twice are abandoned now, to be retried at other instances.
+        let attempts = self.requests.idempotent_attempts_at(id);
         attempts.into_iter().map(EntryEffect::Abandon).collect()
     }
 
+    /// Sends a heartbeat to each agent for which one is due and none is unanswered.
     fn sync_due(&mut self, now: Moment) -> Vec<EntryEffect> {
         let every = self.settings.sync_every.0;
         let mut due: Vec<_> = self
             .agents
             .iter()
-            .filter(|(_, view)| !view.pending && view.next_sync <= now)
+            .filter(|(_, view)| !view.is_sync_pending && view.next_sync <= now)
             .map(|(id, _)| id.clone())
             .collect();
         due.sort_unstable();
@@ -398,13 +413,15 @@
             let Some(record) = self.members.get(&id) else { continue };
             let address = record.agent.clone();
             let Some(view) = self.agents.get_mut(&id) else { continue };
-            // Spread by a quarter, so that heartbeats of many entries don't fall into step.
+            // Up to a quarter of the interval is added at random, so that the heartbeats of many
+            // entries do not synchronise.
             let spread = self.random.random_range(0..=every / 4);
             view.next_sync = now + Millis(every + spread);
-            view.pending = true;
+            view.is_sync_pending = true;
             let with_catalogue = view.generation < self.document.generation;
-            // More often than once a round there is nothing new to tell.
-            let with_demand = std::mem::replace(&mut view.told_round, self.round) != self.round;
+            // The demand changes once a round; it is not sent twice.
+            let with_demand =
+                std::mem::replace(&mut view.sent_round, self.demand_round) != self.demand_round;
             let crashes = self.crashes.active_reports(now);
             effects.push(EntryEffect::Sync { id, address, with_catalogue, with_demand, crashes });
         }
@@ -412,17 +429,18 @@
     }
 
     fn tick(&mut self, now: Moment) -> Vec<EntryEffect> {
-        self.count_demand(now);
-        let mut effects = self.decide_suspects(now);
-        for id in self.requests.overdue(now) {
-            effects.extend(self.overdue(now, id));
+        self.close_demand_round(now);
+        let mut effects = self.apply_verdicts(now);
+        for id in self.requests.past_deadline(now) {
+            effects.extend(self.deadline_passed(now, id));
         }
         effects.extend(self.sync_due(now));
         effects
     }
 
-    /// Ends a request whose deadline passed. What was sent may have run.
-    fn overdue(&mut self, now: Moment, id: RequestId) -> Vec<EntryEffect> {
+    /// Ends a request whose deadline has passed. If an attempt is in progress, it may have run, and
+    /// the result is unknown.
+    fn deadline_passed(&mut self, now: Moment, id: RequestId) -> Vec<EntryEffect> {
         let Some(state) = self.requests.get(id) else { return Vec::new() };
         let stage = state.stage.clone();
         let RequestStage::Sent(attempt, instance) = stage else {
@@ -435,16 +453,18 @@
     }
 }
 
-/// What was asked of all entries, from an agent that heard of some of them, this one included.
+/// Estimates a customer's requests to all `entries` from `reported`, the sum over the `reporting`
+/// entries that an agent received demand from, this one included.
 ///
-/// The others that were heard stand for those that were not. This entry stands for itself alone:
-/// counted among them, a customer of one entry would seem to ask the same of all. Where nobody
-/// else was heard nothing is known, and zero stands for equal shares.
-fn demand_of_all(own: u32, asked: u32, heard: u32, entries: usize) -> u32 {
-    let (others, others_heard) = (entries as u64 - 1, u64::from(heard) - 1);
-    if others_heard == 0 {
+/// The mean of the other reporting entries is extrapolated to those that did not report. This
+/// entry's own demand is not: a customer that uses only this entry would seem to send as much to
+/// each of the others. Where no other entry reported, nothing is known of them, and 0 is returned,
+/// which gives equal shares.
+fn estimate_total_demand(own: u32, reported: u32, reporting: u32, entries: usize) -> u32 {
+    let (others, others_reporting) = (entries as u64 - 1, u64::from(reporting) - 1);
+    if others_reporting == 0 {
         return if others == 0 { own } else { 0 };
     }
-    let of_others = u64::from(asked.saturating_sub(own)) * others / others_heard;
+    let of_others = u64::from(reported.saturating_sub(own)) * others / others_reporting;
     u64::from(own).saturating_add(of_others).min(u64::from(u32::MAX)) as u32
 }
--- a/mustardrill_core/src/entry/request.rs
+++ b/mustardrill_core/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! The requests that an entry has in progress and their attempts.
+//! The table of requests in progress at an entry, with the attempts that they wait for.
 
 use mustardrill_types::{
     AttemptId, CustomerName, FastMap, InstanceId, ManifestDigest, ModelName, Moment, RequestDigest,
@@ -17,36 +17,37 @@
     pub(crate) key: Option<RequestKey>,
     pub(crate) digest: RequestDigest,
     pub(crate) deadline: Moment,
-    /// When it was sent to an agent last.
-    pub(crate) sent: Moment,
+    /// When the last attempt was sent to an agent.
+    pub(crate) sent_at: Moment,
     pub(crate) affinity: Option<Box<str>>,
     pub(crate) stage: RequestStage,
-    /// Attempts so far.
+    /// The number of attempts sent so far.
     pub(crate) attempts: u32,
-    /// Upstreams that were tried.
+    /// The instances that attempts were sent to, in order.
     pub(crate) tried: Vec<InstanceId>,
-    /// Whether an attempt was lost that may have run.
+    /// Whether an attempt was lost after it was sent, so that it may have run.
     pub(crate) may_have_run: bool,
-    /// Bytes of the answer that went to the caller.
+    /// The number of answer bytes that the caller has received.
     pub(crate) delivered: u64,
-    /// The weights of the bytes that went to the caller.
+    /// The weights of the last attempt. Once bytes were delivered, all later attempts must use the
+    /// same weights.
     pub(crate) pinned: Option<ManifestDigest>,
-    /// The attempt that claimed the key, kept through retries.
+    /// The attempt in whose name the key was claimed; it stays the same through retries.
     pub(crate) claimant: Option<AttemptId>,
 }
 
-/// Where a request stands.
+/// What a request in progress waits for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RequestStage {
-    /// Its claim is awaited.
+    /// The outcome of its claim.
     Claiming,
-    /// An attempt is under way.
+    /// The result of this attempt at this instance.
     Sent(AttemptId, InstanceId),
-    /// A verdict is awaited on whether upstreams end under it.
-    Judged,
+    /// The verdict on whether the request crashes upstreams and is quarantined.
+    AwaitingVerdict,
 }
 
-/// The requests of one entry, by request and by attempt.
+/// The requests in progress at one entry, with an index by attempt.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     requests: FastMap<RequestId, RequestState>,
@@ -62,7 +63,7 @@
             key: incoming.key,
             digest: incoming.digest,
             deadline: incoming.deadline,
-            sent: Moment(0),
+            sent_at: Moment(0),
             affinity: incoming.affinity,
             stage: RequestStage::Claiming,
             attempts: 0,
@@ -93,23 +94,23 @@
         self.requests.get_mut(&id)
     }
 
-    /// The request that awaits this attempt; nothing for a late or foreign one.
-    pub(crate) fn of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
+    /// The request that waits for this attempt; `None` where the attempt is late or unknown.
+    pub(crate) fn request_of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
         self.attempts.get(&attempt).copied()
     }
 
-    /// Notes that `attempt` now stands for the request.
-    pub(crate) fn bind(&mut self, attempt: AttemptId, id: RequestId) {
+    /// Makes results of `attempt` count for the request.
+    pub(crate) fn bind_attempt(&mut self, attempt: AttemptId, id: RequestId) {
         self.attempts.insert(attempt, id);
     }
 
-    pub(crate) fn unbind(&mut self, attempt: AttemptId) {
+    pub(crate) fn unbind_attempt(&mut self, attempt: AttemptId) {
         self.attempts.remove(&attempt);
     }
 
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestState> {
         let state = self.requests.remove(&id)?;
-        // Only its claim's attempt and the one under way can be bound.
+        // No attempt is bound but the claimant and the one in progress.
         if let RequestStage::Sent(attempt, _) = state.stage {
             self.attempts.remove(&attempt);
         }
@@ -119,17 +120,17 @@
         Some(state)
     }
 
-    pub(crate) fn overdue(&self, now: Moment) -> Vec<RequestId> {
-        let late = self.requests.iter().filter(|(_, state)| state.deadline <= now);
-        let mut late: Vec<_> = late.map(|(id, _)| *id).collect();
-        late.sort_unstable();
-        late
+    pub(crate) fn past_deadline(&self, now: Moment) -> Vec<RequestId> {
+        let expired = self.requests.iter().filter(|(_, state)| state.deadline <= now);
+        let mut expired: Vec<_> = expired.map(|(id, _)| *id).collect();
+        expired.sort_unstable();
+        expired
     }
 
-    /// The attempts at an instance of requests that another one may run as well.
-    pub(crate) fn repeatable_at(&self, instance: &InstanceId) -> Vec<AttemptId> {
-        let repeatable = self.requests.values().filter(|state| state.is_idempotent());
-        let attempts = repeatable.filter_map(|state| match &state.stage {
+    /// The attempts of idempotent requests at an instance; another instance may run them again.
+    pub(crate) fn idempotent_attempts_at(&self, instance: &InstanceId) -> Vec<AttemptId> {
+        let idempotent = self.requests.values().filter(|state| state.is_idempotent());
+        let attempts = idempotent.filter_map(|state| match &state.stage {
             RequestStage::Sent(attempt, at) if at == instance => Some(*attempt),
             _ => None,
         });
--- a/mustardrill_core/src/entry/suspicion.rs
+++ b/mustardrill_core/src/entry/suspicion.rs
@@ -1,4 +1,4 @@
-//! What an entry makes of requests under which upstreams end.
+//! Quarantine of requests that crash upstreams, as one entry applies it.
 
 use log::{info, warn};
 use mustardrill_types::{InstanceId, Moment, RequestDigest, ResultCode, StartStamp};
@@ -9,8 +9,9 @@
 use crate::quarantine::{CrashReport, CrashedRun, QUARANTINE_SPAN};
 
 impl EntryReducer {
-    /// Goes on after an attempt whose upstream ended.
-    pub(super) fn upstream_ended(
+    /// Handles an attempt during which its upstream crashed: the crash is reported to the other
+    /// entries, and the request is retried unless it is now suspected.
+    pub(super) fn upstream_crashed(
         &mut self,
         now: Moment,
         id: RequestId,
@@ -23,26 +24,27 @@
             digest: state.digest,
             upstream: instance.clone(),
             start,
-            sent: state.sent,
+            sent: state.sent_at,
             ended: now,
         };
         self.crashes.record(now, CrashReport::Crashed(run.clone()));
         self.quarantine.record_crash(now, run);
-        self.hold_suspect(now, id).unwrap_or_else(|| self.lost(now, id, ResultCode::Unknown))
+        self.hold_suspect(now, id)
+            .unwrap_or_else(|| self.attempt_lost(now, id, ResultCode::Unknown))
     }
 
-    /// Notes that a request was answered whole: it is none that upstreams end under.
-    pub(super) fn run_succeeded(&mut self, now: Moment, digest: RequestDigest) {
+    /// Clears a request of suspicion, as it was answered completely without a crash.
+    pub(super) fn record_complete_answer(&mut self, now: Moment, digest: RequestDigest) {
         if self.quarantine.record_success(now, digest, now) {
             info!("quarantine digest={digest} outcome=sound");
             self.crashes.record(now, CrashReport::Sound(digest, now));
         }
     }
 
-    /// Takes what an agent passes on.
-    pub(super) fn crashes_heard(&mut self, now: Moment, words: Vec<CrashReport>) {
-        for word in words {
-            match word {
+    /// Applies the crash reports of other entries, which an agent passed on.
+    pub(super) fn record_crash_reports(&mut self, now: Moment, reports: Vec<CrashReport>) {
+        for report in reports {
+            match report {
                 CrashReport::Crashed(run) => {
                     self.quarantine.record_crash(now, run);
                 }
@@ -52,33 +54,33 @@
                         info!("quarantine digest={digest} outcome=sound source=agent");
                     }
                 }
-                CrashReport::Quarantined(digest, left) => {
-                    if self.quarantine.start(now, digest, left) {
+                CrashReport::Quarantined(digest, remaining) => {
+                    if self.quarantine.start(now, digest, remaining) {
                         info!("quarantine digest={digest} outcome=begun source=agent");
-                        self.crashes.record(now, CrashReport::Quarantined(digest, left));
+                        self.crashes.record(now, CrashReport::Quarantined(digest, remaining));
                     }
                 }
             }
         }
     }
 
-    /// Rejects a request that is run no more; nothing where it may run.
+    /// Rejects a quarantined request; `None` where the request is not quarantined.
     pub(super) fn reject_quarantined(
         &mut self,
         now: Moment,
         id: RequestId,
     ) -> Option<Vec<EntryEffect>> {
         let state = self.requests.get(id)?;
-        let left = self.quarantine.remaining(now, state.digest)?;
-        // A sending that was not run gives its key back.
+        let remaining = self.quarantine.remaining(now, state.digest)?;
+        // No attempt has run, so the key's claim is released.
         let released = if state.may_have_run { None } else { self.release_claim(now, state) };
         let mut effects: Vec<_> = released.into_iter().collect();
-        effects.extend(self.reject(now, id, ResultCode::Quarantined, left));
+        effects.extend(self.reject(now, id, ResultCode::Quarantined, remaining));
         Some(effects)
     }
 
-    /// Keeps a request from being run: it is rejected, or waits for the verdict on it. Nothing where
-    /// it may run.
+    /// Rejects a quarantined request, or holds a suspected one until the verdict on it. `None` where
+    /// the request may be sent.
     pub(super) fn hold_suspect(&mut self, now: Moment, id: RequestId) -> Option<Vec<EntryEffect>> {
         if let Some(refusal) = self.reject_quarantined(now, id) {
             return Some(refusal);
@@ -88,13 +90,13 @@
             return None;
         }
         info!("request={id} decision=hold reason=verdict digest={}", state.digest);
-        state.stage = RequestStage::Judged;
-        self.undecided.push(id);
+        state.stage = RequestStage::AwaitingVerdict;
+        self.awaiting_verdict.push(id);
         Some(Vec::new())
     }
 
-    /// Decides on the suspects, where that is due, and goes on with what waited for it.
-    pub(super) fn decide_suspects(&mut self, now: Moment) -> Vec<EntryEffect> {
+    /// Takes the verdicts that are due, and resumes the requests held for them.
+    pub(super) fn apply_verdicts(&mut self, now: Moment) -> Vec<EntryEffect> {
         if self.quarantine.next_verdict().is_none_or(|due| due > now) {
             return Vec::new();
         }
@@ -102,18 +104,18 @@
             warn!("quarantine digest={digest} outcome=begun");
             self.crashes.record(now, CrashReport::Quarantined(digest, QUARANTINE_SPAN));
         }
-        let undecided = std::mem::take(&mut self.undecided);
-        undecided.into_iter().flat_map(|id| self.resume(now, id)).collect()
+        let held = std::mem::take(&mut self.awaiting_verdict);
+        held.into_iter().flat_map(|id| self.resume(now, id)).collect()
     }
 
-    /// Goes on with a request that waited for the verdict on it.
+    /// Continues with a request that was held for a verdict.
     fn resume(&mut self, now: Moment, id: RequestId) -> Vec<EntryEffect> {
-        if let Some(held) = self.hold_suspect(now, id) {
-            return held;
+        if let Some(effects) = self.hold_suspect(now, id) {
+            return effects;
         }
         match self.requests.get(id) {
-            Some(state) if state.may_have_run => self.lost(now, id, ResultCode::Unknown),
-            Some(_) => self.begin(now, id),
+            Some(state) if state.may_have_run => self.attempt_lost(now, id, ResultCode::Unknown),
+            Some(_) => self.start_request(now, id),
             None => Vec::new(),
         }
     }
