--- a/mustardrill_core/tests/requests.rs
+++ b/mustardrill_core/tests/requests.rs
@@ -1,7 +1,9 @@
-//! Requests through entries and agents under generated failures: answered once, or truthfully not.
+//! Requests through entries and agents under generated failures.
 //!
-//! Reducers of both kinds are joined by a small fake network with delays, crashes, cuts, freezes
-//! and an outage of the key-value service. What callers were told is held against what ran.
+//! The reducers of entries and agents are connected by a simulated network with delays, crashes,
+//! cut links, suspended processes and outages of the key-value service. The result that each caller
+//! received is compared with the runs: a caller must not receive two results, nor be told that a
+//! request was not run when it was, and a non-idempotent request must not run twice.
 
 mod common;
 
@@ -32,97 +34,153 @@
 
 const AGENTS: usize = 3;
 const ENTRIES: usize = 2;
-const WALL_S: u64 = 1_000_000;
-/// How long a frozen or cut process is so.
+/// The wall-clock time that claims are written with, in seconds.
+const WALL_CLOCK_S: u64 = 1_000_000;
+/// How long a suspension, a cut link or an outage lasts.
 const FAULT_MS: u64 = 300;
-/// After this time every request has its final answer.
+/// End of the simulation, in milliseconds; by then every request must have its final result.
 const END_MS: u64 = 8_000;
 
-/// What befalls the fleet at one moment.
+/// An injected fault.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     CrashAgent(usize),
     CrashEntry(usize),
-    FreezeAgent(usize),
+    SuspendAgent(usize),
+    /// All connections to the agent break and new ones fail.
     CutAgent(usize),
+    /// A planned shutdown.
     StopAgent(usize),
-    Outage,
-    LoseClaimAnswers,
+    /// The key-value service carries out no writes and answers nothing.
+    StoreOutage,
+    /// The key-value service carries out writes, but its responses are lost.
+    LoseStoreResponses,
 }
 
-/// One sending of a caller.
+/// A request as one caller sends it.
 #[derive(Debug, Clone, Copy)]
-struct Sending {
+struct CallerRequest {
     at: u64,
     entry: usize,
-    /// The key of a non-idempotent request; a repeated one is sent again.
+    /// The key of a non-idempotent request. Several requests with one key are the same request sent
+    /// again by its caller.
     key: Option<u8>,
     is_model: bool,
     timeout: u64,
 }
 
 #[derive(Debug, Clone)]
-enum Happening {
-    Arrives(usize),
-    Strikes(Fault),
-    Reaches { entry: usize, agent: usize, order: SendOrder, life: u32 },
-    Finishes { agent: usize, attempt: AttemptId, life: u32 },
-    Answers { entry: usize, attempt: AttemptId, end: AttemptEnd, life: u32 },
-    Asks { entry: usize, order: ClaimOrder, place: usize, life: u32 },
-    AskArrives { agent: usize, order: ClaimOrder, life: u32 },
-    AskTimesOut { order: ClaimOrder, place: usize },
-    Releases { order: ClaimOrder, place: usize },
-    Claims { agent: usize, effect: ClaimEffect, life: u32 },
-    ClaimSaid { agent: usize, shard: ShardIndex, answer: ShardResponse, life: u32 },
-    ClaimTold { entry: usize, attempt: AttemptId, outcome: ClaimOutcome, life: u32 },
-    Syncs { entry: usize, agent: usize },
-    Ticks,
+enum SimulationEvent {
+    RequestArrives(usize),
+    FaultStarts(Fault),
+    AttemptArrives {
+        entry: usize,
+        agent: usize,
+        order: SendOrder,
+        incarnation: u32,
+    },
+    RunFinishes {
+        agent: usize,
+        attempt: AttemptId,
+        incarnation: u32,
+    },
+    AttemptEnds {
+        entry: usize,
+        attempt: AttemptId,
+        end: AttemptEnd,
+        incarnation: u32,
+    },
+    ClaimRequested {
+        entry: usize,
+        order: ClaimOrder,
+        index: usize,
+        incarnation: u32,
+    },
+    ClaimRequestArrives {
+        agent: usize,
+        order: ClaimOrder,
+        incarnation: u32,
+    },
+    ClaimRequestTimesOut {
+        order: ClaimOrder,
+        index: usize,
+    },
+    ClaimReleased {
+        order: ClaimOrder,
+        index: usize,
+    },
+    StoreCallArrives {
+        agent: usize,
+        effect: ClaimEffect,
+        incarnation: u32,
+    },
+    StoreResponseArrives {
+        agent: usize,
+        shard: ShardIndex,
+        answer: ShardResponse,
+        incarnation: u32,
+    },
+    ClaimOutcomeArrives {
+        entry: usize,
+        attempt: AttemptId,
+        outcome: ClaimOutcome,
+        incarnation: u32,
+    },
+    Heartbeat {
+        entry: usize,
+        agent: usize,
+    },
+    Tick,
 }
 
-/// What a caller was told.
+/// The result that a caller received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
-    Whole,
+enum CallerResult {
+    Complete,
     Refused(ResultCode),
 }
 
-struct AgentSide {
+struct SimulatedAgent {
     reducer: AgentReducer,
-    life: u32,
-    frozen_until: u64,
+    incarnation: u32,
+    suspended_until: u64,
     cut_until: u64,
-    /// Attempts that this agent has, with the entry that sent them.
+    /// Attempts at this agent, with the entry that sent each.
     attempts: BTreeMap<AttemptId, (usize, SendOrder)>,
 }
 
-struct EntrySide {
+struct SimulatedEntry {
     reducer: EntryReducer,
-    life: u32,
-    /// Attempts under way, with the agent that has them.
-    open: BTreeMap<AttemptId, usize>,
+    incarnation: u32,
+    /// Attempts in progress, with the agent that each was sent to.
+    open_attempts: BTreeMap<AttemptId, usize>,
 }
 
-struct World {
+struct Simulation {
     now: u64,
-    order: u64,
+    next_sequence: u64,
     queue: BinaryHeap<Queued>,
-    agents: Vec<AgentSide>,
-    entries: Vec<EntrySide>,
+    agents: Vec<SimulatedAgent>,
+    entries: Vec<SimulatedEntry>,
     document: Arc<CatalogueDocument>,
-    sendings: Vec<Sending>,
-    told: BTreeMap<usize, Vec<Told>>,
+    requests: Vec<CallerRequest>,
+    results: BTreeMap<usize, Vec<CallerResult>>,
+    /// Requests whose entry crashed before it returned a result.
     orphaned: Vec<usize>,
-    /// Which sending each run belonged to, in the order of the runs.
+    /// The request of each run, in the order in which the runs started.
     runs: Vec<usize>,
+    /// The key-value service's shards of claims, each with its revision.
     claims: BTreeMap<ShardIndex, (u64, ClaimDocument)>,
-    /// Calls about claims under way: entry, its life, and the place among the keepers.
+    /// Claim requests in progress: entry, its incarnation, index of the coordinator in the order, and
+    /// the coordinator's agent.
     claim_calls: BTreeMap<AttemptId, (usize, u32, usize, usize)>,
     outage_until: u64,
-    losing_until: u64,
+    responses_lost_until: u64,
     random: u64,
 }
 
-struct Queued(u64, u64, Happening);
+/// An event with its time and, for events at the same time, its sequence number.
+struct Queued(u64, u64, SimulationEvent);
 
 impl PartialEq for Queued {
     fn eq(&self, other: &Self) -> bool {
@@ -150,20 +208,20 @@
     document_with(&format!("{}\n{plain}", model.replace("in_flight = 10", "in_flight = 100")))
 }
 
-fn record(place: usize) -> InstanceRecord {
-    let service = if place < AGENTS - 1 { "mustard-pool" } else { "records-desk" };
+fn record(index: usize) -> InstanceRecord {
+    let service = if index < AGENTS - 1 { "mustard-pool" } else { "records-desk" };
     InstanceRecord {
-        id: format!("instance-{place}").parse().unwrap(),
+        id: format!("instance-{index}").parse().unwrap(),
         service: service.parse().unwrap(),
         data_centre: "gc-hall-a".parse().unwrap(),
         region: "guate-central".parse().unwrap(),
-        agent: format!("127.0.0.1:{place}").into(),
+        agent: format!("127.0.0.1:{index}").into(),
         leaving: false,
     }
 }
 
-fn agent_reducer(now: u64, place: usize) -> AgentReducer {
-    let record = record(place);
+fn agent_reducer(now: u64, index: usize) -> AgentReducer {
+    let record = record(index);
     let settings = AgentSettings {
         own: TransferPeer { id: record.id, data_centre: record.data_centre },
         service: record.service,
@@ -184,17 +242,17 @@
         exchange_every: Millis(100),
         wave_patience: Millis(1_000),
         retry_every: Millis(100),
-        is_engine: place < AGENTS - 1,
+        is_engine: index < AGENTS - 1,
     };
-    let mut reducer = AgentReducer::new(Moment(now), settings, place as u64);
+    let mut reducer = AgentReducer::new(Moment(now), settings, index as u64);
     let serving = vec![V1.parse().unwrap()];
     reducer.reduce(Moment(now), AgentEvent::EngineSeen(Some(EngineReport { serving })));
     reducer
 }
 
-fn entry_reducer(now: u64, place: usize, document: &Arc<CatalogueDocument>) -> EntryReducer {
+fn entry_reducer(now: u64, index: usize, document: &Arc<CatalogueDocument>) -> EntryReducer {
     let settings = EntrySettings {
-        own: format!("entry-{place}").parse().unwrap(),
+        own: format!("entry-{index}").parse().unwrap(),
         data_centre: "gc-hall-a".parse().unwrap(),
         routing: RoutingSettings { silent_for: Millis(1_000), ..RoutingSettings::default() },
         retry: RetrySettings::default(),
@@ -203,7 +261,7 @@
         subset: 8,
         sync_every: Millis(50),
     };
-    let mut reducer = EntryReducer::new(settings, now * 31 + place as u64);
+    let mut reducer = EntryReducer::new(settings, now * 31 + index as u64);
     let list = (0..AGENTS).map(record).collect();
     for event in [EntryEvent::CatalogueSeen(document.clone()), EntryEvent::InstancesSeen(list)] {
         reducer.reduce(Moment(now), event);
@@ -211,392 +269,423 @@
     reducer
 }
 
-impl World {
-    fn new(sendings: Vec<Sending>, faults: &[(u64, Fault)], seed: u64) -> Self {
+impl Simulation {
+    fn new(requests: Vec<CallerRequest>, faults: &[(u64, Fault)], seed: u64) -> Self {
         let document = Arc::new(document());
-        let agents = (0..AGENTS).map(|place| AgentSide {
-            reducer: agent_reducer(1, place),
-            life: 0,
-            frozen_until: 0,
+        let agents = (0..AGENTS).map(|index| SimulatedAgent {
+            reducer: agent_reducer(1, index),
+            incarnation: 0,
+            suspended_until: 0,
             cut_until: 0,
             attempts: BTreeMap::new(),
         });
-        let entries = (0..ENTRIES).map(|place| EntrySide {
-            reducer: entry_reducer(1, place, &document),
-            life: 0,
-            open: BTreeMap::new(),
+        let entries = (0..ENTRIES).map(|index| SimulatedEntry {
+            reducer: entry_reducer(1, index, &document),
+            incarnation: 0,
+            open_attempts: BTreeMap::new(),
         });
-        let mut world = Self {
+        let mut simulation = Self {
             now: 1,
-            order: 0,
+            next_sequence: 0,
             queue: BinaryHeap::new(),
             agents: agents.collect(),
             entries: entries.collect(),
             document,
-            told: BTreeMap::new(),
+            results: BTreeMap::new(),
             orphaned: Vec::new(),
             runs: Vec::new(),
             claims: BTreeMap::new(),
             claim_calls: BTreeMap::new(),
             outage_until: 0,
-            losing_until: 0,
+            responses_lost_until: 0,
             random: seed,
-            sendings,
+            requests,
         };
         for entry in 0..ENTRIES {
             for agent in 0..AGENTS {
-                world.sync(entry, agent);
+                simulation.exchange_heartbeat(entry, agent);
             }
         }
-        for (place, sending) in world.sendings.clone().iter().enumerate() {
-            world.push(sending.at, Happening::Arrives(place));
+        for (index, request) in simulation.requests.clone().iter().enumerate() {
+            simulation.push(request.at, SimulationEvent::RequestArrives(index));
         }
         for (at, fault) in faults {
-            world.push(*at, Happening::Strikes(*fault));
+            simulation.push(*at, SimulationEvent::FaultStarts(*fault));
         }
-        world.push(5, Happening::Ticks);
-        world
+        simulation.push(5, SimulationEvent::Tick);
+        simulation
     }
 
-    fn push(&mut self, at: u64, happening: Happening) {
-        self.order += 1;
-        self.queue.push(Queued(at, self.order, happening));
+    fn push(&mut self, at: u64, event: SimulationEvent) {
+        self.next_sequence += 1;
+        self.queue.push(Queued(at, self.next_sequence, event));
     }
 
-    /// A small delay, different each time and the same for the same seed.
-    fn delay(&mut self, most: u64) -> u64 {
+    /// A pseudo-random delay of 1 to `max_ms`, reproducible from the seed.
+    fn delay(&mut self, max_ms: u64) -> u64 {
         self.random = self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-        1 + (self.random >> 33) % most
+        1 + (self.random >> 33) % max_ms
     }
 
-    fn play(&mut self) {
-        while let Some(Queued(at, _, happening)) = self.queue.pop() {
+    fn run(&mut self) {
+        while let Some(Queued(at, _, event)) = self.queue.pop() {
             if at > END_MS {
                 break;
             }
             self.now = at;
-            self.happen(happening);
+            self.handle(event);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrives(place) => self.arrive(place),
-            Happening::Strikes(fault) => self.strike(fault),
-            Happening::Reaches { entry, agent, order, life } => {
-                self.reach(entry, agent, order, life)
+    fn handle(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::RequestArrives(index) => self.send_request(index),
+            SimulationEvent::FaultStarts(fault) => self.inject_fault(fault),
+            SimulationEvent::AttemptArrives { entry, agent, order, incarnation } => {
+                self.deliver_attempt(entry, agent, order, incarnation)
             }
-            Happening::Finishes { agent, attempt, life } => self.finish(agent, attempt, life),
-            Happening::Answers { entry, attempt, end, life } => {
-                if self.entries[entry].life == life {
-                    self.entries[entry].open.remove(&attempt);
+            SimulationEvent::RunFinishes { agent, attempt, incarnation } => {
+                self.finish_run(agent, attempt, incarnation)
+            }
+            SimulationEvent::AttemptEnds { entry, attempt, end, incarnation } => {
+                if self.entries[entry].incarnation == incarnation {
+                    self.entries[entry].open_attempts.remove(&attempt);
                     let delivered = u64::from(end == AttemptEnd::Whole);
                     let request = self.request_of(entry, attempt);
-                    self.enter(entry, EntryEvent::AttemptEnded(attempt, end.clone(), delivered));
-                    // Only an awaited whole answer reaches the caller.
-                    if let (AttemptEnd::Whole, Some(place)) = (&end, request) {
-                        self.tell(place, Told::Whole);
+                    self.reduce_entry(
+                        entry,
+                        EntryEvent::AttemptEnded(attempt, end.clone(), delivered),
+                    );
+                    // The caller receives an answer only while the entry waits for the attempt.
+                    if let (AttemptEnd::Whole, Some(index)) = (&end, request) {
+                        self.record_result(index, CallerResult::Complete);
                     }
                 }
             }
-            Happening::Asks { entry, order, place, life } => self.ask(entry, order, place, life),
-            Happening::AskArrives { agent, order, life } => {
-                if self.agents[agent].life == life {
-                    self.act(agent, AgentEvent::ClaimAsked(order.key, order.attempt, WALL_S));
+            SimulationEvent::ClaimRequested { entry, order, index, incarnation } => {
+                self.ask_coordinator(entry, order, index, incarnation)
+            }
+            SimulationEvent::ClaimRequestArrives { agent, order, incarnation } => {
+                if self.agents[agent].incarnation == incarnation {
+                    self.reduce_agent(
+                        agent,
+                        AgentEvent::ClaimAsked(order.key, order.attempt, WALL_CLOCK_S),
+                    );
                 }
             }
-            Happening::AskTimesOut { order, place } => {
+            SimulationEvent::ClaimRequestTimesOut { order, index } => {
                 let call = self.claim_calls.get(&order.attempt).copied();
-                if let Some((entry, life, asked, _)) = call.filter(|call| call.2 == place) {
+                if let Some((entry, incarnation, asked, _)) = call.filter(|call| call.2 == index) {
                     self.claim_calls.remove(&order.attempt);
-                    self.ask(entry, order, asked + 1, life);
+                    self.ask_coordinator(entry, order, asked + 1, incarnation);
                 }
             }
-            Happening::Releases { order, place } => self.release(order, place),
-            Happening::Claims { agent, effect, life } => self.serve_claim(agent, effect, life),
-            Happening::ClaimSaid { agent, shard, answer, life } => {
-                if self.agents[agent].life == life {
-                    self.act(agent, AgentEvent::ClaimAnswered(shard, answer));
+            SimulationEvent::ClaimReleased { order, index } => self.release_claim(order, index),
+            SimulationEvent::StoreCallArrives { agent, effect, incarnation } => {
+                self.call_store(agent, effect, incarnation)
+            }
+            SimulationEvent::StoreResponseArrives { agent, shard, answer, incarnation } => {
+                if self.agents[agent].incarnation == incarnation {
+                    self.reduce_agent(agent, AgentEvent::ClaimAnswered(shard, answer));
                 }
             }
-            Happening::ClaimTold { entry, attempt, outcome, life } => {
-                if self.entries[entry].life == life {
-                    self.enter(entry, EntryEvent::ClaimSettled(attempt, outcome));
+            SimulationEvent::ClaimOutcomeArrives { entry, attempt, outcome, incarnation } => {
+                if self.entries[entry].incarnation == incarnation {
+                    self.reduce_entry(entry, EntryEvent::ClaimSettled(attempt, outcome));
                 }
             }
-            Happening::Syncs { entry, agent } => self.sync(entry, agent),
-            Happening::Ticks => {
+            SimulationEvent::Heartbeat { entry, agent } => self.exchange_heartbeat(entry, agent),
+            SimulationEvent::Tick => {
                 for entry in 0..ENTRIES {
-                    self.enter(entry, EntryEvent::Tick);
+                    self.reduce_entry(entry, EntryEvent::Tick);
                 }
                 for agent in 0..AGENTS {
-                    if self.agents[agent].frozen_until <= self.now {
-                        self.act(agent, AgentEvent::Tick);
+                    if self.agents[agent].suspended_until <= self.now {
+                        self.reduce_agent(agent, AgentEvent::Tick);
                     }
                 }
-                self.push(self.now + 5, Happening::Ticks);
+                self.push(self.now + 5, SimulationEvent::Tick);
             }
         }
     }
 
-    fn arrive(&mut self, place: usize) {
-        let sending = self.sendings[place];
-        let target = if sending.is_model { "drafts" } else { "desk" };
+    fn send_request(&mut self, index: usize) {
+        let request = self.requests[index];
+        let target = if request.is_model { "drafts" } else { "desk" };
         let incoming = IncomingRequest {
-            id: RequestId(place as u64),
+            id: RequestId(index as u64),
             customer: "comedor".parse().unwrap(),
             target: target.parse().unwrap(),
-            is_model: sending.is_model,
-            key: sending.key.map(|key| RequestKey(u128::from(key))),
-            deadline: Moment(self.now + sending.timeout),
+            is_model: request.is_model,
+            key: request.key.map(|key| RequestKey(u128::from(key))),
+            deadline: Moment(self.now + request.timeout),
             affinity: None,
-            digest: RequestDigest(place as u128),
+            digest: RequestDigest(index as u128),
         };
-        self.enter(sending.entry, EntryEvent::RequestArrived(incoming));
+        self.reduce_entry(request.entry, EntryEvent::RequestArrived(incoming));
     }
 
-    fn enter(&mut self, entry: usize, event: EntryEvent) {
+    fn reduce_entry(&mut self, entry: usize, event: EntryEvent) {
         let now = Moment(self.now);
         let effects = self.entries[entry].reducer.reduce(now, event);
-        let life = self.entries[entry].life;
+        let incarnation = self.entries[entry].incarnation;
         for effect in effects {
             match effect {
                 EntryEffect::Send(order) => {
-                    let agent = place_of(&order);
-                    self.entries[entry].open.insert(order.attempt, agent);
+                    let agent = agent_of(&order);
+                    self.entries[entry].open_attempts.insert(order.attempt, agent);
                     let at = self.now + self.delay(8);
-                    self.push(at, Happening::Reaches { entry, agent, order, life });
+                    self.push(
+                        at,
+                        SimulationEvent::AttemptArrives { entry, agent, order, incarnation },
+                    );
                 }
-                EntryEffect::Cancel(attempt) => self.cancel(entry, attempt),
+                EntryEffect::Cancel(attempt) => self.cancel_attempt(entry, attempt),
                 EntryEffect::Abandon(attempt) => {
-                    self.cancel(entry, attempt);
-                    self.answer(entry, attempt, AttemptEnd::Lost);
+                    self.cancel_attempt(entry, attempt);
+                    self.end_attempt(entry, attempt, AttemptEnd::Lost);
                 }
                 EntryEffect::Reject { id, code, .. } => {
-                    self.tell(id.0 as usize, Told::Refused(code));
+                    self.record_result(id.0 as usize, CallerResult::Refused(code));
                 }
                 EntryEffect::AskClaim(order) => {
                     let at = self.now + self.delay(6);
-                    self.push(at, Happening::Asks { entry, order, place: 0, life });
+                    self.push(
+                        at,
+                        SimulationEvent::ClaimRequested { entry, order, index: 0, incarnation },
+                    );
                 }
                 EntryEffect::ReleaseClaim(order) => {
                     let at = self.now + self.delay(6);
-                    self.push(at, Happening::Releases { order, place: 0 });
+                    self.push(at, SimulationEvent::ClaimReleased { order, index: 0 });
                 }
                 EntryEffect::Sync { id, .. } => {
                     let agent = number_of(id.as_str());
                     let at = self.now + self.delay(4);
-                    self.push(at, Happening::Syncs { entry, agent });
+                    self.push(at, SimulationEvent::Heartbeat { entry, agent });
                 }
             }
         }
     }
 
-    fn tell(&mut self, place: usize, told: Told) {
-        self.told.entry(place).or_default().push(told);
+    fn record_result(&mut self, index: usize, result: CallerResult) {
+        self.results.entry(index).or_default().push(result);
     }
 
-    /// The sending whose attempt this is, while it is still awaited.
+    /// The request that waits for this attempt at the entry.
     fn request_of(&self, entry: usize, attempt: AttemptId) -> Option<usize> {
         self.entries[entry].reducer.awaits(attempt).map(|id| id.0 as usize)
     }
 
-    fn reach(&mut self, entry: usize, agent: usize, order: SendOrder, life: u32) {
-        let side = &self.agents[agent];
-        if self.entries[entry].life != life {
+    fn deliver_attempt(&mut self, entry: usize, agent: usize, order: SendOrder, incarnation: u32) {
+        let simulated = &self.agents[agent];
+        if self.entries[entry].incarnation != incarnation {
             return;
         }
-        if side.cut_until > self.now {
-            // No connection: it fails, and nothing was sent.
-            self.answer(entry, order.attempt, AttemptEnd::NotSent);
+        if simulated.cut_until > self.now {
+            // No connection can be made, so nothing is sent.
+            self.end_attempt(entry, order.attempt, AttemptEnd::NotSent);
             return;
         }
-        if side.frozen_until > self.now {
-            // It lies in the socket until the process goes on.
-            let at = side.frozen_until + 1;
-            self.push(at, Happening::Reaches { entry, agent, order, life });
+        if simulated.suspended_until > self.now {
+            // The attempt stays in the socket's buffer until the process resumes.
+            let at = simulated.suspended_until + 1;
+            self.push(at, SimulationEvent::AttemptArrives { entry, agent, order, incarnation });
             return;
         }
-        if !self.entries[entry].open.contains_key(&order.attempt) {
+        if !self.entries[entry].open_attempts.contains_key(&order.attempt) {
             return;
         }
         let (attempt, pinned, class) = (order.attempt, order.pinned, order.class);
         let deadline = Moment(self.now) + order.remaining;
         self.agents[agent].attempts.insert(attempt, (entry, order));
-        self.act(agent, AgentEvent::RequestArrived { attempt, class, pinned, deadline });
+        self.reduce_agent(agent, AgentEvent::RequestArrived { attempt, class, pinned, deadline });
     }
 
-    fn act(&mut self, agent: usize, event: AgentEvent) {
+    fn reduce_agent(&mut self, agent: usize, event: AgentEvent) {
         let effects = self.agents[agent].reducer.reduce(Moment(self.now), event);
-        let life = self.agents[agent].life;
+        let incarnation = self.agents[agent].incarnation;
         for effect in effects {
             match effect {
                 AgentEffect::Dispatch(attempt) => {
                     let order = self.agents[agent].attempts[&attempt].1.clone();
                     self.runs.push(order.id.0 as usize);
                     let at = self.now + self.delay(60);
-                    self.push(at, Happening::Finishes { agent, attempt, life });
+                    self.push(at, SimulationEvent::RunFinishes { agent, attempt, incarnation });
                 }
                 AgentEffect::Refuse(attempt, refusal) => {
                     let Some((entry, _)) = self.agents[agent].attempts.remove(&attempt) else {
                         continue;
                     };
-                    self.answer(entry, attempt, AttemptEnd::Refused(refusal));
+                    self.end_attempt(entry, attempt, AttemptEnd::Refused(refusal));
                 }
                 AgentEffect::Claim(ClaimEffect::Settle(attempt, outcome)) => {
-                    self.settled(agent, attempt, outcome);
+                    self.return_claim_outcome(agent, attempt, outcome);
                 }
                 AgentEffect::Claim(effect) => {
                     let at = self.now + self.delay(6);
-                    self.push(at, Happening::Claims { agent, effect, life });
+                    self.push(at, SimulationEvent::StoreCallArrives { agent, effect, incarnation });
                 }
                 _ => {}
             }
         }
     }
 
-    /// Asks one keeper after the other, as the entry's task does.
-    fn ask(&mut self, entry: usize, order: ClaimOrder, place: usize, life: u32) {
+    /// Asks one shard coordinator after the other, as the entry's task does.
+    fn ask_coordinator(&mut self, entry: usize, order: ClaimOrder, index: usize, incarnation: u32) {
         const TIMEOUT: u64 = 260;
-        if self.entries[entry].life != life {
+        if self.entries[entry].incarnation != incarnation {
             return;
         }
-        let Some(keeper) = order.keepers.get(place) else {
+        let Some(keeper) = order.keepers.get(index) else {
             let (attempt, outcome) = (order.attempt, ClaimOutcome::Unavailable);
-            self.enter(entry, EntryEvent::ClaimSettled(attempt, outcome));
+            self.reduce_entry(entry, EntryEvent::ClaimSettled(attempt, outcome));
             return;
         };
         let agent = number_of(keeper.id.as_str());
         if self.agents[agent].cut_until > self.now {
-            self.ask(entry, order, place + 1, life);
+            self.ask_coordinator(entry, order, index + 1, incarnation);
             return;
         }
-        self.claim_calls.insert(order.attempt, (entry, life, place, agent));
-        let at = self.agents[agent].frozen_until.max(self.now) + 1;
-        let agent_life = self.agents[agent].life;
-        self.push(at, Happening::AskArrives { agent, order: order.clone(), life: agent_life });
-        self.push(self.now + TIMEOUT, Happening::AskTimesOut { order, place });
+        self.claim_calls.insert(order.attempt, (entry, incarnation, index, agent));
+        let at = self.agents[agent].suspended_until.max(self.now) + 1;
+        let agent_incarnation = self.agents[agent].incarnation;
+        self.push(
+            at,
+            SimulationEvent::ClaimRequestArrives {
+                agent,
+                order: order.clone(),
+                incarnation: agent_incarnation,
+            },
+        );
+        self.push(self.now + TIMEOUT, SimulationEvent::ClaimRequestTimesOut { order, index });
     }
 
-    fn release(&mut self, order: ClaimOrder, place: usize) {
+    fn release_claim(&mut self, order: ClaimOrder, index: usize) {
         const TRIES: usize = 10;
-        let Some(keeper) = order.keepers.iter().cycle().take(TRIES).nth(place) else { return };
+        let Some(keeper) = order.keepers.iter().cycle().take(TRIES).nth(index) else { return };
         let agent = number_of(keeper.id.as_str());
-        let side = &self.agents[agent];
-        if side.cut_until > self.now || side.frozen_until > self.now {
-            self.push(self.now + 500, Happening::Releases { order, place: place + 1 });
+        let simulated = &self.agents[agent];
+        if simulated.cut_until > self.now || simulated.suspended_until > self.now {
+            self.push(self.now + 500, SimulationEvent::ClaimReleased { order, index: index + 1 });
             return;
         }
-        self.act(agent, AgentEvent::ClaimReleased(order.key, order.attempt, WALL_S));
+        self.reduce_agent(agent, AgentEvent::ClaimReleased(order.key, order.attempt, WALL_CLOCK_S));
     }
 
-    /// Takes what a keeper says of a claim back to the entry that still waits for it.
-    fn settled(&mut self, agent: usize, attempt: AttemptId, outcome: ClaimOutcome) {
+    /// Returns a coordinator's outcome to the entry, unless the entry has asked another one since.
+    fn return_claim_outcome(&mut self, agent: usize, attempt: AttemptId, outcome: ClaimOutcome) {
         let call = self.claim_calls.get(&attempt).copied();
-        if let Some((entry, life, _, _)) = call.filter(|call| call.3 == agent) {
+        if let Some((entry, incarnation, _, _)) = call.filter(|call| call.3 == agent) {
             self.claim_calls.remove(&attempt);
             let at = self.now + self.delay(6);
-            self.push(at, Happening::ClaimTold { entry, attempt, outcome, life });
+            self.push(
+                at,
+                SimulationEvent::ClaimOutcomeArrives { entry, attempt, outcome, incarnation },
+            );
         }
     }
 
-    fn finish(&mut self, agent: usize, attempt: AttemptId, life: u32) {
-        let side = &self.agents[agent];
-        if side.life != life {
+    fn finish_run(&mut self, agent: usize, attempt: AttemptId, incarnation: u32) {
+        let simulated = &self.agents[agent];
+        if simulated.incarnation != incarnation {
             return;
         }
-        if side.frozen_until > self.now {
-            let at = side.frozen_until + 1;
-            self.push(at, Happening::Finishes { agent, attempt, life });
+        if simulated.suspended_until > self.now {
+            let at = simulated.suspended_until + 1;
+            self.push(at, SimulationEvent::RunFinishes { agent, attempt, incarnation });
             return;
         }
-        self.act(agent, AgentEvent::RequestFinished(attempt));
+        self.reduce_agent(agent, AgentEvent::RequestFinished(attempt));
         if let Some((entry, _)) = self.agents[agent].attempts.remove(&attempt) {
-            self.answer(entry, attempt, AttemptEnd::Whole);
+            self.end_attempt(entry, attempt, AttemptEnd::Whole);
             if self.delay(10) == 1 {
-                // The same answer once more, late.
-                let (life, at) = (self.entries[entry].life, self.now + 40);
+                // A duplicate of the answer, 40 ms late.
+                let (incarnation, at) = (self.entries[entry].incarnation, self.now + 40);
                 let end = AttemptEnd::Whole;
-                self.push(at, Happening::Answers { entry, attempt, end, life });
+                self.push(at, SimulationEvent::AttemptEnds { entry, attempt, end, incarnation });
             }
         }
     }
 
-    fn answer(&mut self, entry: usize, attempt: AttemptId, end: AttemptEnd) {
-        let life = self.entries[entry].life;
+    fn end_attempt(&mut self, entry: usize, attempt: AttemptId, end: AttemptEnd) {
+        let incarnation = self.entries[entry].incarnation;
         let at = self.now + self.delay(8);
-        self.push(at, Happening::Answers { entry, attempt, end, life });
+        self.push(at, SimulationEvent::AttemptEnds { entry, attempt, end, incarnation });
     }
 
-    fn cancel(&mut self, entry: usize, attempt: AttemptId) {
-        let Some(agent) = self.entries[entry].open.remove(&attempt) else { return };
-        // A frozen agent does not notice, and may run the attempt when it goes on.
-        if self.agents[agent].frozen_until > self.now {
+    fn cancel_attempt(&mut self, entry: usize, attempt: AttemptId) {
+        let Some(agent) = self.entries[entry].open_attempts.remove(&attempt) else { return };
+        // A suspended agent does not see the cancellation and may run the attempt when it resumes.
+        if self.agents[agent].suspended_until > self.now {
             return;
         }
         if self.agents[agent].attempts.remove(&attempt).is_some() {
-            self.act(agent, AgentEvent::RequestWithdrawn(attempt));
+            self.reduce_agent(agent, AgentEvent::RequestWithdrawn(attempt));
         }
     }
 
-    /// Tells the entries that their connections to an agent broke.
+    /// Ends all attempts at an agent as lost, as their connections broke.
     fn break_connections(&mut self, agent: usize) {
         for entry in 0..ENTRIES {
-            let open = self.entries[entry].open.iter();
-            let lost: Vec<_> =
-                open.filter(|(_, place)| **place == agent).map(|(attempt, _)| *attempt).collect();
+            let open_attempts = self.entries[entry].open_attempts.iter();
+            let lost: Vec<_> = open_attempts
+                .filter(|(_, index)| **index == agent)
+                .map(|(attempt, _)| *attempt)
+                .collect();
             for attempt in lost {
-                self.answer(entry, attempt, AttemptEnd::Lost);
+                self.end_attempt(entry, attempt, AttemptEnd::Lost);
             }
         }
     }
 
-    fn strike(&mut self, fault: Fault) {
+    fn inject_fault(&mut self, fault: Fault) {
         match fault {
             Fault::CrashAgent(agent) => {
                 self.break_connections(agent);
-                let side = &mut self.agents[agent];
-                side.life += 1;
-                side.attempts.clear();
-                side.frozen_until = 0;
-                side.reducer = agent_reducer(self.now, agent);
+                let simulated = &mut self.agents[agent];
+                simulated.incarnation += 1;
+                simulated.attempts.clear();
+                simulated.suspended_until = 0;
+                simulated.reducer = agent_reducer(self.now, agent);
             }
             Fault::CrashEntry(entry) => {
-                let open = self.entries[entry].open.clone();
-                self.entries[entry].life += 1;
-                for attempt in open.keys() {
-                    self.cancel(entry, *attempt);
+                let open_attempts = self.entries[entry].open_attempts.clone();
+                self.entries[entry].incarnation += 1;
+                for attempt in open_attempts.keys() {
+                    self.cancel_attempt(entry, *attempt);
                 }
                 self.entries[entry].reducer = entry_reducer(self.now, entry, &self.document);
-                let lost = self.sendings.iter().enumerate().filter(|(place, sending)| {
-                    sending.entry == entry
-                        && sending.at <= self.now
-                        && !self.told.contains_key(place)
+                let lost = self.requests.iter().enumerate().filter(|(index, request)| {
+                    request.entry == entry
+                        && request.at <= self.now
+                        && !self.results.contains_key(index)
                 });
-                self.orphaned.extend(lost.map(|(place, _)| place).collect::<Vec<_>>());
+                self.orphaned.extend(lost.map(|(index, _)| index).collect::<Vec<_>>());
             }
-            Fault::FreezeAgent(agent) => self.agents[agent].frozen_until = self.now + FAULT_MS,
+            Fault::SuspendAgent(agent) => self.agents[agent].suspended_until = self.now + FAULT_MS,
             Fault::CutAgent(agent) => {
                 self.agents[agent].cut_until = self.now + FAULT_MS;
                 self.break_connections(agent);
-                if self.agents[agent].frozen_until > self.now {
+                if self.agents[agent].suspended_until > self.now {
                     return;
                 }
                 let attempts: Vec<_> = self.agents[agent].attempts.keys().copied().collect();
                 for attempt in attempts {
                     self.agents[agent].attempts.remove(&attempt);
-                    self.act(agent, AgentEvent::RequestWithdrawn(attempt));
+                    self.reduce_agent(agent, AgentEvent::RequestWithdrawn(attempt));
                 }
             }
-            Fault::StopAgent(agent) => self.act(agent, AgentEvent::Stop),
-            Fault::Outage => self.outage_until = self.now + FAULT_MS,
-            Fault::LoseClaimAnswers => self.losing_until = self.now + FAULT_MS,
+            Fault::StopAgent(agent) => self.reduce_agent(agent, AgentEvent::Stop),
+            Fault::StoreOutage => self.outage_until = self.now + FAULT_MS,
+            Fault::LoseStoreResponses => self.responses_lost_until = self.now + FAULT_MS,
         }
     }
 
-    fn serve_claim(&mut self, agent: usize, effect: ClaimEffect, life: u32) {
-        // A crashed agent's call may still take effect.
-        let (is_down, is_losing) = (self.outage_until > self.now, self.losing_until > self.now);
+    fn call_store(&mut self, agent: usize, effect: ClaimEffect, incarnation: u32) {
+        // A call that an agent sent before it crashed may still take effect.
+        let (is_down, is_response_lost) =
+            (self.outage_until > self.now, self.responses_lost_until > self.now);
         let (shard, answer) = match effect {
             ClaimEffect::Read(shard) => {
                 let (revision, document) = self.claims.entry(shard).or_default().clone();
@@ -613,26 +702,26 @@
             }
             ClaimEffect::Settle(..) => return,
         };
-        let answer = if is_down || is_losing { ShardResponse::Unknown } else { answer };
+        let answer = if is_down || is_response_lost { ShardResponse::Unknown } else { answer };
         let at = self.now + self.delay(6);
-        self.push(at, Happening::ClaimSaid { agent, shard, answer, life });
+        self.push(at, SimulationEvent::StoreResponseArrives { agent, shard, answer, incarnation });
     }
 
-    fn sync(&mut self, entry: usize, agent: usize) {
-        let side = &self.agents[agent];
+    fn exchange_heartbeat(&mut self, entry: usize, agent: usize) {
+        let simulated = &self.agents[agent];
         let record = record(agent);
-        if side.cut_until > self.now || side.frozen_until > self.now {
-            self.enter(entry, EntryEvent::SyncFailed(record.id));
+        if simulated.cut_until > self.now || simulated.suspended_until > self.now {
+            self.reduce_entry(entry, EntryEvent::SyncFailed(record.id));
             return;
         }
-        let serving: Vec<ManifestDigest> = side.reducer.serving().to_vec();
+        let serving: Vec<ManifestDigest> = simulated.reducer.serving().to_vec();
         let report = UpstreamReport {
-            outstanding: side.reducer.outstanding(),
-            capacity: side.reducer.capacity(),
+            outstanding: simulated.reducer.outstanding(),
+            capacity: simulated.reducer.capacity(),
             serving,
-            leaving: side.reducer.is_leaving(),
+            leaving: simulated.reducer.is_leaving(),
         };
-        let generation = side.reducer.generation();
+        let generation = simulated.reducer.generation();
         let sync = AgentSync {
             id: record.id,
             generation,
@@ -642,65 +731,76 @@
             entries: 0,
             crashes: Vec::new(),
         };
-        self.enter(entry, EntryEvent::Synced(sync));
+        self.reduce_entry(entry, EntryEvent::Synced(sync));
     }
 
-    fn judge(&self) -> Result<(), TestCaseError> {
-        for (place, sending) in self.sendings.iter().enumerate() {
-            let told = self.told.get(&place).map_or(&[][..], Vec::as_slice);
-            let runs = self.runs.iter().filter(|run| **run == place).count();
-            let is_orphaned = self.orphaned.contains(&place);
-            prop_assert!(told.len() <= 1, "{place} was told {told:?}");
-            prop_assert!(!told.is_empty() || is_orphaned, "{place} was told nothing: {sending:?}");
-            match told.first() {
-                Some(Told::Refused(code)) if code.is_not_run() => {
-                    prop_assert!(runs == 0, "{place} was told {code:?} and ran {runs} times");
+    fn check_results(&self) -> Result<(), TestCaseError> {
+        for (index, request) in self.requests.iter().enumerate() {
+            let results = self.results.get(&index).map_or(&[][..], Vec::as_slice);
+            let runs = self.runs.iter().filter(|run| **run == index).count();
+            let is_orphaned = self.orphaned.contains(&index);
+            prop_assert!(
+                results.len() <= 1,
+                "request {index} got more than one result: {results:?}"
+            );
+            prop_assert!(
+                !results.is_empty() || is_orphaned,
+                "request {index} got no result: {request:?}"
+            );
+            match results.first() {
+                Some(CallerResult::Refused(code)) if code.is_not_run() => {
+                    prop_assert!(
+                        runs == 0,
+                        "request {index} was refused as not run ({code:?}) and ran {runs} times"
+                    );
+                }
+                Some(CallerResult::Complete) => {
+                    prop_assert!(runs >= 1, "request {index} was answered and never ran")
                 }
-                Some(Told::Whole) => prop_assert!(runs >= 1, "{place} was answered and never ran"),
                 _ => {}
             }
         }
         for key in 0..=u8::MAX {
-            let runs = self.runs.iter().filter(|run| self.sendings[**run].key == Some(key)).count();
+            let runs = self.runs.iter().filter(|run| self.requests[**run].key == Some(key)).count();
             prop_assert!(runs <= 1, "key {key} ran {runs} times");
         }
         Ok(())
     }
 }
 
-fn place_of(order: &SendOrder) -> usize {
+fn agent_of(order: &SendOrder) -> usize {
     number_of(order.instance.as_str())
 }
 
-/// The number at the end of a name.
+/// The number at the end of an instance's name.
 fn number_of(name: &str) -> usize {
     name.rsplit('-').next().unwrap().parse().unwrap()
 }
 
-fn sendings() -> impl Strategy<Value = Vec<Sending>> {
-    let sending = (
+fn requests() -> impl Strategy<Value = Vec<CallerRequest>> {
+    let request = (
         10..1_500_u64,
         0..ENTRIES,
         prop::option::weighted(0.5, 0..8_u8),
         any::<bool>(),
         40..900_u64,
     );
-    let sending = sending.prop_map(|(at, entry, key, is_model, timeout)| {
+    let request = request.prop_map(|(at, entry, key, is_model, timeout)| {
         let is_model = is_model && key.is_none();
-        Sending { at, entry, key, is_model, timeout }
+        CallerRequest { at, entry, key, is_model, timeout }
     });
-    prop::collection::vec(sending, 5..60)
+    prop::collection::vec(request, 5..60)
 }
 
 fn faults() -> impl Strategy<Value = Vec<(u64, Fault)>> {
     let fault = prop_oneof![
         2 => (0..AGENTS).prop_map(Fault::CrashAgent),
         1 => (0..ENTRIES).prop_map(Fault::CrashEntry),
-        2 => (0..AGENTS).prop_map(Fault::FreezeAgent),
+        2 => (0..AGENTS).prop_map(Fault::SuspendAgent),
         2 => (0..AGENTS).prop_map(Fault::CutAgent),
         1 => (0..AGENTS).prop_map(Fault::StopAgent),
-        1 => Just(Fault::Outage),
-        2 => Just(Fault::LoseClaimAnswers),
+        1 => Just(Fault::StoreOutage),
+        2 => Just(Fault::LoseStoreResponses),
     ];
     prop::collection::vec((10..1_500_u64, fault), 0..8)
 }
@@ -709,28 +809,32 @@
     #![proptest_config(ProptestConfig { cases: cases(1_000), rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn callers_are_told_the_truth_once(
-        sendings in sendings(),
+    fn each_caller_gets_one_result_that_agrees_with_the_runs(
+        requests in requests(),
         faults in faults(),
         seed in any::<u64>(),
     ) {
-        let mut world = World::new(sendings, &faults, seed);
-        world.play();
-        world.judge()?;
+        let mut simulation = Simulation::new(requests, &faults, seed);
+        simulation.run();
+        simulation.check_results()?;
     }
 }
 
 #[test]
-fn without_failures_everything_is_answered() {
-    let sending = |place: u64| Sending {
-        at: 10 + place * 40,
-        entry: (place % 2) as usize,
-        key: (place.is_multiple_of(3)).then_some(place as u8),
-        is_model: place % 3 == 1,
+fn without_faults_every_request_is_answered() {
+    let request = |index: u64| CallerRequest {
+        at: 10 + index * 40,
+        entry: (index % 2) as usize,
+        key: (index.is_multiple_of(3)).then_some(index as u8),
+        is_model: index % 3 == 1,
         timeout: 2_000,
     };
-    let mut world = World::new((0..40).map(sending).collect(), &[], 1);
-    world.play();
-    world.judge().unwrap();
-    assert!(world.told.values().all(|told| *told == [Told::Whole]), "{:?}", world.told);
+    let mut simulation = Simulation::new((0..40).map(request).collect(), &[], 1);
+    simulation.run();
+    simulation.check_results().unwrap();
+    assert!(
+        simulation.results.values().all(|results| *results == [CallerResult::Complete]),
+        "{:?}",
+        simulation.results
+    );
 }
