--- a/mustardrill_core/examples/burst.rs
+++ b/mustardrill_core/examples/burst.rs
@@ -1,9 +1,11 @@
-//! The planning of a burst alone: link budgets as plain numbers, the time as an argument.
+//! Simulates the transfer plans of a burst, in which a whole fleet fetches a new version at once.
+//! Links are modelled by the time at which they become free; no bytes are sent.
 //!
 //! `cargo run --release -p mustardrill_core --example burst -- [--agents 8,32,...] [--chunks N]
-//! [--seed N] [--copies N] [--drawers N] [--kill PERCENT]` prints, for each size of fleet, the
-//! time until all serve against the bound, the bytes of origin and links in copies, and the
-//! planner's processor time for each chunk, beside three baselines worked out in closed form.
+//! [--seed N] [--copies N] [--drawers N] [--kill PERCENT]` prints, for each fleet size, the time
+//! until all instances are complete as a multiple of a lower bound, the data sent by the origin and
+//! by the instances in copies of the version, and the planner's processor time per chunk. Three simpler schemes are printed
+//! beside it, calculated in closed form.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,17 +22,17 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// A chunk takes this long over a machine's link, in milliseconds; over the origin's, half.
+/// Transfer time of a chunk over an instance's link; the origin's link is twice as fast.
 const CHUNK_MS: u64 = 100;
 
-/// The time of a message between two machines, in milliseconds.
+/// Latency of a message between two instances.
 const MESSAGE_MS: u64 = 1;
 
-/// How often each agent looks at the time, in milliseconds.
+/// Interval at which each agent checks for overdue fetches and exchanges state with its partners.
 const TICK_MS: u64 = 20;
 
-/// How many uploads an agent queues.
-const UPLOADS: u64 = 4;
+/// Uploads that an agent queues before it answers that it is busy.
+const UPLOAD_QUEUE_LIMIT: u64 = 4;
 
 struct Options {
     agents: Vec<usize>,
@@ -43,36 +45,60 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Tick(usize),
-    Asked { agent: usize, holder: usize, index: u32 },
-    Arrived { agent: usize, holder: Option<usize>, index: u32 },
-    Turned { agent: usize, holder: usize, index: u32, busy: bool },
+    /// An agent's request for a chunk reaches a holder.
+    ChunkRequested {
+        agent: usize,
+        holder: usize,
+        index: u32,
+    },
+    /// A chunk reaches an agent, from the origin where `holder` is `None`.
+    ChunkArrived {
+        agent: usize,
+        holder: Option<usize>,
+        index: u32,
+    },
+    /// A holder refused to send a chunk: it is busy, or does not have the chunk.
+    ChunkRefused {
+        agent: usize,
+        holder: usize,
+        index: u32,
+        is_busy: bool,
+    },
     Kill(usize),
 }
 
-struct Machine {
+/// A simulated instance. Times are in milliseconds.
+struct SimulatedInstance {
     plan: TransferPlan,
-    up_free: u64,
-    down_free: u64,
+    /// When the upload link becomes free.
+    uplink_free_at: u64,
+    /// When the download link becomes free.
+    downlink_free_at: u64,
+    /// Uploads queued or in progress.
     uploads: u64,
+    /// Chunks sent.
     sent: u64,
-    done_at: Option<u64>,
+    /// When the version was complete.
+    completed_at: Option<u64>,
     is_dead: bool,
 }
 
 struct Burst {
     now: u64,
+    /// Time, sequence number and event.
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    order: u64,
-    machines: Vec<Machine>,
-    places: FastMap<InstanceId, usize>,
+    next_sequence: u64,
+    instances: Vec<SimulatedInstance>,
+    number_of_instance: FastMap<InstanceId, usize>,
     peers: Vec<TransferPeer>,
-    origin_free: u64,
+    origin_free_at: u64,
     origin_sent: u64,
-    planning: Duration,
+    /// Time spent in the plans, for all instances together.
+    planning_time: Duration,
 }
 
 fn main() {
-    let options = parse();
+    let options = parse_options();
     println!(
         "{} chunks, seed {}, copies {}, drawers {}, killed half-way {} %",
         options.chunks,
@@ -99,7 +125,7 @@
     }
 }
 
-fn parse() -> Options {
+fn parse_options() -> Options {
     let mut options = Options {
         agents: vec![8, 16, 32, 100, 340, 1000, 2300],
         chunks: 500,
@@ -111,9 +137,9 @@
             ..TransferSettings::default()
         },
     };
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    for pair in words.chunks(2) {
-        let [name, value] = pair else { panic!("{} needs a value", pair[0]) };
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    for pair in arguments.chunks(2) {
+        let [name, value] = pair else { panic!("option {} needs a value", pair[0]) };
         let number = || value.parse::<usize>().expect("a number");
         match name.as_str() {
             "--agents" => {
@@ -128,7 +154,7 @@
             "--partners" => options.settings.partners = number(),
             "--sample" => options.settings.sample = number(),
             "--kill" => options.kill_percent = number(),
-            other => panic!("no option {other}"),
+            other => panic!("unknown option {other}"),
         }
     }
     options
@@ -138,8 +164,8 @@
     fn run(count: usize, options: &Options) -> Self {
         let manifest = Arc::new(manifest(options.chunks));
         let peers: Vec<_> = (0..count).map(peer).collect();
-        let machines = peers.iter().enumerate().map(|(place, own)| {
-            let seed = options.seed * 1_000_000 + place as u64;
+        let instances = peers.iter().enumerate().map(|(number, own)| {
+            let seed = options.seed * 1_000_000 + number as u64;
             let plan = TransferPlan::new(
                 Moment(1),
                 own.clone(),
@@ -147,27 +173,36 @@
                 options.settings.clone(),
                 seed,
             );
-            let (up_free, down_free, uploads, sent) = (0, 0, 0, 0);
-            Machine { plan, up_free, down_free, uploads, sent, done_at: None, is_dead: false }
+            let (uplink_free_at, downlink_free_at, uploads, sent) = (0, 0, 0, 0);
+            SimulatedInstance {
+                plan,
+                uplink_free_at,
+                downlink_free_at,
+                uploads,
+                sent,
+                completed_at: None,
+                is_dead: false,
+            }
         });
-        let places = peers.iter().enumerate().map(|(place, it)| (it.id.clone(), place)).collect();
+        let number_of_instance =
+            peers.iter().enumerate().map(|(number, peer)| (peer.id.clone(), number)).collect();
         let mut burst = Self {
             now: 1,
             queue: BinaryHeap::new(),
-            order: 0,
-            machines: machines.collect(),
-            places,
-            origin_free: 0,
+            next_sequence: 0,
+            instances: instances.collect(),
+            number_of_instance,
+            origin_free_at: 0,
             origin_sent: 0,
-            planning: Duration::ZERO,
+            planning_time: Duration::ZERO,
             peers,
         };
-        for place in 0..count {
+        for number in 0..count {
             let peers = burst.peers.clone();
-            burst.machines[place].plan.set_peers(&peers);
-            burst.push(1 + place as u64 % TICK_MS, Event::Tick(place));
+            burst.instances[number].plan.set_peers(&peers);
+            burst.push(1 + number as u64 % TICK_MS, Event::Tick(number));
         }
-        burst.plan_deaths(options);
+        burst.schedule_kills(options);
         let limit = u64::from(options.chunks) * CHUNK_MS * (count as u64 + 10);
         while let Some(Reverse((time, _, event))) = burst.queue.pop() {
             burst.now = time;
@@ -179,161 +214,174 @@
         burst
     }
 
-    fn plan_deaths(&mut self, options: &Options) {
-        let half = u64::from(options.chunks) * CHUNK_MS / 2;
+    fn schedule_kills(&mut self, options: &Options) {
+        let half_time = u64::from(options.chunks) * CHUNK_MS / 2;
         let mut random = StdRng::seed_from_u64(options.seed);
-        let count = self.machines.len() * options.kill_percent / 100;
+        let count = self.instances.len() * options.kill_percent / 100;
         for _ in 0..count {
-            let place = random.random_range(0..self.machines.len());
-            let time = random.random_range(1..half * 2);
-            self.push(time, Event::Kill(place));
+            let number = random.random_range(0..self.instances.len());
+            let time = random.random_range(1..half_time * 2);
+            self.push(time, Event::Kill(number));
         }
     }
 
     fn push(&mut self, time: u64, event: Event) {
-        self.order += 1;
-        self.queue.push(Reverse((time, self.order, event)));
+        self.next_sequence += 1;
+        self.queue.push(Reverse((time, self.next_sequence, event)));
     }
 
     fn is_done(&self) -> bool {
-        self.machines.iter().all(|machine| machine.is_dead || machine.done_at.is_some())
+        self.instances.iter().all(|instance| instance.is_dead || instance.completed_at.is_some())
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(agent) => self.tick(agent),
-            Event::Asked { agent, holder, index } => self.asked(agent, holder, index),
-            Event::Arrived { agent, holder, index } => self.arrived(agent, holder, index),
-            Event::Turned { agent, holder, index, busy } => self.turned(agent, holder, index, busy),
+            Event::ChunkRequested { agent, holder, index } => {
+                self.chunk_requested(agent, holder, index)
+            }
+            Event::ChunkArrived { agent, holder, index } => {
+                self.chunk_arrived(agent, holder, index)
+            }
+            Event::ChunkRefused { agent, holder, index, is_busy } => {
+                self.chunk_refused(agent, holder, index, is_busy)
+            }
             Event::Kill(agent) => self.kill(agent),
         }
     }
 
     fn tick(&mut self, agent: usize) {
-        if self.machines[agent].is_dead || self.machines[agent].done_at.is_some() {
+        if self.instances[agent].is_dead || self.instances[agent].completed_at.is_some() {
             return;
         }
         let now = Moment(self.now);
-        self.timed(agent, |plan| {
+        self.time_planning(agent, |plan| {
             plan.overdue(now);
         });
-        let stale = self.machines[agent].plan.partners().stale_partners(now, Millis(CHUNK_MS));
+        let stale = self.instances[agent].plan.partners().stale_partners(now, Millis(CHUNK_MS));
         for id in stale {
-            let holder = self.places[&id];
-            if self.machines[holder].is_dead {
-                self.machines[agent].plan.shun(now, &id);
+            let holder = self.number_of_instance[&id];
+            if self.instances[holder].is_dead {
+                self.instances[agent].plan.shun(now, &id);
             } else {
-                self.hear(agent, holder);
-                self.hear(holder, agent);
+                self.receive_state(agent, holder);
+                self.receive_state(holder, agent);
             }
         }
-        self.draw(agent);
+        self.fetch_next(agent);
         self.push(self.now + TICK_MS, Event::Tick(agent));
     }
 
-    /// Lets one agent learn what another holds.
-    fn hear(&mut self, agent: usize, holder: usize) {
-        let held: ChunkBitmap = self.machines[holder].plan.held().clone();
-        let queue = self.machines[holder].uploads as u32;
+    /// Passes the held chunks and the queue length of a holder to an agent.
+    fn receive_state(&mut self, agent: usize, holder: usize) {
+        let held: ChunkBitmap = self.instances[holder].plan.held().clone();
+        let queue = self.instances[holder].uploads as u32;
         let id = self.peers[holder].id.clone();
         let now = Moment(self.now);
-        self.timed(agent, |plan| plan.heard(now, &id, held, queue));
+        self.time_planning(agent, |plan| plan.heard(now, &id, held, queue));
     }
 
-    fn draw(&mut self, agent: usize) {
+    fn fetch_next(&mut self, agent: usize) {
         let now = Moment(self.now);
-        let mut draws = Vec::new();
-        self.timed(agent, |plan| draws = plan.next_draws(now));
-        for draw in draws {
-            let index = draw.index.0;
-            match draw.source {
+        let mut fetches = Vec::new();
+        self.time_planning(agent, |plan| fetches = plan.next_draws(now));
+        for fetch in fetches {
+            let index = fetch.index.0;
+            match fetch.source {
                 ChunkSource::Origin => {
-                    self.origin_free = self.origin_free.max(self.now) + CHUNK_MS / 2;
+                    self.origin_free_at = self.origin_free_at.max(self.now) + CHUNK_MS / 2;
                     self.origin_sent += 1;
-                    let time = self.receive(agent, self.origin_free);
-                    self.push(time, Event::Arrived { agent, holder: None, index });
+                    let time = self.reserve_downlink(agent, self.origin_free_at);
+                    self.push(time, Event::ChunkArrived { agent, holder: None, index });
                 }
                 ChunkSource::Peer(id) | ChunkSource::Relay(id) => {
-                    let holder = self.places[&id];
+                    let holder = self.number_of_instance[&id];
                     let time = self.now + MESSAGE_MS;
-                    self.push(time, Event::Asked { agent, holder, index });
+                    self.push(time, Event::ChunkRequested { agent, holder, index });
                 }
             }
         }
     }
 
-    /// When bytes that leave the sender at `sent` are through the receiver's link.
-    fn receive(&mut self, agent: usize, sent: u64) -> u64 {
-        let machine = &mut self.machines[agent];
-        machine.down_free = (machine.down_free + CHUNK_MS).max(sent);
-        machine.down_free
+    /// Reserves an agent's download link for a chunk that the sender has sent completely at `sent_at`,
+    /// and returns when the chunk is received.
+    fn reserve_downlink(&mut self, agent: usize, sent_at: u64) -> u64 {
+        let instance = &mut self.instances[agent];
+        instance.downlink_free_at = (instance.downlink_free_at + CHUNK_MS).max(sent_at);
+        instance.downlink_free_at
     }
 
-    fn asked(&mut self, agent: usize, holder: usize, index: u32) {
-        // A dead holder does not answer; the draw ends by its patience.
-        if self.machines[holder].is_dead || self.machines[agent].is_dead {
+    fn chunk_requested(&mut self, agent: usize, holder: usize, index: u32) {
+        // A dead holder does not answer, so the fetch times out.
+        if self.instances[holder].is_dead || self.instances[agent].is_dead {
             return;
         }
-        self.hear(holder, agent);
-        let lacks = !self.machines[holder].plan.held().contains(ChunkIndex(index));
-        if lacks || self.machines[holder].uploads >= UPLOADS {
-            let busy = !lacks;
+        self.receive_state(holder, agent);
+        let is_missing = !self.instances[holder].plan.held().contains(ChunkIndex(index));
+        if is_missing || self.instances[holder].uploads >= UPLOAD_QUEUE_LIMIT {
+            let is_busy = !is_missing;
             let time = self.now + MESSAGE_MS;
-            self.push(time, Event::Turned { agent, holder, index, busy });
+            self.push(time, Event::ChunkRefused { agent, holder, index, is_busy });
             return;
         }
-        let machine = &mut self.machines[holder];
-        machine.uploads += 1;
-        machine.sent += 1;
-        machine.up_free = machine.up_free.max(self.now) + CHUNK_MS;
-        let sent = machine.up_free;
-        let time = self.receive(agent, sent);
-        self.push(time, Event::Arrived { agent, holder: Some(holder), index });
+        let instance = &mut self.instances[holder];
+        instance.uploads += 1;
+        instance.sent += 1;
+        instance.uplink_free_at = instance.uplink_free_at.max(self.now) + CHUNK_MS;
+        let sent_at = instance.uplink_free_at;
+        let time = self.reserve_downlink(agent, sent_at);
+        self.push(time, Event::ChunkArrived { agent, holder: Some(holder), index });
     }
 
-    fn arrived(&mut self, agent: usize, holder: Option<usize>, index: u32) {
+    fn chunk_arrived(&mut self, agent: usize, holder: Option<usize>, index: u32) {
         let source = match holder {
             Some(holder) => {
-                let machine = &mut self.machines[holder];
-                machine.uploads = machine.uploads.saturating_sub(1);
-                if machine.is_dead {
+                let instance = &mut self.instances[holder];
+                instance.uploads = instance.uploads.saturating_sub(1);
+                if instance.is_dead {
                     return;
                 }
-                self.hear(agent, holder);
+                self.receive_state(agent, holder);
                 ChunkSource::Peer(self.peers[holder].id.clone())
             }
             None => ChunkSource::Origin,
         };
-        self.finish(agent, index, &source, &DrawOutcome::Verified);
+        self.finish_fetch(agent, index, &source, &DrawOutcome::Verified);
     }
 
-    fn turned(&mut self, agent: usize, holder: usize, index: u32, busy: bool) {
-        self.hear(agent, holder);
-        let others = self.machines[holder].plan.partners().holders(ChunkIndex(index), 4);
-        let outcome = if busy { DrawOutcome::Busy(others) } else { DrawOutcome::Missing };
+    fn chunk_refused(&mut self, agent: usize, holder: usize, index: u32, is_busy: bool) {
+        self.receive_state(agent, holder);
+        let others = self.instances[holder].plan.partners().holders(ChunkIndex(index), 4);
+        let outcome = if is_busy { DrawOutcome::Busy(others) } else { DrawOutcome::Missing };
         let source = ChunkSource::Peer(self.peers[holder].id.clone());
-        self.finish(agent, index, &source, &outcome);
+        self.finish_fetch(agent, index, &source, &outcome);
     }
 
-    fn finish(&mut self, agent: usize, index: u32, source: &ChunkSource, outcome: &DrawOutcome) {
-        if self.machines[agent].is_dead {
+    fn finish_fetch(
+        &mut self,
+        agent: usize,
+        index: u32,
+        source: &ChunkSource,
+        outcome: &DrawOutcome,
+    ) {
+        if self.instances[agent].is_dead {
             return;
         }
         let now = Moment(self.now);
-        self.timed(agent, |plan| {
+        self.time_planning(agent, |plan| {
             plan.finished(now, ChunkIndex(index), source, outcome);
         });
-        let machine = &mut self.machines[agent];
-        if machine.plan.is_complete() {
-            machine.done_at.get_or_insert(self.now);
+        let instance = &mut self.instances[agent];
+        if instance.plan.is_complete() {
+            instance.completed_at.get_or_insert(self.now);
         } else {
-            self.draw(agent);
+            self.fetch_next(agent);
         }
     }
 
     fn kill(&mut self, agent: usize) {
-        self.machines[agent].is_dead = true;
-        let dead: Vec<_> = self.machines.iter().map(|machine| machine.is_dead).collect();
+        self.instances[agent].is_dead = true;
+        let dead: Vec<_> = self.instances.iter().map(|instance| instance.is_dead).collect();
         let alive: Vec<_> = self
             .peers
             .iter()
@@ -341,31 +389,32 @@
             .filter(|(_, is_dead)| !is_dead)
             .map(|(peer, _)| peer.clone())
             .collect();
-        for machine in &mut self.machines {
-            machine.plan.set_peers(&alive);
+        for instance in &mut self.instances {
+            instance.plan.set_peers(&alive);
         }
     }
 
-    fn timed(&mut self, agent: usize, step: impl FnOnce(&mut TransferPlan)) {
+    fn time_planning(&mut self, agent: usize, step: impl FnOnce(&mut TransferPlan)) {
         let started = Instant::now();
-        step(&mut self.machines[agent].plan);
-        self.planning += started.elapsed();
+        step(&mut self.instances[agent].plan);
+        self.planning_time += started.elapsed();
     }
 
     fn print(&self, options: &Options) {
-        let count = self.machines.len();
+        let count = self.instances.len();
         let chunks = u64::from(options.chunks);
         let hops = 1.0 + (count as f64).log2().ceil();
         let bound = (chunks as f64 + hops) * CHUNK_MS as f64;
-        let finished = self.machines.iter().filter_map(|machine| machine.done_at).max();
+        let finished = self.instances.iter().filter_map(|instance| instance.completed_at).max();
         let share = |bytes: u64| bytes as f64 / chunks as f64;
-        let worst = self.machines.iter().map(|machine| machine.sent).max().unwrap_or(0);
-        let mean = self.machines.iter().map(|machine| machine.sent).sum::<u64>() / count as u64;
+        let worst = self.instances.iter().map(|instance| instance.sent).max().unwrap_or(0);
+        let mean = self.instances.iter().map(|instance| instance.sent).sum::<u64>() / count as u64;
         let time = if self.is_done() { finished.unwrap_or(0) as f64 / bound } else { f64::NAN };
-        let drawn = (count as u64 * chunks) as f64;
-        let cost = self.planning.as_secs_f64() * 1e6 / drawn;
-        // Everybody from the origin; one after the other; a binary tree, in which each machine
-        // sends two copies over a link that carries one at a time.
+        let fetched = (count as u64 * chunks) as f64;
+        let cost = self.planning_time.as_secs_f64() * 1e6 / fetched;
+        // The simpler schemes: all instances fetch from the origin; a chain, in which each instance
+        // sends to the next; a binary tree, in which each sends two copies over a link that carries
+        // one at a time.
         let from_origin = (count as f64 * chunks as f64 / 2.0) * CHUNK_MS as f64 / bound;
         let chain = (chunks as f64 + count as f64) * CHUNK_MS as f64 / bound;
         let depth = (count as f64 + 1.0).log2().ceil();
@@ -379,10 +428,10 @@
     }
 }
 
-fn peer(place: usize) -> TransferPeer {
-    let centre = format!("centre-{}", place % 7);
+fn peer(number: usize) -> TransferPeer {
+    let centre = format!("centre-{}", number % 7);
     TransferPeer {
-        id: format!("instance-{place}").parse().expect("a valid name"),
+        id: format!("instance-{number}").parse().expect("a valid name"),
         data_centre: centre.parse().expect("a valid name"),
     }
 }
