--- a/mustardrill_core/tests/naming_silence.rs
+++ b/mustardrill_core/tests/naming_silence.rs
@@ -35,8 +35,8 @@
         FleetChange::Peer(common::peer(&"entry-2".parse().unwrap())),
     ];
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
-    reducer.reduce(START, DirectEvent::Fleet(page(changes), START));
-    reducer.reduce(START + Millis(10), DirectEvent::GenerationHeard(Generation(1)));
+    reducer.reduce(START, DirectEvent::StoreAnswered(page(changes), START));
+    reducer.reduce(START + Millis(10), DirectEvent::GenerationReceived(Generation(1)));
     reducer
 }
 
@@ -45,10 +45,10 @@
 }
 
 fn is_sent(reducer: &mut DirectReducer, now: Moment) -> bool {
-    reducer.reduce(now, DirectEvent::Woke);
-    let size = WorkSize { prompt: 300, answer: 120 };
+    reducer.reduce(now, DirectEvent::TimerFired);
+    let size = WorkSize { prompt_tokens: 300, answer_tokens: 120 };
     let request = common::direct_request(now.0, "/x", size, now);
-    let effects = reducer.reduce(now, DirectEvent::Arrived(request));
+    let effects = reducer.reduce(now, DirectEvent::RequestArrived(request));
     effects.iter().any(|effect| matches!(effect, DirectEffect::Send(..)))
 }
 
@@ -59,10 +59,10 @@
     let mut reducer = entry();
     reducer.reduce(START + Millis(500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::Fleet(page(vec![version_announced()]), back));
-    reducer.reduce(back + Millis(300), DirectEvent::Woke);
+    reducer.reduce(back, DirectEvent::StoreAnswered(page(vec![version_announced()]), back));
+    reducer.reduce(back + Millis(300), DirectEvent::TimerFired);
     let bound_end = START + common::direct_settings().version_bound;
-    reducer.reduce(bound_end, DirectEvent::Fleet(page(Vec::new()), bound_end));
+    reducer.reduce(bound_end, DirectEvent::StoreAnswered(page(Vec::new()), bound_end));
     assert!(!is_sent(&mut reducer, bound_end));
 }
 
@@ -71,10 +71,13 @@
     let mut reducer = entry();
     reducer.reduce(START + Millis(500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::Fleet(page(vec![version_announced()]), back));
-    reducer.reduce(back + Millis(300), DirectEvent::Woke);
-    assert!(reducer.doubts(back + Millis(500)).is_some());
-    assert!(reducer.doubts(back + Millis(1_500)).is_some(), "no peer has answered yet");
+    reducer.reduce(back, DirectEvent::StoreAnswered(page(vec![version_announced()]), back));
+    reducer.reduce(back + Millis(300), DirectEvent::TimerFired);
+    assert!(reducer.peer_query_interval(back + Millis(500)).is_some());
+    assert!(
+        reducer.peer_query_interval(back + Millis(1_500)).is_some(),
+        "no peer has answered yet"
+    );
 }
 
 /// An entry that was suspended during the announcement takes an old answer for a current one until
@@ -84,8 +87,13 @@
     let mut reducer = entry();
     let resumed = START + Millis(5_000);
     // The call was sent before the entry was suspended, and answered while it was.
-    reducer
-        .reduce(resumed, DirectEvent::Fleet(page(vec![version_announced()]), START + Millis(10)));
-    assert!(reducer.doubts(resumed + Millis(500)).is_some());
-    assert!(reducer.doubts(resumed + Millis(1_500)).is_some(), "no peer has answered yet");
+    reducer.reduce(
+        resumed,
+        DirectEvent::StoreAnswered(page(vec![version_announced()]), START + Millis(10)),
+    );
+    assert!(reducer.peer_query_interval(resumed + Millis(500)).is_some());
+    assert!(
+        reducer.peer_query_interval(resumed + Millis(1_500)).is_some(),
+        "no peer has answered yet"
+    );
 }
--- a/mustardrill_core/tests/tellings.rs
+++ b/mustardrill_core/tests/tellings.rs
@@ -8,7 +8,7 @@
 const START: Moment = Moment(10_000);
 
 fn rows(requests: &[(&str, u32)]) -> LoadRows {
-    let load = |requests| UpstreamLoad { requests, reading: Millis(0) };
+    let load = |requests| UpstreamLoad { requests, pending_prefill: Millis(0) };
     requests.iter().map(|(id, requests)| (id.parse().unwrap(), load(*requests))).collect()
 }
 
@@ -63,7 +63,7 @@
         for (upstream, requests) in history {
             now = now + Millis(10);
             let id: InstanceId = format!("u{upstream}").parse().unwrap();
-            load.insert(id, UpstreamLoad { requests, reading: Millis(0) });
+            load.insert(id, UpstreamLoad { requests, pending_prefill: Millis(0) });
             send_and_merge(&mut received, &mut broadcaster, now, &load);
         }
         send_and_merge(&mut received, &mut broadcaster, now + Millis(60), &load);
--- a/mustardrill_core/tests/versions.rs
+++ b/mustardrill_core/tests/versions.rs
@@ -2,7 +2,7 @@
 
 use mustardrill_core::direct::{
     AnnouncementReport, AnnouncementTime, AttemptOutcome, AvailabilitySpan, DirectEffect,
-    DirectEvent, DirectReducer, DirectRequest, EngineForecast, EngineWord, FleetChange,
+    DirectEvent, DirectReducer, DirectRequest, EngineForecast, EngineNotice, FleetChange,
     FleetUpdate, LoadUpdate, PeerLoad, RepeatRule, RequestNumber, RouteDocument, ServedWeights,
     ServiceProfile, UpstreamLoad, UpstreamRecord, VersionTable, WorkSize,
 };
@@ -34,7 +34,7 @@
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes =
         vec![FleetChange::Configured(document.into()), FleetChange::Upstream(engine_with(1))];
-    reducer.reduce(START, DirectEvent::Fleet(page(changes), START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(page(changes), START));
     reducer
 }
 
@@ -54,7 +54,7 @@
 /// The same entry after a second version was announced at `START`.
 fn entry_after_announcement() -> DirectReducer {
     let mut reducer = entry_before_announcement();
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
     reducer
 }
 
@@ -62,16 +62,18 @@
 fn is_sent_under_load(after: Millis, load: UpstreamLoad, size: WorkSize) -> bool {
     let mut reducer = entry_after_announcement();
     let now = START + after;
-    reducer.reduce(now, DirectEvent::Fleet(page(Vec::new()), now));
+    reducer.reduce(now, DirectEvent::StoreAnswered(page(Vec::new()), now));
     let rows = vec![("u1".parse().unwrap(), load)];
     let news = LoadUpdate { rows, is_snapshot: true, waiting: Vec::new() };
-    reducer
-        .reduce(now, DirectEvent::PeerHeard(PeerLoad { from: "entry-2".parse().unwrap(), news }));
+    reducer.reduce(
+        now,
+        DirectEvent::PeerLoadReceived(PeerLoad { from: "entry-2".parse().unwrap(), update: news }),
+    );
     let request = DirectRequest {
         model: Some("m".parse().unwrap()),
         ..common::direct_request(1, "/x", size, now)
     };
-    let effects = reducer.reduce(now, DirectEvent::Arrived(request));
+    let effects = reducer.reduce(now, DirectEvent::RequestArrived(request));
     effects.iter().any(|effect| matches!(effect, DirectEffect::Send(..)))
 }
 
@@ -85,11 +87,11 @@
         reading in 0u64..200,
         prompt in 1u32..8_000,
     ) {
-        let size = WorkSize { prompt, answer: 120 };
-        let load = UpstreamLoad { requests, reading: Millis(reading) };
+        let size = WorkSize { prompt_tokens: prompt, answer_tokens: 120 };
+        let load = UpstreamLoad { requests, pending_prefill: Millis(reading) };
         if is_sent_under_load(Millis(after), load, size) {
             let profile = common::engine_profile();
-            let first = EngineForecast::new(&profile).first_token(requests, size);
+            let first = EngineForecast::new(&profile).time_to_first_token(requests, size);
             let started = after + 2 * (first.0 + reading);
             prop_assert!(started < common::direct_settings().version_bound.0, "{started}");
         }
@@ -98,7 +100,7 @@
     #[test]
     fn an_idle_engine_is_used_until_shortly_before_the_bound(early in 700u64..7_000) {
         let after = Millis(common::direct_settings().version_bound.0 - early);
-        let size = WorkSize { prompt: 300, answer: 120 };
+        let size = WorkSize { prompt_tokens: 300, answer_tokens: 120 };
         prop_assert!(is_sent_under_load(after, UpstreamLoad::default(), size));
     }
 }
@@ -109,9 +111,9 @@
 
 /// Whether a request that arrives at `now` is sent to the engine with the first version.
 fn is_sent(reducer: &mut DirectReducer, number: u64, now: Moment) -> bool {
-    let size = WorkSize { prompt: 300, answer: 120 };
+    let size = WorkSize { prompt_tokens: 300, answer_tokens: 120 };
     let request = common::direct_request(number, "/x", size, now);
-    let effects = reducer.reduce(now, DirectEvent::Arrived(request));
+    let effects = reducer.reduce(now, DirectEvent::RequestArrived(request));
     effects.iter().any(|effect| matches!(effect, DirectEffect::Send(..)))
 }
 
@@ -122,16 +124,16 @@
     let bound = common::direct_settings().version_bound;
     let mut reducer = entry_before_announcement();
     let other = common::peer(&"entry-2".parse().unwrap());
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![FleetChange::Peer(other)]), START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![FleetChange::Peer(other)]), START));
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
     // Two versions were announced in the meantime; the store shows only the second of them.
-    reducer.reduce(back, DirectEvent::Fleet(page(vec![version_announced(3)]), back));
+    reducer.reduce(back, DirectEvent::StoreAnswered(page(vec![version_announced(3)]), back));
     let span = AvailabilitySpan { since: Moment(0), until: back - Millis(10) };
-    reducer.reduce(back + Millis(20), DirectEvent::ContactHeard(span));
+    reducer.reduce(back + Millis(20), DirectEvent::AvailabilityReceived(span));
     let bound_end = START + bound;
     for now in [bound_end, bound_end + Millis(1_000), back + bound - Millis(1_000)] {
-        reducer.reduce(now, DirectEvent::Fleet(page(Vec::new()), now));
+        reducer.reduce(now, DirectEvent::StoreAnswered(page(Vec::new()), now));
         assert!(
             !is_sent(&mut reducer, now.0, now),
             "{} after the last confirmation",
@@ -147,11 +149,11 @@
     let bound = common::direct_settings().version_bound;
     let mut reducer = entry_after_announcement();
     let sent = START + Millis(bound.0 - 800);
-    reducer.reduce(sent, DirectEvent::Fleet(page(Vec::new()), sent));
+    reducer.reduce(sent, DirectEvent::StoreAnswered(page(Vec::new()), sent));
     assert!(is_sent(&mut reducer, 1, sent));
     let bound_end = START + bound;
-    let effects = reducer.reduce(bound_end, DirectEvent::Woke);
-    let is_wake = |effect: &DirectEffect| matches!(effect, DirectEffect::Wake(_));
+    let effects = reducer.reduce(bound_end, DirectEvent::TimerFired);
+    let is_wake = |effect: &DirectEffect| matches!(effect, DirectEffect::SetTimer(_));
     assert!(
         !effects.iter().all(is_wake),
         "left in an engine where it may still start: {effects:?}"
@@ -162,13 +164,14 @@
 /// the time by which the request must have started.
 fn entry_with_attempt_shortly_before_bound(repeat: RepeatRule) -> (DirectReducer, Moment) {
     let mut reducer = entry_with_route(repeat);
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
     let sent = START + Millis(common::direct_settings().version_bound.0 - 800);
-    reducer.reduce(sent, DirectEvent::Fleet(page(Vec::new()), sent));
-    let request = common::direct_request(1, "/x", WorkSize { prompt: 300, answer: 120 }, sent);
-    let effects = reducer.reduce(sent, DirectEvent::Arrived(request));
+    reducer.reduce(sent, DirectEvent::StoreAnswered(page(Vec::new()), sent));
+    let request =
+        common::direct_request(1, "/x", WorkSize { prompt_tokens: 300, answer_tokens: 120 }, sent);
+    let effects = reducer.reduce(sent, DirectEvent::RequestArrived(request));
     let begin_by = effects.iter().find_map(|effect| match effect {
-        DirectEffect::Send(_, plan) => plan.begin_by,
+        DirectEffect::Send(_, plan) => plan.start_by,
         _ => None,
     });
     (reducer, begin_by.expect("the request is sent with a time limit"))
@@ -184,14 +187,18 @@
         entry_with_attempt_shortly_before_bound(RepeatRule::StreamResumable);
     let newer = FleetChange::Upstream(engine_with(2));
     let soon = begin_by - Millis(1);
-    let effects = reducer.reduce(soon, DirectEvent::Fleet(page(vec![newer]), soon));
+    let effects = reducer.reduce(soon, DirectEvent::StoreAnswered(page(vec![newer]), soon));
     assert!(!is_withdrawn(&effects));
-    assert!(is_withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)));
-    assert!(!is_withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)), "withdrawn only once");
-    let ended = DirectEvent::Ended(RequestNumber(1), AttemptOutcome::Withdrawn { sent: true });
+    assert!(is_withdrawn(&reducer.reduce(begin_by, DirectEvent::TimerFired)));
+    assert!(
+        !is_withdrawn(&reducer.reduce(begin_by, DirectEvent::TimerFired)),
+        "withdrawn only once"
+    );
+    let ended =
+        DirectEvent::AttemptEnded(RequestNumber(1), AttemptOutcome::Withdrawn { sent: true });
     let effects = reducer.reduce(begin_by, ended);
     let plan = effects.iter().find_map(|effect| match effect {
-        DirectEffect::Send(_, plan) => Some((plan.upstream.as_str(), plan.begin_by)),
+        DirectEffect::Send(_, plan) => Some((plan.upstream.as_str(), plan.start_by)),
         _ => None,
     });
     assert_eq!(plan, Some(("u2", None)));
@@ -201,8 +208,9 @@
 fn a_request_that_may_run_only_once_is_retried_after_its_withdrawal() {
     let (mut reducer, begin_by) = entry_with_attempt_shortly_before_bound(RepeatRule::StreamOnce);
     let newer = FleetChange::Upstream(engine_with(2));
-    reducer.reduce(begin_by, DirectEvent::Fleet(page(vec![newer]), begin_by));
-    let ended = DirectEvent::Ended(RequestNumber(1), AttemptOutcome::Withdrawn { sent: true });
+    reducer.reduce(begin_by, DirectEvent::StoreAnswered(page(vec![newer]), begin_by));
+    let ended =
+        DirectEvent::AttemptEnded(RequestNumber(1), AttemptOutcome::Withdrawn { sent: true });
     let effects = reducer.reduce(begin_by, ended);
     let code = effects.iter().find_map(|effect| match effect {
         DirectEffect::Refuse(_, plan) => Some(plan.code),
@@ -216,8 +224,8 @@
     let (mut reducer, begin_by) =
         entry_with_attempt_shortly_before_bound(RepeatRule::StreamResumable);
     let version = Some(WeightVersion(1));
-    reducer.reduce(begin_by, DirectEvent::Answering(RequestNumber(1), None, version));
-    assert!(!is_withdrawn(&reducer.reduce(begin_by + Millis(300), DirectEvent::Woke)));
+    reducer.reduce(begin_by, DirectEvent::AnswerStarted(RequestNumber(1), None, version));
+    assert!(!is_withdrawn(&reducer.reduce(begin_by + Millis(300), DirectEvent::TimerFired)));
 }
 
 /// A request queued in an engine that loads newer weights starts on those.
@@ -226,9 +234,9 @@
     let (mut reducer, begin_by) =
         entry_with_attempt_shortly_before_bound(RepeatRule::StreamResumable);
     let (address, model) = (engine_with(1).address, "m".parse().unwrap());
-    let word = EngineWord::Serving(WeightVersion(2));
-    reducer.reduce(begin_by, DirectEvent::EngineHeard { address, model, word });
-    assert!(!is_withdrawn(&reducer.reduce(begin_by, DirectEvent::Woke)));
+    let word = EngineNotice::Serving(WeightVersion(2));
+    reducer.reduce(begin_by, DirectEvent::EngineNoticeReceived { address, model, notice: word });
+    assert!(!is_withdrawn(&reducer.reduce(begin_by, DirectEvent::TimerFired)));
 }
 
 /// No newer version was known when the request was sent, but what peers report afterwards still
@@ -237,11 +245,11 @@
 fn a_request_sent_before_its_entry_learned_of_the_version_is_left_past_the_bound() {
     let mut reducer = entry_before_announcement();
     let now = START + Millis(8_000);
-    reducer.reduce(now, DirectEvent::Fleet(page(Vec::new()), now));
+    reducer.reduce(now, DirectEvent::StoreAnswered(page(Vec::new()), now));
     assert!(is_sent(&mut reducer, 1, now));
     let reports =
         vec![announcement_report(2, AnnouncementTime::observed(START, START + Millis(500)))];
-    assert!(is_withdrawn(&reducer.reduce(now, DirectEvent::NamingsHeard(reports))));
+    assert!(is_withdrawn(&reducer.reduce(now, DirectEvent::AnnouncementsReceived(reports))));
 }
 
 /// An entry that learns of the third version after an outage during which a second one was
@@ -249,10 +257,10 @@
 fn entry_back_from_outage() -> (DirectReducer, Moment) {
     let mut reducer = entry_before_announcement();
     let other = common::peer(&"entry-2".parse().unwrap());
-    reducer.reduce(START, DirectEvent::Fleet(page(vec![FleetChange::Peer(other)]), START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![FleetChange::Peer(other)]), START));
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::Fleet(page(vec![version_announced(3)]), back));
+    reducer.reduce(back, DirectEvent::StoreAnswered(page(vec![version_announced(3)]), back));
     (reducer, back)
 }
 
@@ -265,9 +273,9 @@
 fn superseded_from(mut reducer: DirectReducer) -> Moment {
     let moments = (0..40_000).step_by(50).map(|after| START + Millis(after));
     let dropped_at = moments.filter(|now| *now > START + Millis(6_100)).find(|now| {
-        reducer.reduce(*now, DirectEvent::Fleet(page(Vec::new()), *now));
+        reducer.reduce(*now, DirectEvent::StoreAnswered(page(Vec::new()), *now));
         let sent = is_sent(&mut reducer, now.0, *now);
-        reducer.reduce(*now, DirectEvent::Gone(RequestNumber(now.0)));
+        reducer.reduce(*now, DirectEvent::CallerGone(RequestNumber(now.0)));
         !sent
     });
     dropped_at.expect("the first version is superseded eventually")
@@ -280,7 +288,7 @@
     let time = AnnouncementTime::observed(START + Millis(1_500), second);
     let third = AnnouncementTime::observed(second, START + Millis(5_000));
     let reports = vec![announcement_report(2, time), announcement_report(3, third)];
-    reducer.reduce(back + Millis(20), DirectEvent::NamingsHeard(reports));
+    reducer.reduce(back + Millis(20), DirectEvent::AnnouncementsReceived(reports));
     let dropped_at = superseded_from(reducer);
     let bound = common::direct_settings().version_bound;
     assert!(dropped_at <= second + bound, "{dropped_at}");
@@ -293,7 +301,7 @@
 fn superseded_weights_are_dropped_early_after_a_store_outage_at_all_entries() {
     let (mut reducer, back) = entry_back_from_outage();
     let span = AvailabilitySpan { since: back - Millis(200), until: back };
-    reducer.reduce(back + Millis(20), DirectEvent::ContactHeard(span));
+    reducer.reduce(back + Millis(20), DirectEvent::AvailabilityReceived(span));
     let dropped_at = superseded_from(reducer);
     let bound = common::direct_settings().version_bound;
     assert!(dropped_at <= back + bound - Millis(200), "{dropped_at}");
@@ -305,17 +313,17 @@
 fn an_entry_suspended_during_an_announcement_counts_from_its_resumption() {
     let mut reducer = entry_before_announcement();
     let resumed = START + Millis(4_000);
-    reducer.reduce(resumed, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
+    reducer.reduce(resumed, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
     let announced_at = START + Millis(300);
     let reports = vec![announcement_report(2, AnnouncementTime::observed(START, announced_at))];
-    reducer.reduce(resumed + Millis(20), DirectEvent::NamingsHeard(reports));
+    reducer.reduce(resumed + Millis(20), DirectEvent::AnnouncementsReceived(reports));
     let dropped_at = superseded_from(reducer);
     assert!(dropped_at <= announced_at + common::direct_settings().version_bound, "{dropped_at}");
     // The same with a report from a peer that did not observe the announcement.
     let mut reducer = entry_before_announcement();
-    reducer.reduce(resumed, DirectEvent::Fleet(page(vec![version_announced(2)]), START));
+    reducer.reduce(resumed, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
     let reports = vec![announcement_report(2, AnnouncementTime::bounded(START, announced_at))];
-    reducer.reduce(resumed + Millis(20), DirectEvent::NamingsHeard(reports));
+    reducer.reduce(resumed + Millis(20), DirectEvent::AnnouncementsReceived(reports));
     assert!(superseded_from(reducer) <= announced_at + common::direct_settings().version_bound);
 }
 
@@ -347,19 +355,25 @@
     let mut reducer = entry_after_announcement();
     let bound_end = START + common::direct_settings().version_bound;
     let changes = vec![version_announced(3), FleetChange::Upstream(engine_with(2))];
-    reducer.reduce(bound_end, DirectEvent::Fleet(page(changes), bound_end));
+    reducer.reduce(bound_end, DirectEvent::StoreAnswered(page(changes), bound_end));
     let pinned = |reducer: &mut DirectReducer, number| {
-        let request =
-            common::direct_request(number, "/x", WorkSize { prompt: 300, answer: 120 }, bound_end);
-        let effects = reducer.reduce(bound_end, DirectEvent::Arrived(request));
+        let request = common::direct_request(
+            number,
+            "/x",
+            WorkSize { prompt_tokens: 300, answer_tokens: 120 },
+            bound_end,
+        );
+        let effects = reducer.reduce(bound_end, DirectEvent::RequestArrived(request));
         effects.iter().find_map(|effect| match effect {
-            DirectEffect::Send(_, plan) => Some((plan.upstream.as_str().to_owned(), plan.pinned)),
+            DirectEffect::Send(_, plan) => {
+                Some((plan.upstream.as_str().to_owned(), plan.pinned_version))
+            }
             _ => None,
         })
     };
     assert_eq!(pinned(&mut reducer, 1), Some(("u2".into(), Some(WeightVersion(2)))));
     let (address, model) = (engine_with(2).address, "m".parse().unwrap());
-    let word = EngineWord::Serving(WeightVersion(3));
-    reducer.reduce(bound_end, DirectEvent::EngineHeard { address, model, word });
+    let word = EngineNotice::Serving(WeightVersion(3));
+    reducer.reduce(bound_end, DirectEvent::EngineNoticeReceived { address, model, notice: word });
     assert_eq!(pinned(&mut reducer, 2), Some(("u2".into(), Some(WeightVersion(3)))));
 }
