--- a/mustardrill_core/src/entry/dispatch.rs
+++ b/mustardrill_core/src/entry/dispatch.rs
@@ -136,10 +136,10 @@
         if let Some(state) = self.requests.get_mut(id) {
             state.delivered = delivered;
         }
-        let is_healthy = matches!(end, AttemptEnd::Whole | AttemptEnd::Refused(..));
+        let is_healthy = matches!(end, AttemptEnd::Complete | AttemptEnd::Refused(..));
         self.routing.record_ended(now, &instance, is_healthy);
         match end {
-            AttemptEnd::Whole => {
+            AttemptEnd::Complete => {
                 if let Some(state) = self.remove_request(id) {
                     self.record_complete_answer(now, state.digest);
                 }
@@ -151,7 +151,7 @@
                 self.retry(now, id, ResultCode::NoUpstream, RETRY_AFTER_NO_UPSTREAM, None)
             }
             AttemptEnd::Lost => self.attempt_lost(now, id, ResultCode::Unknown),
-            AttemptEnd::UpstreamEnded(start) => self.upstream_crashed(now, id, &instance, *start),
+            AttemptEnd::UpstreamCrashed(start) => self.upstream_crashed(now, id, &instance, *start),
             AttemptEnd::WrongWeights => self.attempt_lost(now, id, ResultCode::WrongWeights),
         }
     }
--- a/mustardrill_core/src/entry/event.rs
+++ b/mustardrill_core/src/entry/event.rs
@@ -54,11 +54,11 @@
     /// have run.
     Lost,
     /// This incarnation of the upstream crashed while it ran the attempt.
-    UpstreamEnded(StartStamp),
+    UpstreamCrashed(StartStamp),
     /// The answer was computed with other weights than the pinned ones.
     WrongWeights,
     /// The complete answer was received.
-    Whole,
+    Complete,
 }
 
 /// An input of the entry's reducer.
@@ -67,15 +67,15 @@
     /// A caller sent a request; it is not admitted yet.
     RequestArrived(IncomingRequest),
     /// The caller disconnected before the request was answered.
-    CallerGone(RequestId),
+    CallerDisconnected(RequestId),
     /// An attempt ended, with the number of answer bytes that the caller has received.
     AttemptEnded(AttemptId, AttemptEnd, u64),
     /// The outcome of a claim; `Unavailable` where no shard coordinator answered.
     ClaimSettled(AttemptId, ClaimOutcome),
     /// A catalogue was read from the store; it is ignored unless its generation is newer.
-    CatalogueSeen(Arc<CatalogueDocument>),
+    CatalogueReceived(Arc<CatalogueDocument>),
     /// The platform's complete instance list was read.
-    InstancesSeen(Vec<InstanceRecord>),
+    InstancesReceived(Vec<InstanceRecord>),
     /// An agent answered a heartbeat.
     Synced(AgentSync),
     /// An agent did not answer a heartbeat in time.
@@ -102,7 +102,7 @@
     /// Demand by customer, summed over the entries whose heartbeats the agent received recently.
     pub demand: Vec<DemandRow>,
     /// The number of entries in the sum, this one included; 0 where the agent sent no sum.
-    pub entries: u32,
+    pub reporting_entries: u32,
     /// Reports from other entries about requests whose upstream crashed.
     pub crashes: Vec<CrashReport>,
 }
@@ -126,7 +126,7 @@
         retry_after: Millis,
     },
     /// Ask for a claim, one shard coordinator after the other until one answers.
-    AskClaim(ClaimOrder),
+    AcquireClaim(ClaimOrder),
     /// Release a claim, retrying until a shard coordinator confirms it.
     ReleaseClaim(ClaimOrder),
     /// Send a heartbeat to an agent.
@@ -152,7 +152,7 @@
     /// The attempt in whose name the key is claimed.
     pub attempt: AttemptId,
     /// The shard's coordinators in the order in which to ask them.
-    pub keepers: Vec<ClaimCoordinator>,
+    pub coordinators: Vec<ClaimCoordinator>,
 }
 
 /// An attempt to send to an agent.
--- a/mustardrill_core/src/entry/reducer.rs
+++ b/mustardrill_core/src/entry/reducer.rs
@@ -107,13 +107,13 @@
     pub fn reduce(&mut self, now: Moment, event: EntryEvent) -> Vec<EntryEffect> {
         match event {
             EntryEvent::RequestArrived(incoming) => self.request_arrived(now, incoming),
-            EntryEvent::CallerGone(id) => self.caller_disconnected(now, id),
+            EntryEvent::CallerDisconnected(id) => self.caller_disconnected(now, id),
             EntryEvent::AttemptEnded(attempt, end, delivered) => {
                 self.attempt_ended(now, attempt, &end, delivered)
             }
             EntryEvent::ClaimSettled(attempt, outcome) => self.claim_settled(now, attempt, outcome),
-            EntryEvent::CatalogueSeen(document) => self.catalogue_received(now, document),
-            EntryEvent::InstancesSeen(list) => self.instances_received(now, list),
+            EntryEvent::CatalogueReceived(document) => self.catalogue_received(now, document),
+            EntryEvent::InstancesReceived(list) => self.instances_received(now, list),
             EntryEvent::Synced(sync) => self.synced(now, sync),
             EntryEvent::SyncFailed(id) => self.sync_failed(now, &id),
             EntryEvent::EntriesCounted(count) => {
@@ -160,7 +160,7 @@
     }
 
     /// The request that waits for an attempt's result; `None` where the attempt is late or unknown.
-    pub fn awaits(&self, attempt: AttemptId) -> Option<RequestId> {
+    pub fn request_of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
         self.requests.request_of_attempt(attempt)
     }
 
@@ -200,7 +200,7 @@
         state.stage = RequestStage::Claiming;
         state.claimant = Some(attempt);
         self.requests.bind_attempt(attempt, id);
-        vec![EntryEffect::AskClaim(self.claim_order(now, key, attempt))]
+        vec![EntryEffect::AcquireClaim(self.claim_order(now, key, attempt))]
     }
 
     /// Checks that the caller may make the request now and counts it against the customer's limits.
@@ -249,12 +249,12 @@
         attempt: AttemptId,
     ) -> ClaimOrder {
         let shard = coordinator::shard_of(key, self.settings.claim_shards);
-        let keepers = coordinator::coordinators_of(now, &self.members, shard);
-        let keepers = keepers.into_iter().map(|record| ClaimCoordinator {
+        let coordinators = coordinator::coordinators_of(now, &self.members, shard);
+        let coordinators = coordinators.into_iter().map(|record| ClaimCoordinator {
             id: record.id.clone(),
             address: record.agent.clone(),
         });
-        ClaimOrder { key, attempt, keepers: keepers.collect() }
+        ClaimOrder { key, attempt, coordinators: coordinators.collect() }
     }
 
     fn claim_settled(
@@ -343,7 +343,7 @@
         self.record_crash_reports(now, sync.crashes);
         let Some(view) = self.agents.get_mut(&sync.id) else { return Vec::new() };
         view.progress = sync.progress;
-        self.update_limit_shares(&sync.demand, sync.entries);
+        self.update_limit_shares(&sync.demand, sync.reporting_entries);
         self.members.record_success(&sync.id);
         let is_local = self
             .members
--- a/mustardrill_core/tests/limits.rs
+++ b/mustardrill_core/tests/limits.rs
@@ -51,8 +51,8 @@
             leaving: false,
         };
         let now = Moment(1_000);
-        reducer.reduce(now, EntryEvent::CatalogueSeen(Arc::new(document_with(&text))));
-        reducer.reduce(now, EntryEvent::InstancesSeen(vec![record]));
+        reducer.reduce(now, EntryEvent::CatalogueReceived(Arc::new(document_with(&text))));
+        reducer.reduce(now, EntryEvent::InstancesReceived(vec![record]));
         reducer.reduce(now, EntryEvent::EntriesCounted(entries));
         let mut fixture = Self { reducer, now: 1_000, last_request: 0 };
         fixture.receive_demand(0, 0);
@@ -77,7 +77,7 @@
                 report,
                 progress: Vec::new(),
                 demand: vec![DemandRow { key, requests }],
-                entries: reporting,
+                reporting_entries: reporting,
                 crashes,
             }),
         );
@@ -102,7 +102,7 @@
             let effects = self.reducer.reduce(now, EntryEvent::RequestArrived(incoming));
             let is_over = |effect: &EntryEffect| matches!(effect, EntryEffect::Reject { code, .. } if *code == ResultCode::OverLimit);
             admitted += u32::from(!effects.iter().any(is_over));
-            self.reducer.reduce(now, EntryEvent::CallerGone(RequestId(self.last_request)));
+            self.reducer.reduce(now, EntryEvent::CallerDisconnected(RequestId(self.last_request)));
         }
         self.now += 1_000;
         self.reducer.reduce(Moment(self.now), EntryEvent::Tick);
--- a/mustardrill_core/tests/requests.rs
+++ b/mustardrill_core/tests/requests.rs
@@ -263,7 +263,9 @@
     };
     let mut reducer = EntryReducer::new(settings, now * 31 + index as u64);
     let list = (0..AGENTS).map(record).collect();
-    for event in [EntryEvent::CatalogueSeen(document.clone()), EntryEvent::InstancesSeen(list)] {
+    for event in
+        [EntryEvent::CatalogueReceived(document.clone()), EntryEvent::InstancesReceived(list)]
+    {
         reducer.reduce(Moment(now), event);
     }
     reducer
@@ -350,14 +352,14 @@
             SimulationEvent::AttemptEnds { entry, attempt, end, incarnation } => {
                 if self.entries[entry].incarnation == incarnation {
                     self.entries[entry].open_attempts.remove(&attempt);
-                    let delivered = u64::from(end == AttemptEnd::Whole);
+                    let delivered = u64::from(end == AttemptEnd::Complete);
                     let request = self.request_of(entry, attempt);
                     self.reduce_entry(
                         entry,
                         EntryEvent::AttemptEnded(attempt, end.clone(), delivered),
                     );
                     // The caller receives an answer only while the entry waits for the attempt.
-                    if let (AttemptEnd::Whole, Some(index)) = (&end, request) {
+                    if let (AttemptEnd::Complete, Some(index)) = (&end, request) {
                         self.record_result(index, CallerResult::Complete);
                     }
                 }
@@ -448,7 +450,7 @@
                 EntryEffect::Reject { id, code, .. } => {
                     self.record_result(id.0 as usize, CallerResult::Refused(code));
                 }
-                EntryEffect::AskClaim(order) => {
+                EntryEffect::AcquireClaim(order) => {
                     let at = self.now + self.delay(6);
                     self.push(
                         at,
@@ -474,7 +476,7 @@
 
     /// The request that waits for this attempt at the entry.
     fn request_of(&self, entry: usize, attempt: AttemptId) -> Option<usize> {
-        self.entries[entry].reducer.awaits(attempt).map(|id| id.0 as usize)
+        self.entries[entry].reducer.request_of_attempt(attempt).map(|id| id.0 as usize)
     }
 
     fn deliver_attempt(&mut self, entry: usize, agent: usize, order: SendOrder, incarnation: u32) {
@@ -537,12 +539,12 @@
         if self.entries[entry].incarnation != incarnation {
             return;
         }
-        let Some(keeper) = order.keepers.get(index) else {
+        let Some(coordinator) = order.coordinators.get(index) else {
             let (attempt, outcome) = (order.attempt, ClaimOutcome::Unavailable);
             self.reduce_entry(entry, EntryEvent::ClaimSettled(attempt, outcome));
             return;
         };
-        let agent = number_of(keeper.id.as_str());
+        let agent = number_of(coordinator.id.as_str());
         if self.agents[agent].cut_until > self.now {
             self.ask_coordinator(entry, order, index + 1, incarnation);
             return;
@@ -563,8 +565,10 @@
 
     fn release_claim(&mut self, order: ClaimOrder, index: usize) {
         const TRIES: usize = 10;
-        let Some(keeper) = order.keepers.iter().cycle().take(TRIES).nth(index) else { return };
-        let agent = number_of(keeper.id.as_str());
+        let Some(coordinator) = order.coordinators.iter().cycle().take(TRIES).nth(index) else {
+            return;
+        };
+        let agent = number_of(coordinator.id.as_str());
         let simulated = &self.agents[agent];
         if simulated.cut_until > self.now || simulated.suspended_until > self.now {
             self.push(self.now + 500, SimulationEvent::ClaimReleased { order, index: index + 1 });
@@ -598,11 +602,11 @@
         }
         self.reduce_agent(agent, AgentEvent::RequestFinished(attempt));
         if let Some((entry, _)) = self.agents[agent].attempts.remove(&attempt) {
-            self.end_attempt(entry, attempt, AttemptEnd::Whole);
+            self.end_attempt(entry, attempt, AttemptEnd::Complete);
             if self.delay(10) == 1 {
                 // A duplicate of the answer, 40 ms late.
                 let (incarnation, at) = (self.entries[entry].incarnation, self.now + 40);
-                let end = AttemptEnd::Whole;
+                let end = AttemptEnd::Complete;
                 self.push(at, SimulationEvent::AttemptEnds { entry, attempt, end, incarnation });
             }
         }
@@ -728,7 +732,7 @@
             report,
             progress: Vec::new(),
             demand: Vec::new(),
-            entries: 0,
+            reporting_entries: 0,
             crashes: Vec::new(),
         };
         self.reduce_entry(entry, EntryEvent::Synced(sync));
--- a/mustardrill_entry/src/actor.rs
+++ b/mustardrill_entry/src/actor.rs
@@ -83,7 +83,7 @@
             self.attempts.remove(attempt);
         }
         let finished = match &event {
-            EntryEvent::CallerGone(id) => Some(*id),
+            EntryEvent::CallerDisconnected(id) => Some(*id),
             _ => None,
         };
         let now = self.context.clock.now();
@@ -124,7 +124,7 @@
                     io.reject(code, retry_after);
                 }
             }
-            EntryEffect::AskClaim(order) => {
+            EntryEffect::AcquireClaim(order) => {
                 effects::ask_claim(self.context.clone(), actor.clone(), order);
             }
             EntryEffect::ReleaseClaim(order) => {
--- a/mustardrill_entry/src/attempt.rs
+++ b/mustardrill_entry/src/attempt.rs
@@ -74,7 +74,7 @@
 ) -> (AttemptEnd, u64) {
     let _ = context.metrics.count("attempts", 1);
     let end = match stream(context, io, order).await {
-        Ok(()) => AttemptEnd::Whole,
+        Ok(()) => AttemptEnd::Complete,
         Err(Broken(end)) => end,
     };
     (end, io.delivered())
@@ -123,7 +123,7 @@
             }
             Some(Part::Ended(end)) => {
                 finish(&mut frames).await;
-                return Err(Broken(AttemptEnd::UpstreamEnded(StartStamp(end.start))));
+                return Err(Broken(AttemptEnd::UpstreamCrashed(StartStamp(end.start))));
             }
             None => {}
         }
--- a/mustardrill_entry/src/callers.rs
+++ b/mustardrill_entry/src/callers.rs
@@ -260,7 +260,7 @@
         // Told for ended requests too: the actor then lets go of what it keeps for the caller.
         let (actor, id) = (self.actor.clone(), self.id);
         tokio::spawn(async move {
-            let _ = actor.tell(Event(EntryEvent::CallerGone(id))).await;
+            let _ = actor.tell(Event(EntryEvent::CallerDisconnected(id))).await;
         });
     }
 }
--- a/mustardrill_entry/src/editor.rs
+++ b/mustardrill_entry/src/editor.rs
@@ -114,7 +114,7 @@
     /// Puts a catalogue in force here without waiting for the watch.
     async fn announce(&self, document: Option<Box<CatalogueDocument>>) {
         if let Some(document) = document {
-            let event = EntryEvent::CatalogueSeen(Arc::from(document));
+            let event = EntryEvent::CatalogueReceived(Arc::from(document));
             let _ = self.actor.tell(Event(event)).await;
         }
     }
--- a/mustardrill_entry/src/effects.rs
+++ b/mustardrill_entry/src/effects.rs
@@ -57,7 +57,7 @@
 ) {
     tokio::spawn(async move {
         let mut outcome = ClaimOutcome::Unavailable;
-        for keeper in &order.keepers {
+        for keeper in &order.coordinators {
             if let Some(answer) = call_claim(&context, &order, keeper, false).await {
                 outcome = answer;
                 break;
@@ -72,7 +72,7 @@
     const TRIES: usize = 10;
     const TRY_EVERY: Millis = Millis(500);
     tokio::spawn(async move {
-        for keeper in order.keepers.iter().cycle().take(TRIES) {
+        for keeper in order.coordinators.iter().cycle().take(TRIES) {
             if call_claim(&context, &order, keeper, true).await.is_some() {
                 return;
             }
@@ -128,7 +128,7 @@
             return;
         };
         if let Some(document) = catalogue_of(&reply.catalogue, call.id.as_str()) {
-            let _ = actor.tell(Event(EntryEvent::CatalogueSeen(Arc::new(document)))).await;
+            let _ = actor.tell(Event(EntryEvent::CatalogueReceived(Arc::new(document)))).await;
         }
         let synced = sync_of(context.clock.now(), call.id, &reply);
         let _ = actor.tell(Event(EntryEvent::Synced(synced))).await;
@@ -169,7 +169,7 @@
         },
         progress: reply.progress.iter().filter_map(progress_of).collect(),
         demand: reply.demand.iter().filter_map(demand_row).collect(),
-        entries: reply.entries,
+        reporting_entries: reply.entries,
         crashes: reply.crashes.iter().filter_map(|row| crash_word(now, row)).collect(),
     }
 }
--- a/mustardrill_entry/src/watch.rs
+++ b/mustardrill_entry/src/watch.rs
@@ -55,7 +55,7 @@
             known = value.revision;
             match CatalogueDocument::decode(&value.bytes) {
                 Ok(document) => {
-                    let event = EntryEvent::CatalogueSeen(Arc::new(document));
+                    let event = EntryEvent::CatalogueReceived(Arc::new(document));
                     let _ = actor.tell(Event(event)).await;
                 }
                 Err(error) => {
@@ -82,7 +82,8 @@
                         listing.instances.iter().map(|record| record.agent.clone()).collect();
                     context.agents.retain(&addresses);
                     let _ = actor.tell(Event(EntryEvent::EntriesCounted(listing.entries))).await;
-                    let _ = actor.tell(Event(EntryEvent::InstancesSeen(listing.instances))).await;
+                    let _ =
+                        actor.tell(Event(EntryEvent::InstancesReceived(listing.instances))).await;
                 }
                 Err(error) if !is_away => {
                     is_away = true;
--- a/mustardrill_standins/examples/slopes.rs
+++ b/mustardrill_standins/examples/slopes.rs
@@ -100,9 +100,9 @@
         sync_every: Millis(400),
     };
     let mut reducer = EntryReducer::new(settings, 1);
-    reducer.reduce(Moment(1), EntryEvent::CatalogueSeen(document(1, workers)));
+    reducer.reduce(Moment(1), EntryEvent::CatalogueReceived(document(1, workers)));
     let list = (0..workers).map(record).collect();
-    reducer.reduce(Moment(1), EntryEvent::InstancesSeen(list));
+    reducer.reduce(Moment(1), EntryEvent::InstancesReceived(list));
     (0..workers).for_each(|place| {
         reducer.reduce(Moment(2), EntryEvent::Synced(sync(place)));
     });
@@ -121,7 +121,7 @@
         },
         progress: Vec::new(),
         demand: Vec::new(),
-        entries: 1,
+        reporting_entries: 1,
         crashes: Vec::new(),
     }
 }
@@ -154,7 +154,7 @@
             let effects = reducer.reduce(Moment(3), EntryEvent::RequestArrived(incoming(number)));
             for effect in effects {
                 if let EntryEffect::Send(order) = effect {
-                    let end = EntryEvent::AttemptEnded(order.attempt, AttemptEnd::Whole, 1);
+                    let end = EntryEvent::AttemptEnded(order.attempt, AttemptEnd::Complete, 1);
                     black_box(reducer.reduce(Moment(4), end));
                 }
             }
