--- a/mustardrill_core/src/entry/reducer.rs
+++ b/mustardrill_core/src/entry/reducer.rs
@@ -58,7 +58,8 @@
     pub(super) crashes: CrashReportRelay,
     /// Suspected requests that are held until the verdict on them.
     pub(super) awaiting_verdict: Vec<RequestId>,
-    pub(super) leaving: bool,
+    /// Whether a planned shutdown has started.
+    pub(super) is_draining: bool,
     pub(super) random: SmallRng,
 }
 
@@ -97,7 +98,7 @@
             quarantine: QuarantineTable::new(Millis(settings.sync_every.0 * 5 / 2)),
             crashes: CrashReportRelay::default(),
             awaiting_verdict: Vec::new(),
-            leaving: false,
+            is_draining: false,
             random: SmallRng::seed_from_u64(seed),
             settings,
         }
@@ -123,7 +124,7 @@
             EntryEvent::Tick => self.tick(now),
             EntryEvent::Stop => {
                 info!("stop decision=leave");
-                self.leaving = true;
+                self.is_draining = true;
                 Vec::new()
             }
         }
@@ -150,8 +151,8 @@
     }
 
     /// Whether the entry is draining and refuses new requests.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_draining(&self) -> bool {
+        self.is_draining
     }
 
     /// Whether no requests are in progress.
@@ -209,7 +210,7 @@
         now: Moment,
         incoming: &IncomingRequest,
     ) -> Result<CatalogueEntry, (ResultCode, Millis)> {
-        if self.leaving {
+        if self.is_draining {
             return Err((ResultCode::Leaving, Millis(1)));
         }
         let found = self.document.entries.get(&incoming.target);
--- a/mustardrill_entry/src/status.rs
+++ b/mustardrill_entry/src/status.rs
@@ -95,7 +95,7 @@
         Self {
             entry: own.as_str().into(),
             generation: reducer.document().generation.0,
-            leaving: reducer.is_leaving(),
+            leaving: reducer.is_draining(),
             elsewhere: listed.saturating_sub(agents.len()),
             agents,
         }
