--- /dev/null
+++ b/mustardrill_entry/src/direct/event_splitter.rs
@@ -0,0 +1,68 @@
+//! Splits a streamed answer into complete server-sent events, so that no caller is sent part of
+//! one.
+
+use bytes::{Bytes, BytesMut};
+
+/// The blank line that ends an event.
+const EVENT_END: &[u8] = b"\n\n";
+
+/// Holds the bytes of an event that is not complete yet and the id of the last complete event.
+#[derive(Debug, Default)]
+pub(crate) struct EventSplitter {
+    pending: BytesMut,
+    last_id: Option<Box<str>>,
+}
+
+/// The events' ids are not consecutive: an event is missing or was sent twice.
+#[derive(Debug)]
+pub(crate) struct EventOrderError;
+
+impl EventSplitter {
+    /// Adds bytes; returns the events that are complete now, if any.
+    pub(crate) fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, EventOrderError> {
+        self.pending.extend_from_slice(bytes);
+        let Some(end) = last_event_end(&self.pending) else { return Ok(None) };
+        let events = self.pending.split_to(end).freeze();
+        for id in event_ids(&events) {
+            if !may_follow(self.last_id.as_deref(), id) {
+                return Err(EventOrderError);
+            }
+            self.last_id = Some(id.into());
+        }
+        Ok(Some(events))
+    }
+
+    /// The id of the last complete event.
+    pub(crate) fn last_id(&self) -> Option<&str> {
+        self.last_id.as_deref()
+    }
+
+    /// Whether the bytes so far end with a complete event.
+    pub(crate) fn is_complete(&self) -> bool {
+        self.pending.is_empty()
+    }
+
+    /// Drops the part of an event that a broken stream left behind.
+    pub(crate) fn drop_partial(&mut self) {
+        self.pending.clear();
+    }
+}
+
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    let start = bytes.windows(EVENT_END.len()).rposition(|window| window == EVENT_END)?;
+    Some(start + EVENT_END.len())
+}
+
+fn event_ids(events: &[u8]) -> impl Iterator<Item = &str> {
+    let text = std::str::from_utf8(events).unwrap_or_default();
+    text.lines().filter_map(|line| line.strip_prefix("id:")).map(str::trim)
+}
+
+/// Whether the event `next` may follow the event `last`. Ids that are not numbers are not checked.
+fn may_follow(last: Option<&str>, next: &str) -> bool {
+    let last = last.and_then(|last| last.parse::<u64>().ok());
+    match (last, next.parse::<u64>()) {
+        (Some(last), Ok(next)) => next == last + 1,
+        _ => true,
+    }
+}
--- a/mustardrill_entry/src/direct/mod.rs
+++ b/mustardrill_entry/src/direct/mod.rs
@@ -1,20 +1,21 @@
-//! The entry on a platform where it sends requests to upstreams itself.
+//! The entry for platforms on which it sends requests directly to upstreams, without agents in
+//! between.
 
 mod actor;
 mod answer;
 mod attempt;
+mod availability;
 mod callers;
 mod config;
 mod connections;
-mod contact;
-mod events;
+mod event_splitter;
 mod gated_stream;
 mod gossip;
 mod metrics;
-mod records;
+mod quarantine_records;
 mod relay;
 mod watch;
 
-pub use actor::{DirectBorders, DirectHandle, spawn};
+pub use actor::{DirectHandle, PlatformAdapters, spawn};
 pub use config::{DirectConfig, read};
 pub use metrics::METRICS;
