--- a/mustardrill_core/src/stock/event.rs
+++ b/mustardrill_core/src/stock/event.rs
@@ -9,7 +9,7 @@
 
 use crate::direct::{EngineWord, FleetUpdate, PeerRecord, ServedWeights};
 use crate::manifest::{ChunkBitmap, Manifest};
-use crate::stock::turn::TurnSettings;
+use crate::stock::rollout::TurnSettings;
 use crate::transfer::{ChunkDraw, ChunkSource, DrawOutcome, TransferSettings};
 
 /// A version of a model.
--- a/mustardrill_core/src/stock/order.rs
+++ b/mustardrill_core/src/stock/load_order.rs
@@ -7,7 +7,7 @@
 use crate::manifest::ChunkBitmap;
 use crate::stock::event::{EngineView, OrderFate, StockEffect, VersionId};
 use crate::stock::reducer::{ORDER_PATIENCE, OrderState, StockReducer, StockStage};
-use crate::stock::turn::TurnSpan;
+use crate::stock::rollout::TurnSpan;
 use crate::transfer::TransferPlan;
 
 /// How long before an engine's turn entries are told of it: what most answers take.
--- a/mustardrill_core/src/stock/mod.rs
+++ b/mustardrill_core/src/stock/mod.rs
@@ -4,21 +4,21 @@
 //! what is drawn from where, when the staged copy is read back, and when the engine is ordered to
 //! load it. Nothing here does I/O or reads a clock.
 
-mod drawing;
 mod engine;
-mod entries;
+mod entry_directory;
 mod event;
-mod following;
-mod holding;
-mod order;
+mod fetching;
+mod holdings;
+mod load_order;
+mod pending_manifest;
 mod reducer;
+mod rollout;
 mod sources;
-mod turn;
 
-pub use entries::EntryBook;
+pub use entry_directory::EntryBook;
 pub use event::{
     EngineView, HoldingNews, OrderFate, StockEffect, StockEvent, StockSettings, StockStatus,
     VersionId, WeightSource,
 };
 pub use reducer::StockReducer;
-pub use turn::{TurnSettings, TurnSpan};
+pub use rollout::{TurnSettings, TurnSpan};
--- a/mustardrill_core/src/stock/reducer.rs
+++ b/mustardrill_core/src/stock/reducer.rs
@@ -19,7 +19,7 @@
 use crate::stock::event::{
     EngineView, StockEffect, StockEvent, StockSettings, StockStatus, VersionId,
 };
-use crate::stock::following::FollowingList;
+use crate::stock::pending_manifest::FollowingList;
 use crate::transfer::{TransferPeer, TransferPlan};
 
 /// The version that engines hold before any is named.
