--- a/mustardrill_core/src/stock/engine.rs
+++ b/mustardrill_core/src/stock/engine.rs
@@ -1,42 +1,43 @@
-//! What an agent makes of its engine's words: restarts, and the weights that it serves.
+//! Evaluates the engine's reported state: restarts, and the weights that it serves.
 
 use log::info;
 use mustardrill_types::Moment;
 
 use crate::direct::{AnnouncementTime, EngineWord};
 use crate::stock::event::{EngineView, StockEffect};
-use crate::stock::reducer::{StockReducer, StockStage, version_of};
+use crate::stock::reducer::{StockReducer, StockStage, version_id_of};
 
 impl StockReducer {
-    pub(super) fn engine_seen(
+    pub(super) fn engine_observed(
         &mut self,
         now: Moment,
         view: Option<EngineView>,
     ) -> Vec<StockEffect> {
         let before = self.engine.take();
-        self.looked = true;
+        self.engine_polled = true;
         let Some(view) = view else { return Vec::new() };
         let mut effects = Vec::new();
-        if self.last_view.is_none() && self.stage.is_some() {
-            self.first_answer(now, &view);
+        if self.last_engine_view.is_none() && self.stage.is_some() {
+            self.first_response(now, &view);
         }
-        let is_restart = self.last_view.as_ref().is_some_and(|last| view.is_restart_of(last));
-        self.last_view = Some(view.clone());
-        self.note_served(&view);
+        let is_restart =
+            self.last_engine_view.as_ref().is_some_and(|last| view.is_restart_of(last));
+        self.last_engine_view = Some(view.clone());
+        self.record_served(&view);
         let is_known = before.is_some() && !is_restart && !view.serving.is_empty();
         if !is_known && self.stage.is_none() {
-            self.inspect = true;
+            self.inspects_staged = true;
         }
         if is_restart {
             info!("engine start={} sequence={} outcome=restarted", view.start, view.sequence);
-            self.order_anew();
+            self.discard_load_order();
         }
-        self.note_orders(&view);
+        self.confirm_load_order(&view);
         let served = before.map(|before| before.serving).unwrap_or_default();
         if served != view.serving
             && let Some(now_served) = view.serving.first()
         {
-            let version = version_of(now_served);
+            let version = version_id_of(now_served);
             info!("engine serving={version} sequence={} outcome=changed", view.sequence);
             let word = EngineWord::Serving(version.version);
             effects.push(StockEffect::TellEntries(version.model, word));
@@ -45,11 +46,12 @@
         effects
     }
 
-    /// Notes that what the engine serves was named, nobody knows when.
+    /// Records the served version as announced at an unknown time.
     ///
-    /// Load pattern: an agent starts alone while the entry that it asks is cut off from the store, or the
-    /// store lacks what was named last. Its engine would be given an older version than it serves.
-    fn note_served(&mut self, view: &EngineView) {
+    /// When an agent starts while its entry is cut off from the store, or while the store lacks the
+    /// latest announcement, the newest version known here may be older than what the engine serves.
+    /// Without this the engine would be given that older version.
+    fn record_served(&mut self, view: &EngineView) {
         for served in &view.serving {
             let newest = self.versions.newest(&served.model);
             if newest.is_none_or(|newest| newest < served.version) {
@@ -59,32 +61,35 @@
         }
     }
 
-    /// Takes over what was drawn before the engine answered for the first time. One that has run
-    /// for longer may have more staged already, or needs none of it.
-    fn first_answer(&mut self, now: Moment, view: &EngineView) {
+    /// Handles the engine's first response. Chunks fetched before it are kept only for an engine
+    /// that has just started: one that has run for longer may have more staged already, or may need
+    /// none of them.
+    fn first_response(&mut self, now: Moment, view: &EngineView) {
         let is_new = view.serving.is_empty() && view.sequence == 0;
         if !is_new {
-            self.stage = Some(StockStage::Listing { next_try: now, tries: 0 });
+            self.stage = Some(StockStage::FetchingManifest { next_try: now, tries: 0 });
         }
-        self.inspect = !is_new;
+        self.inspects_staged = !is_new;
     }
 
-    /// Gives up waiting for an order that an earlier start of the engine took: the present one
-    /// holds nothing and knows of no order.
-    fn order_anew(&mut self) {
+    /// Stops waiting for a load order that the engine's previous incarnation took: the current one
+    /// holds no weights and knows of no order.
+    fn discard_load_order(&mut self) {
         self.stage = match self.stage.take() {
-            Some(StockStage::Ordered(plan, order)) => Some(StockStage::Staged(plan, order.since)),
+            Some(StockStage::Loading(plan, order)) => {
+                Some(StockStage::AwaitingSlot(plan, order.since))
+            }
             other => other,
         };
     }
 
-    /// Where nothing was drawn since the agent's start, what the engine serves is what was staged.
-    /// Whoever draws from here verifies it.
+    /// If nothing was fetched since the agent started, assumes that the staged copy is the version
+    /// that the engine serves. Peers verify each chunk that they fetch from here.
     pub(super) fn assume_staged(&mut self) {
         if self.staged.is_some() || self.stage.is_some() {
             return;
         }
         let served = self.engine.as_ref().and_then(|engine| engine.serving.first());
-        self.staged = served.map(version_of).zip(self.total_chunks());
+        self.staged = served.map(version_id_of).zip(self.expected_chunk_count());
     }
 }
--- a/mustardrill_core/src/stock/entry_directory.rs
+++ b/mustardrill_core/src/stock/entry_directory.rs
@@ -1,16 +1,17 @@
-//! The entries that an agent tells of its engine.
+//! The entries that an agent notifies about its engine.
 
 use mustardrill_types::{Millis, Moment};
 
 use crate::direct::PeerRecord;
 
-/// How long the entries' addresses are good. Loading takes two words to them within some seconds.
-const ENTRIES_AGE: Millis = Millis(6_000);
+/// Age at which the list of entries is read again. A load sends them two notices some seconds
+/// apart.
+const MAX_ENTRIES_AGE: Millis = Millis(6_000);
 
-/// The entries as they were read last.
+/// The entries from the latest read that returned any.
 ///
-/// Load pattern: engines load new weights while the store is away. Old addresses are used all the same:
-/// entries that are not told of a pause go on sending requests, which the engine turns away.
+/// Engines may load new weights while the store is unavailable. Old addresses are still used then:
+/// entries that receive no notice of a pause keep sending requests, which the engine rejects.
 #[derive(Debug, Default)]
 pub struct EntryBook {
     read_at: Option<Moment>,
@@ -18,12 +19,13 @@
 }
 
 impl EntryBook {
-    /// Whether they should be read anew: one that has come since is not known.
+    /// Whether the list is due to be read again, to find entries that have registered since.
     pub fn is_due(&self, now: Moment) -> bool {
-        self.read_at.is_none_or(|read| now.since(read) >= ENTRIES_AGE)
+        self.read_at.is_none_or(|read| now.since(read) >= MAX_ENTRIES_AGE)
     }
 
-    /// Takes what was read. Where all start at once none may have registered yet.
+    /// Stores a read list. An empty one is ignored: when all processes start at once, no entry may
+    /// have registered yet.
     pub fn note(&mut self, now: Moment, entries: Vec<PeerRecord>) {
         if !entries.is_empty() {
             self.read_at = Some(now);
@@ -31,7 +33,7 @@
         }
     }
 
-    /// The entries, however long ago they were read.
+    /// The stored entries, regardless of their age.
     pub fn known(&self) -> &[PeerRecord] {
         &self.entries
     }
--- a/mustardrill_core/src/stock/event.rs
+++ b/mustardrill_core/src/stock/event.rs
@@ -1,4 +1,4 @@
-//! What the stocking of an engine sees and does, as data.
+//! Events, effects and settings of provisioning, as plain data.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 use crate::stock::rollout::TurnSettings;
 use crate::transfer::{ChunkDraw, ChunkSource, DrawOutcome, TransferSettings};
 
-/// A version of a model.
+/// A model and one of its versions, written as `model:version`.
 #[derive(Debug, derive_more::Display, Clone, PartialEq, Eq, Hash)]
 #[display("{model}:{version}")]
 pub struct VersionId {
-    /// The model.
+    /// Name of the model, as in the configuration.
     pub model: ModelName,
-    /// The version.
+    /// Version of its weights; later announcements have higher numbers.
     pub version: WeightVersion,
 }
 
-/// Where something of a version can be had.
+/// A place from which a version's manifest can be fetched.
 #[derive(Debug, derive_more::Display, Clone, PartialEq, Eq)]
 pub enum WeightSource {
     /// The origin.
@@ -36,144 +36,146 @@
     Peer(InstanceId),
 }
 
-/// What another agent tells of a version.
+/// What another agent reports about the chunks that it holds of a version.
 #[derive(Debug, Clone)]
 pub struct HoldingNews {
     /// The agent.
     pub from: InstanceId,
     /// The version.
     pub version: VersionId,
-    /// What it holds, a bit a chunk.
+    /// The chunks that it holds, one bit per chunk.
     pub bitmap: Box<[u8]>,
-    /// Its uploads that wait.
+    /// Number of its uploads that are queued.
     pub queue: u32,
-    /// Whether it wants an answer.
+    /// Whether it expects the receiver's holdings in return.
     pub asks: bool,
 }
 
-/// Something that happened at or to an agent.
+/// An input of the reducer.
 #[derive(Debug, Clone)]
 pub enum StockEvent {
-    /// The store answered.
+    /// Changes, or a snapshot, read from the store.
     Fleet(FleetUpdate),
-    /// An entry told that a version was named.
+    /// An entry reported that a version was announced.
     VersionHeard(ModelName, WeightVersion),
-    /// The entries were read anew; these are all that there are.
+    /// The complete list of entries was read again.
     RelaysSeen(Vec<PeerRecord>),
-    /// The engine told its state, or did not answer.
+    /// The engine reported its state; `None` if it did not respond.
     EngineSeen(Option<EngineView>),
-    /// A list of chunks came; nothing where it could not be had.
+    /// A manifest was fetched; `None` if no source had it.
     ListSeen(VersionId, Option<Arc<Manifest>>),
-    /// Another agent asked for a list of chunks that is not here.
+    /// Another agent asked for a manifest that is not available here.
     ListWanted(VersionId),
-    /// Another agent told what it holds.
+    /// Another agent reported its holdings.
     HoldingSeen(HoldingNews),
-    /// A draw ended; a verified chunk is staged.
+    /// A chunk fetch ended; a verified chunk is staged already.
     DrawEnded(VersionId, ChunkIndex, ChunkSource, DrawOutcome),
-    /// The staged chunks were read back; these are whole.
+    /// The staged chunks were read back and verified; these are intact.
     ReadBack(VersionId, ChunkBitmap),
-    /// The engine answered an order, or did not.
+    /// A load order ended, with a response or without one.
     Ordered(VersionId, OrderFate),
-    /// Time passed.
+    /// Timer tick.
     Woke,
 }
 
-/// What became of an order, as far as the engine told.
+/// Outcome of a load order, as far as it is known from the engine.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq)]
 pub enum OrderFate {
-    /// The engine has taken it.
+    /// The engine has accepted the order.
     #[display("taken")]
     Taken,
-    /// The engine has not taken it and never will.
+    /// The engine has rejected the order and will never run it.
     #[display("refused")]
     Refused,
-    /// No answer: the engine may have taken it, or may yet do so.
+    /// No response: the engine may have accepted the order, or may still do so.
     #[display("unknown")]
     Unknown,
 }
 
-/// What the engine tells of itself.
+/// State that the engine reports.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineView {
-    /// Which start of it this is.
+    /// Identifies the engine's incarnation.
     pub start: StartStamp,
-    /// Whether an order is in progress.
+    /// Whether a load is in progress.
     pub busy: bool,
-    /// Orders that it has taken since its start.
+    /// Number of load orders accepted since its start.
     pub sequence: u64,
-    /// The weights that it holds whole.
+    /// The weights that are loaded completely.
     pub serving: Vec<ServedWeights>,
 }
 
 impl EngineView {
-    /// Whether the engine has started anew since it told `earlier`.
+    /// Whether the engine has restarted since it reported `earlier`.
     pub fn is_restart_of(&self, earlier: &Self) -> bool {
         self.start != earlier.start || self.sequence < earlier.sequence
     }
 }
 
-/// Something that an agent does.
+/// An output of the reducer, to be carried out by the agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StockEffect {
-    /// Read the registrations of upstreams and entries anew.
+    /// Read the registrations of upstreams and entries again.
     ReadPeers,
-    /// Fetch a list of chunks from the first source that has it.
+    /// Fetch a manifest from the first source that has it.
     FetchList(VersionId, Vec<WeightSource>),
-    /// Draw a chunk, verify and stage it.
+    /// Fetch a chunk from the address, verify it and stage it.
     Draw(VersionId, ChunkDraw, SocketAddr),
-    /// Stop a draw that is not awaited any more.
+    /// Cancel a fetch whose result is no longer needed.
     CancelDraw(ChunkIndex, ChunkSource),
-    /// Tell agents what is held.
+    /// Send this agent's holdings to other agents.
     TellHolding {
         /// The version.
         version: VersionId,
-        /// Who is told.
+        /// The receivers.
         to: Vec<SocketAddr>,
-        /// What is held.
+        /// The chunks held here.
         bitmap: ChunkBitmap,
-        /// Whether an answer is wanted.
+        /// Whether the receivers are asked for their holdings in return.
         asks: bool,
     },
     /// Read all staged chunks back and verify them.
     ReadBack(VersionId),
-    /// Order the engine to load what is staged, where it has taken so many orders.
+    /// Order the engine to load the staged version, provided that it has accepted this many orders
+    /// so far.
     Order(VersionId, u64),
-    /// Tell the entries of the engine.
+    /// Send the entries a notice about the engine.
     TellEntries(ModelName, EngineWord),
-    /// Forget the list of a version that is not wanted any more.
+    /// Drop the manifest of a version that is no longer wanted.
     DropList(VersionId),
 }
 
-/// What an agent must know of itself and how it decides.
+/// Identity of an agent and parameters of its decisions.
 #[derive(Debug, Clone)]
 pub struct StockSettings {
-    /// The agent as its peers know it: the address of its machine.
+    /// This agent's id among its peers: the IP address of its machine.
     pub own: InstanceId,
     /// Its data centre.
     pub data_centre: DataCentre,
     /// Its engine's service.
     pub service: ServiceName,
-    /// Where its engine listens.
+    /// Address at which its engine listens.
     pub engine: SocketAddr,
-    /// The port at which agents listen, the same on all machines.
+    /// Port at which agents listen, the same on all machines.
     pub port: u16,
-    /// How chunks are drawn.
+    /// How chunks are fetched.
     pub transfer: TransferSettings,
-    /// When engines load.
+    /// The rollout schedule, which gives each engine its slot to load newer weights.
     pub turns: TurnSettings,
-    /// How often holdings are told while chunks are drawn.
+    /// Interval between reports of holdings while chunks are fetched; longer while no awaited chunk
+    /// was added.
     pub tell_every: Millis,
 }
 
-/// Where the stocking stands, for operators.
+/// Progress of provisioning, shown to operators.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StockStatus {
-    /// The version wanted.
+    /// The version being provisioned or served.
     pub wanted: Option<VersionId>,
-    /// Chunks held of it.
+    /// Number of its chunks held.
     pub held: u32,
-    /// Chunks in all; zero while the list is awaited.
+    /// Its number of chunks; zero until the manifest is available.
     pub total: u32,
-    /// Whether the engine serves it.
+    /// Whether provisioning is finished and the engine serves the version.
     pub serving: bool,
 }
--- a/mustardrill_core/src/stock/fetching.rs
+++ b/mustardrill_core/src/stock/fetching.rs
@@ -1,4 +1,4 @@
-//! How an agent draws the chunks of a version, and what comes of each draw.
+//! Fetching the chunks of a version: starts fetches and records their outcomes.
 
 use log::{debug, info, warn};
 use mustardrill_types::{ChunkIndex, Moment};
@@ -8,11 +8,12 @@
 use crate::stock::reducer::{StockReducer, StockStage};
 use crate::transfer::{ChunkSource, DrawOutcome, TransferPlan};
 
-/// The share of a version's chunks, in percent, from which on it is called coming.
-const COMING_SHARE: u32 = 67;
+/// Share of a version's chunks held, in percent, from which entries are told that the version is
+/// coming.
+const COMING_PERCENT: u32 = 67;
 
 impl StockReducer {
-    pub(super) fn draw(
+    pub(super) fn fetch_chunks(
         &mut self,
         now: Moment,
         wanted: &VersionId,
@@ -24,16 +25,16 @@
                 "weights version={wanted} outcome=staged origin_bytes={} entry_bytes={} peer_bytes={} corrupt={}",
                 counts.origin_bytes, counts.relay_bytes, counts.peer_bytes, counts.corrupt_chunks
             );
-            let total = plan.manifest().chunk_count();
-            self.staged = Some((wanted.clone(), total));
-            return (Some(StockStage::Staged(plan, now)), Vec::new());
+            let chunk_count = plan.manifest().chunk_count();
+            self.staged = Some((wanted.clone(), chunk_count));
+            return (Some(StockStage::AwaitingSlot(plan, now)), Vec::new());
         }
-        let late = plan.overdue(now).into_iter();
+        let overdue = plan.overdue(now).into_iter();
         let mut effects: Vec<_> =
-            late.map(|(index, source)| StockEffect::CancelDraw(index, source)).collect();
-        let share = plan.held().count() * 100 / plan.manifest().chunk_count().max(1);
-        if share >= COMING_SHARE && self.announced.as_ref() != Some(wanted) {
-            self.announced = Some(wanted.clone());
+            overdue.map(|(index, source)| StockEffect::CancelDraw(index, source)).collect();
+        let held_percent = plan.held().count() * 100 / plan.manifest().chunk_count().max(1);
+        if held_percent >= COMING_PERCENT && self.coming_reported.as_ref() != Some(wanted) {
+            self.coming_reported = Some(wanted.clone());
             effects.push(StockEffect::TellEntries(wanted.model.clone(), EngineWord::Coming));
         }
         let origin = self.origin();
@@ -52,10 +53,10 @@
                 }
             }
         }
-        (Some(StockStage::Drawing(plan)), effects)
+        (Some(StockStage::FetchingChunks(plan)), effects)
     }
 
-    pub(super) fn draw_ended(
+    pub(super) fn chunk_fetch_ended(
         &mut self,
         now: Moment,
         version: &VersionId,
--- a/mustardrill_core/src/stock/holdings.rs
+++ b/mustardrill_core/src/stock/holdings.rs
@@ -1,4 +1,4 @@
-//! What agents tell each other of the chunks that they hold.
+//! Exchanges reports of held chunks with other agents.
 
 use mustardrill_types::Moment;
 
@@ -7,20 +7,27 @@
 use crate::stock::reducer::{StockReducer, StockStage};
 
 impl StockReducer {
-    pub(super) fn holding_seen(&mut self, now: Moment, news: &HoldingNews) -> Vec<StockEffect> {
+    pub(super) fn holdings_received(
+        &mut self,
+        now: Moment,
+        report: &HoldingNews,
+    ) -> Vec<StockEffect> {
         let mut effects = Vec::new();
-        if self.wanted.as_ref() == Some(&news.version)
+        if self.wanted.as_ref() == Some(&report.version)
             && let Some(plan) = self.plan_mut()
         {
             let total = plan.manifest().chunk_count();
-            let bitmap = ChunkBitmap::from_bytes(&news.bitmap, total);
-            plan.heard(now, &news.from, bitmap, news.queue);
+            let bitmap = ChunkBitmap::from_bytes(&report.bitmap, total);
+            plan.heard(now, &report.from, bitmap, report.queue);
         }
-        // One that draws, too, tells at its own pace; one that has all tells when asked.
-        let whole = self.staged.as_ref().filter(|(staged, _)| *staged == news.version);
-        if let (Some((_, total)), true, Some(to)) = (whole, news.asks, self.address(&news.from)) {
+        // While it fetches, an agent sends reports at its own interval; one that holds all chunks
+        // only sends them on request.
+        let complete = self.staged.as_ref().filter(|(staged, _)| *staged == report.version);
+        if let (Some((_, total)), true, Some(to)) =
+            (complete, report.asks, self.address(&report.from))
+        {
             effects.push(StockEffect::TellHolding {
-                version: news.version.clone(),
+                version: report.version.clone(),
                 to: vec![to],
                 bitmap: ChunkBitmap::full(*total),
                 asks: false,
@@ -29,26 +36,31 @@
         effects
     }
 
-    /// Tells partners what is held, where that has changed or they may have missed it.
+    /// Reports the held chunks to partners, when they have changed or when partners may have missed
+    /// a report.
     ///
-    /// Load pattern: each chunk is awaited by the homes of other data centres from whoever drew
-    /// it, and by everybody here from its home. Those wait for nothing else, so news of such
-    /// chunks goes out at once and to all; other holdings only help where a home is silent.
-    pub(super) fn tell(&mut self, now: Moment, wanted: &VersionId) -> Vec<StockEffect> {
-        const SLOW_TELLS: u64 = 4;
-        let Some(StockStage::Drawing(plan) | StockStage::Staged(plan, _)) = &self.stage else {
+    /// Primary holders of other data centres wait for a chunk until its seeder reports it, and all
+    /// agents of this data centre wait for its primary holder here. These have no other source, so
+    /// a newly held chunk of that kind is reported at the next interval and to all; other holdings
+    /// only help where a primary holder is silent, and are reported less often.
+    pub(super) fn send_holdings(&mut self, now: Moment, wanted: &VersionId) -> Vec<StockEffect> {
+        const UNCHANGED_FACTOR: u64 = 4;
+        let Some(StockStage::FetchingChunks(plan) | StockStage::AwaitingSlot(plan, _)) =
+            &self.stage
+        else {
             return Vec::new();
         };
-        let every = self.settings.tell_every.0;
+        let interval = self.settings.tell_every.0;
         let awaited = plan.awaited_here();
-        let due = if awaited == self.told_awaited { every * SLOW_TELLS } else { every };
-        if now.since(self.told).0 < due {
+        let min_interval =
+            if awaited == self.awaited_when_sent { interval * UNCHANGED_FACTOR } else { interval };
+        if now.since(self.holdings_sent_at).0 < min_interval {
             return Vec::new();
         }
         let to: Vec<_> = plan.partners().ids().filter_map(|id| self.address(id)).collect();
         let (bitmap, asks) = (plan.held().clone(), !plan.is_complete());
-        self.told = now;
-        self.told_awaited = awaited;
+        self.holdings_sent_at = now;
+        self.awaited_when_sent = awaited;
         vec![StockEffect::TellHolding { version: wanted.clone(), to, bitmap, asks }]
     }
 }
--- a/mustardrill_core/src/stock/mod.rs
+++ b/mustardrill_core/src/stock/mod.rs
@@ -1,8 +1,8 @@
-//! Keeps the engine beside an agent stocked with the weights that the operator named.
+//! Provisions the engine beside an agent with the weights that the operator announced.
 //!
-//! The chunks are staged beside the engine, not in the agent's memory. [`StockReducer`] decides
-//! what is drawn from where, when the staged copy is read back, and when the engine is ordered to
-//! load it. Nothing here does I/O or reads a clock.
+//! Chunks are staged beside the engine, not in the agent's memory. [`StockReducer`] decides which
+//! chunks are fetched from where, when the staged copy is verified, and when the engine is ordered
+//! to load it. Nothing here does I/O or reads a clock.
 
 mod engine;
 mod entry_directory;
--- a/mustardrill_core/src/stock/pending_manifest.rs
+++ b/mustardrill_core/src/stock/pending_manifest.rs
@@ -1,4 +1,4 @@
-//! The list of a version that was named while an older one is under way.
+//! Fetches the manifest of a newer version while an older one is still being provisioned.
 
 use std::sync::Arc;
 
@@ -9,32 +9,36 @@
 use crate::stock::event::{StockEffect, VersionId};
 use crate::stock::reducer::StockReducer;
 
-/// The list of a version that follows the one under way, or the tries to get it.
+/// Manifest of a newer version, or the state of the tries to fetch it.
 #[derive(Debug)]
-pub(super) struct FollowingList {
+pub(super) struct PendingManifest {
     pub(super) version: VersionId,
-    /// The list, and since when it is here.
-    pub(super) list: Option<(Arc<Manifest>, Moment)>,
+    /// The manifest and the time at which it was received.
+    pub(super) manifest: Option<(Arc<Manifest>, Moment)>,
     next_try: Moment,
     tries: u32,
 }
 
 impl StockReducer {
-    /// Asks for the list of the version that follows the one under way, until it is here.
-    pub(super) fn ask_following(&mut self, now: Moment, target: VersionId) -> Vec<StockEffect> {
-        let same = self.following.take().filter(|following| following.version == target);
-        let mut following = same.unwrap_or_else(|| {
+    /// Requests the manifest of the newer version until it is available.
+    pub(super) fn request_newer_manifest(
+        &mut self,
+        now: Moment,
+        target: VersionId,
+    ) -> Vec<StockEffect> {
+        let existing = self.newer_manifest.take().filter(|newer| newer.version == target);
+        let mut newer = existing.unwrap_or_else(|| {
             info!("weights version={target} decision=await-list");
-            FollowingList { version: target.clone(), list: None, next_try: now, tries: 0 }
+            PendingManifest { version: target.clone(), manifest: None, next_try: now, tries: 0 }
         });
         let mut effects = Vec::new();
-        if following.list.is_none() && following.next_try <= now {
-            let sources = self.list_sources(now, &target, following.tries);
-            following.next_try = now + self.list_pause(following.tries);
-            following.tries += 1;
+        if newer.manifest.is_none() && newer.next_try <= now {
+            let sources = self.manifest_sources(now, &target, newer.tries);
+            newer.next_try = now + self.manifest_retry_delay(newer.tries);
+            newer.tries += 1;
             effects.push(StockEffect::FetchList(target, sources));
         }
-        self.following = Some(following);
+        self.newer_manifest = Some(newer);
         effects
     }
 }
--- a/mustardrill_core/src/stock/reducer.rs
+++ b/mustardrill_core/src/stock/reducer.rs
@@ -1,4 +1,4 @@
-//! One reducer over all events of an agent that stocks its engine.
+//! The reducer of an agent that provisions its engine: handles all events.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -19,138 +19,144 @@
 use crate::stock::event::{
     EngineView, StockEffect, StockEvent, StockSettings, StockStatus, VersionId,
 };
-use crate::stock::pending_manifest::FollowingList;
+use crate::stock::pending_manifest::PendingManifest;
 use crate::transfer::{TransferPeer, TransferPlan};
 
-/// The version that engines hold before any is named.
-const FIRST_VERSION: WeightVersion = WeightVersion(1);
+/// The version that engines hold before any is announced.
+const INITIAL_VERSION: WeightVersion = WeightVersion(1);
 
-/// How long an order may take before it is looked at again.
-pub(super) const ORDER_PATIENCE: Millis = Millis(4_000);
+/// How long a load order may remain without effect before it is verified and given again.
+pub(super) const LOAD_ORDER_TIMEOUT: Millis = Millis(4_000);
 
-/// Where the wanted version stands.
+/// Provisioning stage of the wanted version.
 #[derive(Debug)]
 pub(super) enum StockStage {
-    /// Its list of chunks is awaited.
-    Listing { next_try: Moment, tries: u32 },
-    /// An earlier staged copy is looked at.
-    Inspecting(Box<TransferPlan>),
-    /// Its chunks are drawn.
-    Drawing(Box<TransferPlan>),
-    /// All chunks are staged; its turn is awaited.
-    Staged(Box<TransferPlan>, Moment),
-    /// The staged chunks are read back before the order.
-    Checking(Box<TransferPlan>),
+    /// Its manifest is being fetched.
+    FetchingManifest { next_try: Moment, tries: u32 },
+    /// A copy staged by an earlier run is being read to find the chunks that can be kept.
+    InspectingStaged(Box<TransferPlan>),
+    /// Its chunks are being fetched.
+    FetchingChunks(Box<TransferPlan>),
+    /// All chunks are staged, since the given time; waits for the load slot.
+    AwaitingSlot(Box<TransferPlan>, Moment),
+    /// The staged chunks are being verified before the load order.
+    VerifyingStaged(Box<TransferPlan>),
     /// The engine was ordered to load them.
-    Ordered(Box<TransferPlan>, OrderState),
+    Loading(Box<TransferPlan>, LoadOrder),
 }
 
-/// An order that was given.
+/// A load order that was sent.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct OrderState {
+pub(super) struct LoadOrder {
     pub(super) since: Moment,
-    /// How many the engine had taken before.
+    /// Number of orders that the engine had accepted before.
     pub(super) sequence: u64,
-    /// Whether the engine has taken it; what is staged may be replaced from then on.
+    /// Whether the engine has accepted it; from then on the staged copy may be overwritten.
     pub(super) taken: bool,
 }
 
-/// The state of one agent.
+/// The provisioning state of one agent.
 #[derive(Debug)]
 pub struct StockReducer {
     pub(super) settings: StockSettings,
     pub(super) document: Option<Arc<RouteDocument>>,
-    /// The upstreams of this service by the address of their machine.
+    /// The agents of this service by id, which is the IP address of their machine.
     pub(super) peers: FastMap<InstanceId, TransferPeer>,
-    /// The entries, which hand chunks on.
+    /// The entries, which relay chunks.
     pub(super) relays: RelayTable,
-    /// Registrations, to find the peer that one ends.
-    registered: FastMap<InstanceId, InstanceId>,
+    /// The agent of each registration, to find it when that registration ends.
+    agents_by_registration: FastMap<InstanceId, InstanceId>,
     pub(super) versions: VersionTable,
     pub(super) engine: Option<EngineView>,
-    /// Whether the engine was asked for its state at all.
-    pub(super) looked: bool,
-    /// What the engine told last; kept while it does not answer, to tell a restart by.
-    pub(super) last_view: Option<EngineView>,
+    /// Whether the engine's state has been polled at least once.
+    pub(super) engine_polled: bool,
+    /// The last state that the engine reported; kept while it does not respond, to detect a
+    /// restart.
+    pub(super) last_engine_view: Option<EngineView>,
     pub(super) wanted: Option<VersionId>,
     pub(super) stage: Option<StockStage>,
-    /// The version whose chunks are staged whole.
+    /// The version of which all chunks are staged, and their number.
     pub(super) staged: Option<(VersionId, u32)>,
-    pub(super) told: Moment,
-    /// The chunks that others awaited from here when they were told last.
-    pub(super) told_awaited: usize,
-    /// The list of a version that is to follow the one under way.
-    pub(super) following: Option<FollowingList>,
-    /// When a list was last fetched for others.
-    pub(super) list_lent: Moment,
-    /// The version of which the entries were told that it is coming.
-    pub(super) announced: Option<VersionId>,
-    /// The turn of which the entries were told.
-    pub(super) closing_told: Option<Moment>,
-    /// Whether the staged copy may be of the version wanted, after a restart.
-    pub(super) inspect: bool,
+    pub(super) holdings_sent_at: Moment,
+    /// Number of held chunks that others fetch from here first, at the last report of holdings.
+    pub(super) awaited_when_sent: usize,
+    /// Manifest of a newer version that was announced while the current one is provisioned.
+    pub(super) newer_manifest: Option<PendingManifest>,
+    /// When a manifest was last fetched for other agents.
+    pub(super) peer_manifest_fetched_at: Moment,
+    /// The version that the entries were told is coming.
+    pub(super) coming_reported: Option<VersionId>,
+    /// The load slot that the entries were notified of.
+    pub(super) closing_reported: Option<Moment>,
+    /// Whether the staged copy may hold chunks of the wanted version, as after a restart.
+    pub(super) inspects_staged: bool,
     pub(super) random: SmallRng,
 }
 
 impl StockReducer {
-    /// A reducer that knows nothing yet. `seed` decides between equals.
+    /// Creates a reducer without any state. `seed` drives the random choices between equal
+    /// candidates.
     pub fn new(settings: StockSettings, seed: u64) -> Self {
         Self {
             settings,
             document: None,
             peers: FastMap::default(),
             relays: RelayTable::default(),
-            registered: FastMap::default(),
+            agents_by_registration: FastMap::default(),
             versions: VersionTable::default(),
             engine: None,
-            looked: false,
-            last_view: None,
+            engine_polled: false,
+            last_engine_view: None,
             wanted: None,
             stage: None,
             staged: None,
-            told: Moment(0),
-            told_awaited: 0,
-            following: None,
-            list_lent: Moment(0),
-            announced: None,
-            closing_told: None,
-            inspect: true,
+            holdings_sent_at: Moment(0),
+            awaited_when_sent: 0,
+            newer_manifest: None,
+            peer_manifest_fetched_at: Moment(0),
+            coming_reported: None,
+            closing_reported: None,
+            inspects_staged: true,
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Takes an event at `now` and returns what is to be done.
+    /// Handles an event at `now` and returns the effects to carry out.
     pub fn reduce(&mut self, now: Moment, event: StockEvent) -> Vec<StockEffect> {
         let mut effects = match event {
-            StockEvent::Fleet(page) => self.fleet_seen(now, page),
-            StockEvent::VersionHeard(model, version) => self.named(now, &model, version),
+            StockEvent::Fleet(update) => self.apply_fleet_update(now, update),
+            StockEvent::VersionHeard(model, version) => {
+                self.record_announcement(now, &model, version)
+            }
             StockEvent::RelaysSeen(relays) => {
                 self.relays.set_relays(relays);
-                self.tell_plan();
+                self.update_plan_members();
                 Vec::new()
             }
-            StockEvent::EngineSeen(view) => self.engine_seen(now, view),
-            StockEvent::ListSeen(version, list) => self.list_seen(now, version, list),
-            StockEvent::ListWanted(version) => self.list_wanted(now, &version),
-            StockEvent::HoldingSeen(news) => self.holding_seen(now, &news),
+            StockEvent::EngineSeen(view) => self.engine_observed(now, view),
+            StockEvent::ListSeen(version, manifest) => {
+                self.manifest_received(now, version, manifest)
+            }
+            StockEvent::ListWanted(version) => self.manifest_requested(now, &version),
+            StockEvent::HoldingSeen(report) => self.holdings_received(now, &report),
             StockEvent::DrawEnded(version, index, source, outcome) => {
-                self.draw_ended(now, &version, index, &source, &outcome);
+                self.chunk_fetch_ended(now, &version, index, &source, &outcome);
                 Vec::new()
             }
-            StockEvent::ReadBack(version, whole) => self.read_back(now, &version, &whole),
-            StockEvent::Ordered(version, fate) => self.ordered(now, &version, fate),
+            StockEvent::ReadBack(version, intact) => self.staged_verified(now, &version, &intact),
+            StockEvent::Ordered(version, outcome) => self.load_answered(now, &version, outcome),
             StockEvent::Woke => Vec::new(),
         };
         effects.extend(self.advance(now));
         effects
     }
 
-    /// Whether there is anything to be done soon, so that the agent looks at the time often.
+    /// Whether provisioning is in progress, so that the agent needs frequent ticks.
     pub fn is_busy(&self) -> bool {
         self.stage.is_some()
     }
 
-    /// Whether a version's chunk is staged here.
+    /// Whether a chunk of a version is staged here.
     pub fn holds(&self, version: &VersionId, index: ChunkIndex) -> bool {
         if self.staged.as_ref().is_some_and(|(staged, _)| staged == version) {
             return true;
@@ -159,7 +165,7 @@
             && self.plan().is_some_and(|plan| plan.held().contains(index))
     }
 
-    /// Where the stocking stands.
+    /// The progress of provisioning, for operators.
     pub fn status(&self) -> StockStatus {
         StockStatus {
             wanted: self.wanted.clone(),
@@ -171,69 +177,71 @@
 
     fn plan(&self) -> Option<&TransferPlan> {
         match self.stage.as_ref()? {
-            StockStage::Listing { .. } => None,
-            StockStage::Inspecting(plan)
-            | StockStage::Drawing(plan)
-            | StockStage::Staged(plan, _)
-            | StockStage::Checking(plan)
-            | StockStage::Ordered(plan, _) => Some(plan),
+            StockStage::FetchingManifest { .. } => None,
+            StockStage::InspectingStaged(plan)
+            | StockStage::FetchingChunks(plan)
+            | StockStage::AwaitingSlot(plan, _)
+            | StockStage::VerifyingStaged(plan)
+            | StockStage::Loading(plan, _) => Some(plan),
         }
     }
 
     pub(super) fn plan_mut(&mut self) -> Option<&mut TransferPlan> {
         match self.stage.as_mut()? {
-            StockStage::Listing { .. } => None,
-            StockStage::Inspecting(plan)
-            | StockStage::Drawing(plan)
-            | StockStage::Staged(plan, _)
-            | StockStage::Checking(plan)
-            | StockStage::Ordered(plan, _) => Some(plan),
+            StockStage::FetchingManifest { .. } => None,
+            StockStage::InspectingStaged(plan)
+            | StockStage::FetchingChunks(plan)
+            | StockStage::AwaitingSlot(plan, _)
+            | StockStage::VerifyingStaged(plan)
+            | StockStage::Loading(plan, _) => Some(plan),
         }
     }
 
-    fn fleet_seen(&mut self, now: Moment, page: FleetUpdate) -> Vec<StockEffect> {
+    fn apply_fleet_update(&mut self, now: Moment, update: FleetUpdate) -> Vec<StockEffect> {
         let mut effects = Vec::new();
-        // What an agent finds at its start was named nobody knows when.
-        let is_start = page.is_snapshot && self.document.is_none();
-        let named_since = if is_start { Moment(0) } else { now };
-        if page.is_snapshot {
+        // The announcement time of a version found at the agent's start is unknown.
+        let is_first_snapshot = update.is_snapshot && self.document.is_none();
+        let announced_at = if is_first_snapshot { Moment(0) } else { now };
+        if update.is_snapshot {
             self.peers.clear();
-            self.registered.clear();
+            self.agents_by_registration.clear();
             self.relays.set_relays(Vec::new());
         }
-        for change in page.changes {
+        for change in update.changes {
             match change {
-                FleetChange::Configured(document) => self.configured(document),
-                FleetChange::Upstream(record) => self.register(&record),
+                FleetChange::Configured(document) => self.apply_configuration(document),
+                FleetChange::Upstream(record) => self.record_registration(&record),
                 FleetChange::UpstreamGone(id) | FleetChange::UpstreamInvalid(id) => {
-                    self.forget(&id)
+                    self.remove_registration(&id)
                 }
                 FleetChange::VersionAnnounced(model, version) => {
-                    let read_peers = self.named(named_since, &model, version);
-                    if !page.is_snapshot {
+                    let read_peers = self.record_announcement(announced_at, &model, version);
+                    if !update.is_snapshot {
                         effects.extend(read_peers);
                     }
                 }
                 FleetChange::Peer(relay) => self.relays.add(relay),
                 FleetChange::PeerGone(id) => self.relays.remove(&id),
-                // Agents run no requests.
+                // Quarantines concern requests, which this reducer does not handle.
                 FleetChange::Quarantined(_) => {}
             }
         }
-        self.tell_plan();
+        self.update_plan_members();
         effects
     }
 
-    /// Takes a configuration over; an entry that is cut off from the store tells of an older one.
-    fn configured(&mut self, document: Arc<RouteDocument>) {
+    /// Applies a configuration unless it is older than the current one: an entry that is cut off
+    /// from the store sends old ones.
+    fn apply_configuration(&mut self, document: Arc<RouteDocument>) {
         let known = self.document.as_ref().map(|known| known.generation);
         if known.is_none_or(|known| known <= document.generation) {
             self.document = Some(document);
         }
     }
 
-    /// Notes a version; who else needs it was read long ago, so that is read anew.
-    fn named(
+    /// Records an announced version. The known peers may be outdated by then, so they are read
+    /// again to find the others that need it.
+    fn record_announcement(
         &mut self,
         since: Moment,
         model: &ModelName,
@@ -246,8 +254,8 @@
         vec![StockEffect::ReadPeers]
     }
 
-    /// Tells a transfer under way who there is.
-    fn tell_plan(&mut self) {
+    /// Passes the current peers and entries to the transfer in progress.
+    fn update_plan_members(&mut self) {
         let (peers, relays) = (self.transfer_peers(), self.relays.all().to_vec());
         if let Some(plan) = self.plan_mut() {
             plan.set_peers(&peers);
@@ -255,26 +263,27 @@
         }
     }
 
-    fn register(&mut self, record: &UpstreamRecord) {
-        let Some(id) = machine(record.address.ip()) else { return };
+    fn record_registration(&mut self, record: &UpstreamRecord) {
+        let Some(id) = agent_id_of(record.address.ip()) else { return };
         if record.service != self.settings.service {
             return;
         }
-        // One that leaves may be gone before it has handed on what it is to draw.
+        // An agent that shuts down may be gone before it has passed on the chunks that it is to
+        // fetch.
         if record.leaving {
             self.peers.remove(&id);
             return;
         }
-        self.registered.insert(record.id.clone(), id.clone());
+        self.agents_by_registration.insert(record.id.clone(), id.clone());
         let data_centre = record.data_centre.clone();
         self.peers.insert(id.clone(), TransferPeer { id, data_centre });
     }
 
-    /// Forgets the peer whose registration ended, unless its machine has a newer one: a restart
-    /// registers at once, and the registration of before ends some seconds later.
-    fn forget(&mut self, id: &InstanceId) {
-        let Some(peer) = self.registered.remove(id) else { return };
-        if !self.registered.values().any(|other| *other == peer) {
+    /// Removes the peer whose registration ended, unless its machine has a newer registration:
+    /// after a restart the new one appears at once, while the old one ends some seconds later.
+    fn remove_registration(&mut self, id: &InstanceId) {
+        let Some(peer) = self.agents_by_registration.remove(id) else { return };
+        if !self.agents_by_registration.values().any(|other| *other == peer) {
             self.peers.remove(&peer);
         }
     }
@@ -290,51 +299,52 @@
         peers
     }
 
-    pub(super) fn total_chunks(&self) -> Option<u32> {
+    pub(super) fn expected_chunk_count(&self) -> Option<u32> {
         let document = self.document.as_ref()?;
         let engine = document.service(&self.settings.service)?.engine.as_ref()?;
         Some(engine.chunks)
     }
 
     /// The version that the engine should serve.
-    fn target(&self) -> Option<VersionId> {
+    fn target_version(&self) -> Option<VersionId> {
         let document = self.document.as_ref()?;
         let engine = document.service(&self.settings.service)?.engine.as_ref()?;
         let model = engine.models.first()?.name.clone();
-        let version = self.versions.newest(&model).unwrap_or(FIRST_VERSION);
+        let version = self.versions.newest(&model).unwrap_or(INITIAL_VERSION);
         Some(VersionId { model, version })
     }
 
-    /// Does what the present state asks for.
+    /// Advances the current stage and collects the effects.
     fn advance(&mut self, now: Moment) -> Vec<StockEffect> {
-        let mut effects = self.retarget(now);
+        let mut effects = self.select_version(now);
         self.assume_staged();
         let Some(stage) = self.stage.take() else { return effects };
         let Some(wanted) = self.wanted.clone() else { return effects };
-        let (next, more) = self.step(now, &wanted, stage);
-        self.stage = next;
-        effects.extend(more);
-        effects.extend(self.tell(now, &wanted));
+        let (next_stage, effects_of_stage) = self.advance_stage(now, &wanted, stage);
+        self.stage = next_stage;
+        effects.extend(effects_of_stage);
+        effects.extend(self.send_holdings(now, &wanted));
         effects
     }
 
-    /// Begins with a version that is wanted newly, or ends where the engine serves it.
-    fn retarget(&mut self, now: Moment) -> Vec<StockEffect> {
-        let Some(target) = self.target() else { return Vec::new() };
-        // An engine that has never answered is starting: its weights are drawn meanwhile.
-        let is_starting = self.looked && self.last_view.is_none();
-        if self.engine.is_none() && !is_starting {
+    /// Starts provisioning a newly wanted version, or finishes where the engine serves it.
+    fn select_version(&mut self, now: Moment) -> Vec<StockEffect> {
+        let Some(target) = self.target_version() else { return Vec::new() };
+        // An engine that has never responded is still starting; its weights are fetched meanwhile.
+        let engine_is_starting = self.engine_polled && self.last_engine_view.is_none();
+        if self.engine.is_none() && !engine_is_starting {
             return Vec::new();
         }
         let serving = self.engine.as_ref().map_or(&[][..], |engine| &engine.serving);
-        let serves = serving.iter().any(|served| version_of(served) == target);
-        let served = serving.first().map_or("none".into(), |served| version_of(served).to_string());
+        let serves = serving.iter().any(|served| version_id_of(served) == target);
+        let served =
+            serving.first().map_or("none".into(), |served| version_id_of(served).to_string());
         if self.wanted.as_ref() == Some(&target) && self.stage.is_some() {
             if !serves {
                 return Vec::new();
             }
             self.stage = None;
-            self.inspect = false;
+            self.inspects_staged = false;
             info!("weights version={target} outcome=served");
             let word = EngineWord::Serving(target.version);
             return vec![StockEffect::TellEntries(target.model, word)];
@@ -343,70 +353,82 @@
             self.wanted = Some(target);
             return Vec::new();
         }
-        if self.keeps_older(&target) {
-            return self.ask_following(now, target);
+        if self.keeps_older_version(&target) {
+            return self.request_newer_manifest(now, target);
         }
-        let flights = self.plan().map(TransferPlan::flights).unwrap_or_default().into_iter();
+        let cancelled = self.plan().map(TransferPlan::flights).unwrap_or_default().into_iter();
         let cancel = |(index, source)| StockEffect::CancelDraw(index, source);
-        let mut effects: Vec<_> = flights.map(cancel).collect();
-        if let Some(old) = self.wanted.replace(target.clone()).filter(|old| *old != target) {
-            effects.push(StockEffect::DropList(old));
+        let mut effects: Vec<_> = cancelled.map(cancel).collect();
+        if let Some(previous) =
+            self.wanted.replace(target.clone()).filter(|previous| *previous != target)
+        {
+            effects.push(StockEffect::DropList(previous));
         }
-        info!("weights version={target} decision=stock serving={served} inspect={}", self.inspect);
-        self.stage = Some(StockStage::Listing { next_try: now, tries: 0 });
-        let following = self.following.take().filter(|following| following.version == target);
-        if let Some((list, _)) = following.and_then(|following| following.list) {
-            effects.extend(self.begin(now, target, list));
+        info!(
+            "weights version={target} decision=stock serving={served} inspect={}",
+            self.inspects_staged
+        );
+        self.stage = Some(StockStage::FetchingManifest { next_try: now, tries: 0 });
+        let newer = self.newer_manifest.take().filter(|newer| newer.version == target);
+        if let Some((manifest, _)) = newer.and_then(|newer| newer.manifest) {
+            effects.extend(self.start_transfer(now, target, manifest));
         }
         effects
     }
 
-    /// One step of a stage; the stage that follows, and what is to be done.
-    fn step(
+    /// Advances a stage; returns the next stage and the effects.
+    fn advance_stage(
         &mut self,
         now: Moment,
         wanted: &VersionId,
         stage: StockStage,
     ) -> (Option<StockStage>, Vec<StockEffect>) {
         match stage {
-            StockStage::Listing { next_try, tries } if next_try <= now => {
-                let sources = self.list_sources(now, wanted, tries);
-                let next_try = now + self.list_pause(tries);
-                let stage = StockStage::Listing { next_try, tries: tries + 1 };
+            StockStage::FetchingManifest { next_try, tries } if next_try <= now => {
+                let sources = self.manifest_sources(now, wanted, tries);
+                let next_try = now + self.manifest_retry_delay(tries);
+                let stage = StockStage::FetchingManifest { next_try, tries: tries + 1 };
                 (Some(stage), vec![StockEffect::FetchList(wanted.clone(), sources)])
             }
-            StockStage::Drawing(plan) => self.draw(now, wanted, plan),
-            StockStage::Staged(plan, staged) => self.await_turn(now, wanted, plan, staged),
-            StockStage::Ordered(plan, order) if now.since(order.since) > ORDER_PATIENCE => {
+            StockStage::FetchingChunks(plan) => self.fetch_chunks(now, wanted, plan),
+            StockStage::AwaitingSlot(plan, staged) => {
+                self.await_load_slot(now, wanted, plan, staged)
+            }
+            StockStage::Loading(plan, order) if now.since(order.since) > LOAD_ORDER_TIMEOUT => {
                 warn!("order version={wanted} outcome=overdue");
-                (Some(StockStage::Staged(plan, now)), Vec::new())
+                (Some(StockStage::AwaitingSlot(plan, now)), Vec::new())
             }
             stage => (Some(stage), Vec::new()),
         }
     }
 
-    fn list_seen(
+    fn manifest_received(
         &mut self,
         now: Moment,
         version: VersionId,
-        list: Option<Arc<Manifest>>,
+        manifest: Option<Arc<Manifest>>,
     ) -> Vec<StockEffect> {
-        let Some(list) = list else { return Vec::new() };
-        if let Some(following) = &mut self.following
-            && following.version == version
+        let Some(manifest) = manifest else { return Vec::new() };
+        if let Some(newer) = &mut self.newer_manifest
+            && newer.version == version
         {
-            following.list.get_or_insert((list, now));
+            newer.manifest.get_or_insert((manifest, now));
             return Vec::new();
         }
-        let Some(StockStage::Listing { .. }) = &self.stage else { return Vec::new() };
+        let Some(StockStage::FetchingManifest { .. }) = &self.stage else { return Vec::new() };
         if self.wanted.as_ref() != Some(&version) {
             return Vec::new();
         }
-        self.begin(now, version, list)
+        self.start_transfer(now, version, manifest)
     }
 
-    /// Begins to draw the chunks of a list.
-    fn begin(&mut self, now: Moment, version: VersionId, list: Arc<Manifest>) -> Vec<StockEffect> {
+    /// Starts the transfer of the chunks of a manifest.
+    fn start_transfer(
+        &mut self,
+        now: Moment,
+        version: VersionId,
+        manifest: Arc<Manifest>,
+    ) -> Vec<StockEffect> {
         let peers = self.transfer_peers();
         let own = TransferPeer {
             id: self.settings.own.clone(),
@@ -414,29 +436,29 @@
         };
         let mut transfer = self.settings.transfer.clone();
         transfer.origin_pace = self.origin_pace();
-        transfer.drawers = self.origin_drawers();
-        let named = self.versions.announced_at(&version.model, version.version);
-        transfer.relays_first = named.is_some_and(|named| named > Moment(0));
-        let mut plan = TransferPlan::new(now, own, list, transfer, self.random.random());
+        transfer.drawers = self.origin_seeders();
+        let announced = self.versions.announced_at(&version.model, version.version);
+        transfer.relays_first = announced.is_some_and(|announced_at| announced_at > Moment(0));
+        let mut plan = TransferPlan::new(now, own, manifest, transfer, self.random.random());
         plan.set_peers(&peers);
         plan.set_relays(self.relays.all().to_vec());
-        self.told = Moment(0);
-        if self.engine.is_some() && std::mem::take(&mut self.inspect) {
-            self.stage = Some(StockStage::Inspecting(Box::new(plan)));
+        self.holdings_sent_at = Moment(0);
+        if self.engine.is_some() && std::mem::take(&mut self.inspects_staged) {
+            self.stage = Some(StockStage::InspectingStaged(Box::new(plan)));
             return vec![StockEffect::ReadBack(version)];
         }
-        // From the first chunk on, the staged copy is no longer the earlier version.
+        // From the first chunk on, the staged copy no longer is the earlier version.
         self.staged = None;
-        self.stage = Some(StockStage::Drawing(Box::new(plan)));
+        self.stage = Some(StockStage::FetchingChunks(Box::new(plan)));
         Vec::new()
     }
 }
 
-pub(super) fn version_of(served: &crate::direct::ServedWeights) -> VersionId {
+pub(super) fn version_id_of(served: &crate::direct::ServedWeights) -> VersionId {
     VersionId { model: served.model.clone(), version: served.version }
 }
 
-/// The name of the agent on a machine, the same at all agents.
-fn machine(address: IpAddr) -> Option<InstanceId> {
+/// The id of the agent on a machine, the same for all agents.
+fn agent_id_of(address: IpAddr) -> Option<InstanceId> {
     address.to_string().parse().ok()
 }
--- a/mustardrill_core/src/stock/rollout.rs
+++ b/mustardrill_core/src/stock/rollout.rs
@@ -1,60 +1,61 @@
-//! When an engine's turn comes to load newer weights.
+//! Schedule by which the engines of a service load newer weights (a rolling update).
 //!
-//! Load pattern: all engines of a service have a newer version staged within a moment of each
-//! other. An engine finishes what runs before it loads and takes nothing meanwhile, so all at
-//! once would leave nobody to serve. The turns are spread over the time that the operator allows,
-//! in an order on which all agents agree without talking.
+//! All engines of a service have a newer version staged at about the same time. Before it loads, an
+//! engine completes its running requests and accepts no others, so loading all at once would leave
+//! none to serve. The load slots are spread over the time that the operator allows, in an order
+//! that all agents compute alike without communication.
 
 use mustardrill_types::{InstanceId, Millis, Moment};
 
 use crate::rendezvous;
 
-/// The span of time over which the engines of a service load, from the version's naming.
+/// Time window in which the engines of a service load, relative to the version's announcement.
 #[derive(Debug, Clone, Copy)]
 pub struct TurnSettings {
-    /// When the first one may load. By then the chunks are usually everywhere.
+    /// Start of the first slot. By then the chunks have usually reached all agents.
     pub first: Millis,
-    /// When the last one should: an engine that has not loaded it yet is about to be left without
-    /// requests.
+    /// End of the window: entries soon stop sending requests to engines that have not loaded the
+    /// version by then.
     pub last: Millis,
-    /// How long an engine takes no requests for a load, with what it finishes first.
+    /// How long one load takes an engine out of service, including the requests that it completes
+    /// first.
     pub switch: Millis,
 }
 
 impl TurnSettings {
-    /// The turns of engines whose version was replaced at `replaced`.
-    pub fn span(&self, replaced: Moment) -> TurnSpan {
-        TurnSpan { first: replaced + self.first, last: replaced + self.last }
+    /// The window for engines whose version was superseded at `superseded`.
+    pub fn span(&self, superseded: Moment) -> TurnSpan {
+        TurnSpan { first: superseded + self.first, last: superseded + self.last }
     }
 
-    /// When engines serve again that had to give up the version before `named`'s; long ago for
-    /// one that was named nobody knows when.
-    pub fn done(&self, named: Moment) -> Moment {
-        if named == Moment(0) { named } else { named + self.last + self.switch }
+    /// When engines whose version was superseded by the announcement at `announced` serve again;
+    /// zero if that time is unknown (zero).
+    pub fn done(&self, announced: Moment) -> Moment {
+        if announced == Moment(0) { announced } else { announced + self.last + self.switch }
     }
 }
 
-/// The time over which engines load one after the other.
+/// Window over which the load slots of the engines are spread.
 #[derive(Debug, Clone, Copy)]
 pub struct TurnSpan {
-    /// The first one's turn.
+    /// The first slot.
     pub first: Moment,
-    /// No turn is later.
+    /// Upper limit of all slots.
     pub last: Moment,
 }
 
 impl TurnSpan {
-    /// The turn of `own` among `peers`, all turns spread evenly over the span. Where `subject` is
-    /// the model, an engine has the same place for each version, so its loads lie as far apart as
-    /// the namings.
+    /// The slot of `own` among `peers`, all slots spread evenly over the window. With the model as
+    /// `subject`, an engine has the same rank for each version, so its loads are as far apart as
+    /// the announcements.
     pub fn turn(&self, subject: &[u8], peers: &[InstanceId], own: &InstanceId) -> Moment {
         let ranked = rendezvous::ranked(subject, peers, |id| id.as_str());
-        let place = ranked.iter().position(|id| *id == own).unwrap_or(0) as u64;
+        let rank = ranked.iter().position(|id| *id == own).unwrap_or(0) as u64;
         let count = ranked.len().max(1) as u64;
-        self.first + Millis(self.last.since(self.first).0 * place / count)
+        self.first + Millis(self.last.since(self.first).0 * rank / count)
     }
 
-    /// What is left of the span from `moment` on.
+    /// The part of the window from `moment` on.
     pub fn from(&self, moment: Moment) -> Self {
         Self { first: self.first.max(moment), last: self.last.max(moment) }
     }
