--- a/mustardrill_core/src/agent/switch.rs
+++ b/mustardrill_core/src/agent/load_wave.rs
@@ -4,7 +4,7 @@
 use mustardrill_types::{FencingNumber, InstanceId, ManifestDigest, Moment};
 
 use crate::agent::event::{AgentEffect, LoadOrder};
-use crate::agent::weights::WeightsTable;
+use crate::agent::weights_table::WeightsTable;
 use crate::membership::MemberTable;
 use crate::wave;
 
--- a/mustardrill_core/src/agent/reducer.rs
+++ b/mustardrill_core/src/agent/reducer.rs
@@ -12,7 +12,7 @@
 
 use crate::admission::{Admission, AdmissionQueue};
 use crate::agent::event::{AgentEffect, AgentEvent, AgentSettings, WeightsProgress};
-use crate::agent::weights::WeightsTable;
+use crate::agent::weights_table::WeightsTable;
 use crate::claim::{ClaimBatch, ClaimEffect};
 use crate::crash_report_relay::CrashReportRelay;
 use crate::demand::DemandAggregator;
--- a/mustardrill_core/src/agent/weights.rs
+++ b/mustardrill_core/src/agent/weights_table.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 
 use crate::agent::event::{AgentEffect, AgentSettings, EngineReport, WeightsProgress};
-use crate::agent::version::{VersionStage, VersionState};
+use crate::agent::version_state::{VersionStage, VersionState};
 use crate::document::CatalogueDocument;
 use crate::manifest::{ChunkBitmap, Manifest};
 use crate::membership::MemberTable;
--- a/mustardrill_core/src/transfer/mod.rs
+++ b/mustardrill_core/src/transfer/mod.rs
@@ -3,10 +3,10 @@
 //! A few drawers, agreed by rendezvous hashing, draw each chunk from the origin; everybody else
 //! draws from peers, rarest first (the idea is `BitTorrent`'s). Nothing here does I/O.
 
-mod choice;
+mod chunk_selection;
 mod data;
 mod missing;
-mod relayed;
+mod relay_fetch;
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     ChunkDraw, ChunkSource, DrawOutcome, TransferCounts, TransferPeer, TransferSettings,
 };
 use crate::transfer::missing::MissingSet;
-use crate::transfer::relayed::RelayDuty;
+use crate::transfer::relay_fetch::RelayDuty;
 
 /// The state of one version's transfer at one instance.
 #[derive(Debug)]
