--- a/mustardrill_core/src/transfer/chunk_selection.rs
+++ b/mustardrill_core/src/transfer/chunk_selection.rs
@@ -1,141 +1,154 @@
-//! Which chunk is drawn next, and from whom.
+//! Selects the next chunk to fetch and its source.
 
 use mustardrill_types::{ChunkIndex, InstanceId, Millis, Moment};
 use rand::Rng;
 
-use crate::transfer::{ChunkSource, Flight, TransferPlan, rank_of};
+use crate::transfer::{ChunkSource, PendingFetch, TransferPlan, rank_of};
 
-/// The first in rank that may draw one late chunk while others still come: each draws it anew.
-const MOST_LATE_DRAWERS: u64 = 2;
+/// Number of instances, by rank, that may fetch one overdue chunk from the origin while other
+/// chunks still arrive: each fetches another copy.
+const MAX_REDUNDANT_SEEDERS: u64 = 2;
 
-/// How long before its turn a chunk is asked of the origin, so that its link never waits for the
-/// next question: some calls' way there and back.
-const ORIGIN_LEAD: Millis = Millis(200);
+/// How long before its due time a chunk is requested from the origin, so that the origin's link
+/// never idles until the next request: a few round trips.
+const ORIGIN_REQUEST_LEAD: Millis = Millis(200);
 
-/// An origin may be this many times slower than told before its drawers count as late. More would
-/// hide a dead drawer, whose chunks make all look slower, for longer.
-const SLOWEST_PACE: f64 = 2.0;
+/// Factor by which an origin may be slower than configured before its seeders count as overdue. A
+/// higher one would hide a dead seeder for longer, as its missing chunks make the origin look
+/// slower.
+const MAX_ORIGIN_SLOWDOWN: f64 = 2.0;
 
 impl TransferPlan {
-    pub(super) fn origin_flights(&self) -> usize {
-        self.flights.values().filter(|flight| flight.source == ChunkSource::Origin).count()
+    pub(super) fn origin_fetches(&self) -> usize {
+        self.pending.values().filter(|fetch| fetch.source == ChunkSource::Origin).count()
     }
 
-    pub(super) fn peer_flights(&self) -> usize {
-        let is_peer = |flight: &&Flight| matches!(flight.source, ChunkSource::Peer(_));
-        self.flights.values().filter(is_peer).count()
+    pub(super) fn peer_fetches(&self) -> usize {
+        let is_peer = |fetch: &&PendingFetch| matches!(fetch.source, ChunkSource::Peer(_));
+        self.pending.values().filter(is_peer).count()
     }
 
     pub(super) fn next_origin_chunk(&mut self, now: Moment) -> Option<ChunkIndex> {
-        if now < self.origin_rest {
+        if now < self.origin_retry_at {
             return None;
         }
-        self.next_own_chunk(now).or_else(|| self.next_orphan(now))
+        self.next_seed_chunk(now).or_else(|| self.next_unheld_chunk(now))
     }
 
-    /// The next chunk that this instance draws as one of the drawers.
-    pub(super) fn next_own_chunk(&mut self, now: Moment) -> Option<ChunkIndex> {
+    /// The next chunk that this instance fetches as one of the seeders.
+    pub(super) fn next_seed_chunk(&mut self, now: Moment) -> Option<ChunkIndex> {
         let copies = self.settings.origin_copies as u16;
         let (held, partners) = (&self.held, &self.partners);
-        // What a peer shows already needs no further copy, unless the setting wants more.
-        self.own_draws.retain(|index| !held.contains(*index) && partners.copies(*index) < copies);
-        let free: Vec<_> =
-            self.own_draws.iter().filter(|it| !self.flights.contains_key(it)).take(64).collect();
+        // A chunk that a peer holds already needs no further copy, unless the setting asks for
+        // more.
+        self.own_seed_chunks
+            .retain(|index| !held.contains(*index) && partners.copies(*index) < copies);
+        let free: Vec<_> = self
+            .own_seed_chunks
+            .iter()
+            .filter(|it| !self.pending.contains_key(it))
+            .take(64)
+            .collect();
         if free.is_empty() {
             return None;
         }
-        let pace = self.settings.origin_pace;
-        if pace > 0.0 {
-            let open = (now.since(self.started).0 + ORIGIN_LEAD.0) as f64 / pace;
-            return free.into_iter().copied().find(|index| f64::from(index.0) <= open);
+        let chunk_ms = self.settings.origin_pace;
+        if chunk_ms > 0.0 {
+            let due_chunks =
+                (now.since(self.started_at).0 + ORIGIN_REQUEST_LEAD.0) as f64 / chunk_ms;
+            return free.into_iter().copied().find(|index| f64::from(index.0) <= due_chunks);
         }
         Some(*free[self.random.random_range(0..free.len())])
     }
 
-    /// A chunk that nobody seen holds, once its drawer is too late with it.
+    /// A chunk that no partner holds and whose seeder is overdue.
     ///
-    /// For each such time that passes, one more successor draws a chunk, so that a dead or
-    /// stalled drawer costs little more than its own draws.
-    pub(super) fn next_orphan(&self, now: Moment) -> Option<ChunkIndex> {
-        let is_orphan = |index: &ChunkIndex| {
-            self.partners.copies(*index) == 0 && !self.flights.contains_key(index)
+    /// After each further stall interval one more successor may fetch the chunk, so that a dead or
+    /// stalled seeder costs little more than its own fetches.
+    pub(super) fn next_unheld_chunk(&self, now: Moment) -> Option<ChunkIndex> {
+        let is_unheld = |index: &ChunkIndex| {
+            self.partners.copies(*index) == 0 && !self.pending.contains_key(index)
         };
         let rank = |index: &ChunkIndex| {
             if self.settings.homes {
-                return self.homes.origin_rank(*index);
+                return self.assignment.origin_rank(*index);
             }
             rank_of(&self.successors, &self.own.id, *index)
         };
-        let is_next = |index: &ChunkIndex| (rank(index) as u64) < self.drawers_late(now, *index);
-        self.missing.chunks.iter().copied().find(|index| is_orphan(index) && is_next(index))
+        let is_next = |index: &ChunkIndex| (rank(index) as u64) < self.overdue_seeders(now, *index);
+        self.missing.chunks.iter().copied().find(|index| is_unheld(index) && is_next(index))
     }
 
-    /// How many of a chunk's drawers had their time and did not show it.
+    /// Number of a chunk's seeders that should have delivered it by now.
     ///
-    /// Where the origin's pace is known, each chunk has a time of its own, so that a dead drawer's
-    /// chunks are all drawn at once by their next ones. Waiting for a pause in all that is seen,
-    /// as without it, cost half a second for each such chunk, one after the other. An origin that
-    /// shows nothing to anybody is not asked by more and more.
-    pub(super) fn drawers_late(&self, now: Moment, index: ChunkIndex) -> u64 {
+    /// Where the origin's rate is known, each chunk has its own due time, so that all chunks of a
+    /// dead seeder are fetched by their next seeders at once. Without it, each such chunk waits
+    /// until no new chunk was observed for a while, which cost half a second per chunk, one after
+    /// the other. If the origin delivers nothing to anybody, the number of instances that ask it is
+    /// limited.
+    pub(super) fn overdue_seeders(&self, now: Moment, index: ChunkIndex) -> u64 {
         let stall = self.settings.stall_after.0.max(1);
-        let paused = now.since(self.novelty).0 / stall;
-        let pace = self.settings.origin_pace;
-        if pace <= 0.0 {
-            return paused;
+        let stalls = now.since(self.last_observed_at).0 / stall;
+        let chunk_ms = self.settings.origin_pace;
+        if chunk_ms <= 0.0 {
+            return stalls;
         }
-        // An origin that is slower than told, or still sends an earlier version, is behind with
-        // all chunks: drawing each anew makes it slower still.
-        let seen = f64::from(self.seen.count().max(1));
-        let true_pace = (now.since(self.started).0 as f64 / seen).clamp(pace, pace * SLOWEST_PACE);
-        let due = self.started + Millis((f64::from(index.0) * true_pace) as u64);
-        // Twice the time, as a drawer's turn may come late behind the turns before it.
+        // An origin that is slower than configured, or that still sends an earlier version, is
+        // behind with all chunks: fetching each again would make it slower still.
+        let observed_count = f64::from(self.observed.count().max(1));
+        let actual_chunk_ms = (now.since(self.started_at).0 as f64 / observed_count)
+            .clamp(chunk_ms, chunk_ms * MAX_ORIGIN_SLOWDOWN);
+        let due = self.started_at + Millis((f64::from(index.0) * actual_chunk_ms) as u64);
+        // Two intervals, as a seeder may be late because of the chunks before this one.
         let late = now.since(due).0 / (stall * 2);
-        if late == 0 { 0 } else { (late + 1).min(paused + MOST_LATE_DRAWERS) }
+        if late == 0 { 0 } else { (late + 1).min(stalls + MAX_REDUNDANT_SEEDERS) }
     }
 
-    /// Whether this instance is among those of its data centre that draw a chunk from afar; with
-    /// each time that passes without anything new, one more is.
-    pub(super) fn may_draw_far(&self, now: Moment, index: ChunkIndex) -> bool {
-        let drawers = self.settings.far_drawers;
-        if drawers == 0 {
+    /// Whether this instance is among those of its data centre that fetch a chunk from another one;
+    /// for each interval without the chunk, one more instance is.
+    pub(super) fn may_fetch_remotely(&self, now: Moment, index: ChunkIndex) -> bool {
+        let limit = self.settings.far_drawers;
+        if limit == 0 {
             return true;
         }
-        // The home may have others to serve first, so it has twice the time of a drawer.
-        let patience = self.settings.stall_after.0.max(1) * 2;
-        let waited = now.since(self.seen_at[index.0 as usize]).0 / patience;
-        (self.homes.holder_rank(index) as u64) < drawers as u64 + waited
+        // The primary holder may serve others first, so it has twice the time of a seeder.
+        let timeout = self.settings.stall_after.0.max(1) * 2;
+        let expired_timeouts = now.since(self.first_observed_at[index.0 as usize]).0 / timeout;
+        (self.assignment.holder_rank(index) as u64) < limit as u64 + expired_timeouts
     }
 
-    /// The instance of this data centre that the others here ask first for a chunk.
-    pub(super) fn home(&self, index: ChunkIndex) -> Option<&InstanceId> {
+    /// The instance of this data centre that the other instances here ask first for a chunk.
+    pub(super) fn primary_holder(&self, index: ChunkIndex) -> Option<&InstanceId> {
         if !self.settings.homes {
             return None;
         }
-        self.homes.primary_holder(index)
+        self.assignment.primary_holder(index)
     }
 
     pub(super) fn next_peer_chunk(&mut self, now: Moment) -> Option<(ChunkIndex, InstanceId)> {
         let count = self.missing.chunks.len();
         let mut best: Option<(u16, ChunkIndex, InstanceId)> = None;
-        // A short list is read whole; a long one is sampled, so that the cost stays flat.
+        // A short list is read completely; a long one is sampled, so that the cost is bounded.
         let sampled = count > self.settings.sample;
-        for turn in 0..self.settings.sample.min(count) {
-            let place = if sampled { self.random.random_range(0..count) } else { turn };
-            let index = self.missing.chunks[place];
+        for sample_index in 0..self.settings.sample.min(count) {
+            let position = if sampled { self.random.random_range(0..count) } else { sample_index };
+            let index = self.missing.chunks[position];
             let mut copies = self.partners.copies(index);
-            // The others here wait for what this instance is the home of.
-            if copies > 0 && self.settings.homes && self.homes.holder_rank(index) == 0 {
+            // The other instances here wait for the chunks of which this one is primary holder, so
+            // these count as rare.
+            if copies > 0 && self.settings.homes && self.assignment.holder_rank(index) == 0 {
                 copies = 1;
             }
             let is_rarer = best.as_ref().is_none_or(|(least, _, _)| copies < *least);
-            if copies == 0 || !is_rarer || self.flights.contains_key(&index) {
+            if copies == 0 || !is_rarer || self.pending.contains_key(&index) {
                 continue;
             }
-            let far = self.may_draw_far(now, index);
-            let home = self.home(index).filter(|id| self.partners.is_usable(now, id, index));
-            let holder = home
+            let may_be_remote = self.may_fetch_remotely(now, index);
+            let primary =
+                self.primary_holder(index).filter(|id| self.partners.is_usable(now, id, index));
+            let holder = primary
                 .cloned()
-                .or_else(|| self.partners.best_holder(now, index, far, &mut self.random));
+                .or_else(|| self.partners.best_holder(now, index, may_be_remote, &mut self.random));
             if let Some(id) = holder {
                 best = Some((copies, index, id));
             }
--- a/mustardrill_core/src/transfer/data.rs
+++ b/mustardrill_core/src/transfer/data.rs
@@ -1,52 +1,60 @@
-//! What a transfer is told, and what it says: settings, draws and their outcomes.
+//! Settings of a transfer, its fetches and their outcomes.
 
 use derive_more::Display;
 use mustardrill_types::{ChunkIndex, DataCentre, InstanceId, Millis};
 
-/// How a version is drawn; `docs/SETTINGS.md` gives the section and defaults.
+/// How a version is fetched; `docs/SETTINGS.md` gives the section and defaults.
 #[derive(Debug, Clone)]
 pub struct TransferSettings {
-    /// Copies of each chunk drawn from the origin: 1 draws fewest bytes, more start sooner.
+    /// Copies of each chunk fetched from the origin. 1 transfers the fewest bytes; more let
+    /// transfers start sooner.
     pub origin_copies: usize,
-    /// How many instances share the drawing; with homes, an upper limit.
+    /// Number of instances (seeders) that share the fetches from the origin; with primary holders,
+    /// an upper limit.
     pub drawers: usize,
-    /// Chunks in flight from peers at once.
+    /// Maximum number of concurrent fetches from peers.
     pub window: usize,
-    /// Chunks in flight from the origin at once.
+    /// Maximum number of concurrent fetches from the origin.
     pub origin_window: usize,
-    /// Peers whose holdings are followed.
+    /// Number of peers with which holdings are exchanged.
     pub partners: usize,
-    /// Without a chunk new to the neighbourhood for this long, a successor draws too.
+    /// If no partner reports a chunk that was unknown so far within this time, a successor fetches
+    /// as a seeder, too.
     pub stall_after: Millis,
-    /// The least time a chunk is given before it is drawn from elsewhere.
+    /// Minimum timeout of a fetch before the chunk is fetched from another source.
     pub chunk_patience: Millis,
-    /// Corrupt chunks after which a peer is avoided.
+    /// Number of corrupt chunks after which a peer is ejected.
     pub corrupt_limit: u32,
-    /// How many missing chunks are weighed for each draw.
+    /// Number of missing chunks that are compared for each fetch.
     pub sample: usize,
-    /// How many instances of a data centre draw a chunk from another one; the rest wait for
-    /// theirs. Zero: all may. Bytes between data centres are billed, and their links are shared.
+    /// Number of instances of a data centre that fetch a chunk from another data centre; the rest
+    /// wait for these. Zero: all may. Traffic between data centres is billed, and its links are
+    /// shared.
     pub far_drawers: usize,
-    /// Whether each chunk has a home in each data centre that the others there ask first, so that
-    /// all uplinks are taken alike; otherwise the least loaded holder is asked.
+    /// Whether each chunk has a primary holder in each data centre that the other instances there
+    /// ask first, so that all uplinks are loaded evenly; otherwise the least loaded holder is
+    /// asked.
     pub homes: bool,
-    /// How long the origin's link takes for a chunk, in milliseconds; zero: its drawers don't wait
-    /// for their turns. With turns the first chunks come one after the other, not all at last.
+    /// Time that the origin's link takes per chunk, in milliseconds. Seeders request each chunk
+    /// when the link is due to send it, so that the first chunks arrive one after the other and not
+    /// all at the end. Zero: they do not wait.
     pub origin_pace: f64,
-    /// Chunks in flight from entries that hand them on at once; zero: entries are not asked.
+    /// Maximum number of concurrent fetches from entries that relay chunks; zero: entries are not
+    /// used.
     pub relay_window: usize,
-    /// Whether entries are asked before peers. They are where a version has just been named, as
-    /// all want the same chunks then; one that comes later finds them at its peers.
+    /// Whether entries are asked before peers. They are for a version that has just been announced,
+    /// as all instances want the same chunks then; an instance that starts later finds them at its
+    /// peers.
     pub relays_first: bool,
 }
 
-/// Where a chunk comes from.
+/// The source of a chunk.
 #[derive(Debug, Display, Clone, PartialEq, Eq, Hash)]
 pub enum ChunkSource {
     /// The origin, or the weight store where the origin is down.
     #[display("origin")]
     Origin,
-    /// An entry that hands chunks on.
+    /// An entry that relays chunks.
     #[display("entry {_0}")]
     Relay(InstanceId),
     /// Another instance.
@@ -54,30 +62,30 @@
     Peer(InstanceId),
 }
 
-/// An order to draw one chunk.
+/// A request to fetch one chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChunkDraw {
     /// The chunk.
     pub index: ChunkIndex,
-    /// Where to draw it.
+    /// Where to fetch it from.
     pub source: ChunkSource,
-    /// Give up without the whole chunk after this.
+    /// Timeout for the complete chunk.
     pub patience: Millis,
 }
 
-/// What came of a draw.
+/// The outcome of a fetch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DrawOutcome {
-    /// The chunk came and its digest is right.
+    /// The chunk was received and its digest matches.
     Verified,
-    /// The chunk came with another digest.
+    /// The chunk was received with a different digest.
     Corrupt,
-    /// The source is well but can't give the chunk now: it is at its upload budget and may name
-    /// others that hold the chunk, or it still waits for the chunk itself.
+    /// The source works but cannot send the chunk now: it has reached its upload limit and may list
+    /// other holders of the chunk, or it still waits for the chunk itself.
     Busy(Vec<InstanceId>),
-    /// The source lacks the chunk.
+    /// The source does not hold the chunk.
     Missing,
-    /// The source failed, stalled or could not be reached.
+    /// The source failed, timed out or could not be reached.
     Failed,
 }
 
@@ -90,16 +98,16 @@
     pub data_centre: DataCentre,
 }
 
-/// What a transfer has cost so far.
+/// Bytes and corrupt chunks received by a transfer so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TransferCounts {
-    /// Bytes drawn from the origin.
+    /// Bytes fetched from the origin.
     pub origin_bytes: u64,
-    /// Bytes drawn from entries.
+    /// Bytes fetched from entries.
     pub relay_bytes: u64,
-    /// Bytes drawn from peers.
+    /// Bytes fetched from peers.
     pub peer_bytes: u64,
-    /// Corrupt chunks that came, from whomever.
+    /// Corrupt chunks received from any source.
     pub corrupt_chunks: u32,
     /// Of these, chunks that the origin sent.
     pub corrupt_from_origin: u32,
--- a/mustardrill_core/src/transfer/mod.rs
+++ b/mustardrill_core/src/transfer/mod.rs
@@ -1,7 +1,7 @@
-//! The plan by which one instance draws a version's chunks: which, from whom, and when.
+//! Plans how one instance fetches the chunks of a version: which ones, from where, and when.
 //!
-//! A few drawers, agreed by rendezvous hashing, draw each chunk from the origin; everybody else
-//! draws from peers, rarest first (the idea is `BitTorrent`'s). Nothing here does I/O.
+//! A few seeders, agreed on by rendezvous hashing, fetch each chunk from the origin; all other
+//! instances fetch from peers, rarest chunk first, as in `BitTorrent`. Nothing here does I/O.
 
 mod chunk_selection;
 mod data;
@@ -23,9 +23,9 @@
     ChunkDraw, ChunkSource, DrawOutcome, TransferCounts, TransferPeer, TransferSettings,
 };
 use crate::transfer::missing::MissingSet;
-use crate::transfer::relay_fetch::RelayDuty;
+use crate::transfer::relay_fetch::RelayUse;
 
-/// The state of one version's transfer at one instance.
+/// Transfer of one version to one instance.
 #[derive(Debug)]
 pub struct TransferPlan {
     own: TransferPeer,
@@ -34,34 +34,35 @@
     settings: TransferSettings,
     held: ChunkBitmap,
     missing: MissingSet,
-    seen: ChunkBitmap,
-    /// When each chunk was first seen at anybody's.
-    seen_at: Vec<Moment>,
+    observed: ChunkBitmap,
+    /// When each chunk was first known to be held by any instance.
+    first_observed_at: Vec<Moment>,
     partners: PartnerTable,
-    drawers: Vec<InstanceId>,
+    seeders: Vec<InstanceId>,
     successors: Vec<InstanceId>,
-    homes: ChunkAssignment,
+    assignment: ChunkAssignment,
     relays: RelayTable,
-    own_draws: Vec<ChunkIndex>,
-    flights: FastMap<ChunkIndex, Flight>,
-    pace: Millis,
-    novelty: Moment,
-    origin_rest: Moment,
-    /// Entries are asked for nothing until then.
-    relay_rest: Moment,
-    started: Moment,
+    own_seed_chunks: Vec<ChunkIndex>,
+    pending: FastMap<ChunkIndex, PendingFetch>,
+    mean_fetch_time: Millis,
+    last_observed_at: Moment,
+    origin_retry_at: Moment,
+    /// No entry is asked before this time.
+    relay_retry_at: Moment,
+    started_at: Moment,
     random: SmallRng,
     counts: TransferCounts,
 }
 
 #[derive(Debug)]
-struct Flight {
+struct PendingFetch {
     source: ChunkSource,
-    started: Moment,
+    started_at: Moment,
 }
 
 impl TransferPlan {
-    /// A plan to draw `manifest`, of which nothing is held yet. `seed` decides between equals.
+    /// Creates a plan to fetch `manifest`, of which nothing is held yet. `seed` drives the random
+    /// choices between equal candidates.
     pub fn new(
         now: Moment,
         own: TransferPeer,
@@ -75,20 +76,20 @@
             digest: manifest.digest(),
             held: ChunkBitmap::empty(total),
             missing: MissingSet::full(total),
-            seen: ChunkBitmap::empty(total),
-            seen_at: vec![Moment(0); total as usize],
+            observed: ChunkBitmap::empty(total),
+            first_observed_at: vec![Moment(0); total as usize],
             partners: PartnerTable::new(total),
-            drawers: Vec::new(),
+            seeders: Vec::new(),
             successors: Vec::new(),
-            homes: ChunkAssignment::default(),
+            assignment: ChunkAssignment::default(),
             relays: RelayTable::default(),
-            own_draws: Vec::new(),
-            flights: FastMap::default(),
-            pace: Millis(settings.chunk_patience.0 / PATIENCE_PACES),
-            novelty: now,
-            origin_rest: now,
-            relay_rest: now,
-            started: now,
+            own_seed_chunks: Vec::new(),
+            pending: FastMap::default(),
+            mean_fetch_time: Millis(settings.chunk_patience.0 / TIMEOUT_FACTOR),
+            last_observed_at: now,
+            origin_retry_at: now,
+            relay_retry_at: now,
+            started_at: now,
             random: SmallRng::seed_from_u64(seed),
             counts: TransferCounts::default(),
             manifest,
@@ -96,22 +97,22 @@
         }
     }
 
-    /// The manifest that is drawn.
+    /// The manifest of the version being fetched.
     pub fn manifest(&self) -> &Arc<Manifest> {
         &self.manifest
     }
 
-    /// What is held and verified.
+    /// The chunks that are held and verified.
     pub fn held(&self) -> &ChunkBitmap {
         &self.held
     }
 
-    /// What the transfer has cost so far.
+    /// Bytes and corrupt chunks received so far.
     pub fn counts(&self) -> TransferCounts {
         self.counts
     }
 
-    /// The partners whose holdings are followed.
+    /// The partners with which holdings are exchanged.
     pub fn partners(&self) -> &PartnerTable {
         &self.partners
     }
@@ -121,41 +122,41 @@
         self.missing.chunks.is_empty()
     }
 
-    /// Takes the live instances that want the version, this one included, and chooses partners
-    /// and drawers among them.
+    /// Sets the live instances that want the version, including this one, and chooses partners and
+    /// seeders among them.
     pub fn set_peers(&mut self, peers: &[TransferPeer]) {
-        let (total, drawers) = (self.manifest.chunk_count(), self.settings.drawers);
-        self.homes = ChunkAssignment::new(self.digest, total, peers, &self.own, drawers);
-        self.choose_drawers(peers);
+        let (total, max_seeders) = (self.manifest.chunk_count(), self.settings.drawers);
+        self.assignment = ChunkAssignment::new(self.digest, total, peers, &self.own, max_seeders);
+        self.choose_seeders(peers);
         let chosen = self.choose_partners(peers);
         for id in self.partners.set_partners(chosen) {
-            self.drop_flights(&id);
+            self.drop_fetches_from(&id);
         }
     }
 
-    /// Notes that a chunk was found whole beside the upstream, from an earlier transfer.
+    /// Records that a chunk of an earlier transfer was found intact beside the upstream.
     pub fn found(&mut self, now: Moment, index: ChunkIndex) {
         if self.held.insert(index) {
             self.missing.remove(index);
         }
-        self.note_seen(now, index);
+        self.record_observed(now, index);
     }
 
-    /// Notes that a held chunk has turned bad, so that it is drawn anew.
+    /// Records that a held chunk turned out damaged, so that it is fetched again.
     pub fn lost(&mut self, index: ChunkIndex) {
         if self.held.remove(index) {
             self.missing.add(index);
         }
     }
 
-    /// Takes a partner's word on what it holds and how many uploads it has queued.
+    /// Records a partner's holdings and the number of uploads that it has queued.
     pub fn heard(&mut self, now: Moment, id: &InstanceId, bitmap: ChunkBitmap, queue: u32) {
         for index in self.partners.record_holding(now, id, bitmap, queue) {
-            self.note_seen(now, index);
+            self.record_observed(now, index);
         }
     }
 
-    /// Takes what came of a draw; says whether the draw was still awaited.
+    /// Records the outcome of a fetch; returns whether that fetch was still pending.
     pub fn finished(
         &mut self,
         now: Moment,
@@ -163,109 +164,113 @@
         source: &ChunkSource,
         outcome: &DrawOutcome,
     ) -> bool {
-        let awaited = self.flights.get(&index).is_some_and(|flight| flight.source == *source);
-        let flight = if awaited { self.flights.remove(&index) } else { None };
-        if let (ChunkSource::Peer(id), true) = (source, awaited) {
+        let is_current = self.pending.get(&index).is_some_and(|fetch| fetch.source == *source);
+        let fetch = if is_current { self.pending.remove(&index) } else { None };
+        if let (ChunkSource::Peer(id), true) = (source, is_current) {
             self.partners.record_fetch_end(id);
         }
         match source {
-            _ if *outcome == DrawOutcome::Verified => self.keep(now, index, source, flight),
+            _ if *outcome == DrawOutcome::Verified => {
+                self.record_verified(now, index, source, fetch)
+            }
             ChunkSource::Origin => self.origin_failed(now, outcome),
             ChunkSource::Relay(id) => self.relay_failed(now, id, outcome),
             ChunkSource::Peer(id) => self.peer_failed(now, index, id, outcome),
         }
-        awaited
+        is_current
     }
 
-    /// Gives up overdue draws and returns them, so that their I/O can be cancelled.
+    /// Fails the fetches that have timed out and returns them, so that their I/O can be cancelled.
     pub fn overdue(&mut self, now: Moment) -> Vec<(ChunkIndex, ChunkSource)> {
-        let late: Vec<_> = self
-            .flights
+        let overdue: Vec<_> = self
+            .pending
             .iter()
-            .filter(|(_, flight)| now.since(flight.started) > self.patience(&flight.source))
-            .map(|(index, flight)| (*index, flight.source.clone()))
+            .filter(|(_, fetch)| now.since(fetch.started_at) > self.fetch_timeout(&fetch.source))
+            .map(|(index, fetch)| (*index, fetch.source.clone()))
             .collect();
-        for (index, source) in &late {
+        for (index, source) in &overdue {
             self.finished(now, *index, source, &DrawOutcome::Failed);
         }
-        late
+        overdue
     }
 
-    /// The draws to start now.
+    /// The fetches to start now.
     pub fn next_draws(&mut self, now: Moment) -> Vec<ChunkDraw> {
         let mut draws = Vec::new();
-        let duty = self.relay_duty(now);
-        if duty == RelayDuty::None {
-            while self.origin_flights() < self.settings.origin_window {
+        let relay_use = self.relay_use(now);
+        if relay_use == RelayUse::None {
+            while self.origin_fetches() < self.settings.origin_window {
                 let Some(index) = self.next_origin_chunk(now) else { break };
-                draws.push(self.start(now, index, ChunkSource::Origin));
+                draws.push(self.start_fetch(now, index, ChunkSource::Origin));
             }
         }
-        while duty != RelayDuty::All && self.peer_flights() < self.settings.window {
+        while relay_use != RelayUse::All && self.peer_fetches() < self.settings.window {
             let Some((index, id)) = self.next_peer_chunk(now) else { break };
-            draws.push(self.start(now, index, ChunkSource::Peer(id)));
+            draws.push(self.start_fetch(now, index, ChunkSource::Peer(id)));
         }
-        while self.relay_flights() < self.relay_window() {
-            let Some((index, id)) = self.next_relay_chunk(now, duty) else { break };
-            draws.push(self.start(now, index, ChunkSource::Relay(id)));
+        while self.relay_fetches() < self.relay_window() {
+            let Some((index, id)) = self.next_relay_chunk(now, relay_use) else { break };
+            draws.push(self.start_fetch(now, index, ChunkSource::Relay(id)));
         }
         draws
     }
 
-    /// Leaves a partner that did not answer alone for a while.
+    /// Backs off from a partner that did not respond.
     pub fn shun(&mut self, now: Moment, id: &InstanceId) {
         self.partners.record_failure(now, id);
     }
 
-    fn choose_drawers(&mut self, peers: &[TransferPeer]) {
+    fn choose_seeders(&mut self, peers: &[TransferPeer]) {
         let ranked = rendezvous::ranked(&self.digest.0, peers, |peer| peer.id.as_str());
         let ids: Vec<InstanceId> = ranked.into_iter().map(|peer| peer.id.clone()).collect();
         if ids == self.successors {
             return;
         }
         let count = self.settings.drawers.max(self.settings.origin_copies).min(ids.len());
-        self.drawers = ids[..count].to_vec();
+        self.seeders = ids[..count].to_vec();
         self.successors = ids;
         let copies = self.settings.origin_copies;
         let is_own = |index: &ChunkIndex| {
             if self.settings.homes {
-                return self.homes.origin_rank(*index) < copies;
+                return self.assignment.origin_rank(*index) < copies;
             }
-            rank_of(&self.drawers, &self.own.id, *index) < copies
+            rank_of(&self.seeders, &self.own.id, *index) < copies
         };
-        self.own_draws = (0..self.manifest.chunk_count()).map(ChunkIndex).filter(is_own).collect();
+        self.own_seed_chunks =
+            (0..self.manifest.chunk_count()).map(ChunkIndex).filter(is_own).collect();
     }
 
     fn choose_partners(&self, peers: &[TransferPeer]) -> FastMap<InstanceId, bool> {
         let own = self.own.id.as_str().as_bytes();
-        let others: Vec<_> = peers.iter().filter(|peer| peer.id != self.own.id).cloned().collect();
-        let ranked = rendezvous::ranked(own, &others, |peer| peer.id.as_str());
+        let other_peers: Vec<_> =
+            peers.iter().filter(|peer| peer.id != self.own.id).cloned().collect();
+        let ranked = rendezvous::ranked(own, &other_peers, |peer| peer.id.as_str());
         let limit = self.settings.partners;
-        let is_near = |peer: &TransferPeer| peer.data_centre == self.own.data_centre;
-        let near = ranked.iter().filter(|peer| is_near(peer)).take(limit.div_ceil(2));
-        let mut chosen: FastMap<_, _> = near.map(|peer| (peer.id.clone(), true)).collect();
+        let is_local = |peer: &TransferPeer| peer.data_centre == self.own.data_centre;
+        let local = ranked.iter().filter(|peer| is_local(peer)).take(limit.div_ceil(2));
+        let mut chosen: FastMap<_, _> = local.map(|peer| (peer.id.clone(), true)).collect();
         for peer in ranked {
             if chosen.len() >= limit {
                 break;
             }
-            chosen.entry(peer.id.clone()).or_insert_with(|| is_near(peer));
+            chosen.entry(peer.id.clone()).or_insert_with(|| is_local(peer));
         }
         chosen
     }
 
-    fn note_seen(&mut self, now: Moment, index: ChunkIndex) {
-        if self.seen.insert(index) {
-            self.novelty = now;
-            self.seen_at[index.0 as usize] = now;
+    fn record_observed(&mut self, now: Moment, index: ChunkIndex) {
+        if self.observed.insert(index) {
+            self.last_observed_at = now;
+            self.first_observed_at[index.0 as usize] = now;
         }
     }
 
-    fn keep(
+    fn record_verified(
         &mut self,
         now: Moment,
         index: ChunkIndex,
         source: &ChunkSource,
-        flight: Option<Flight>,
+        fetch: Option<PendingFetch>,
     ) {
         let (start, end) = self.manifest.range(index);
         match source {
@@ -273,23 +278,23 @@
             ChunkSource::Relay(_) => self.counts.relay_bytes += end - start,
             ChunkSource::Peer(_) => self.counts.peer_bytes += end - start,
         }
-        if let Some(flight) = flight {
-            let took = now.since(flight.started).0;
-            self.pace = Millis((self.pace.0 * 7 + took) / 8);
+        if let Some(fetch) = fetch {
+            let took = now.since(fetch.started_at).0;
+            self.mean_fetch_time = Millis((self.mean_fetch_time.0 * 7 + took) / 8);
         }
         if self.held.insert(index) {
             self.missing.remove(index);
         }
-        self.note_seen(now, index);
+        self.record_observed(now, index);
     }
 
     fn origin_failed(&mut self, now: Moment, outcome: &DrawOutcome) {
-        const ORIGIN_REST: Millis = Millis(500);
+        const ORIGIN_RETRY_DELAY: Millis = Millis(500);
         if *outcome == DrawOutcome::Corrupt {
             self.counts.corrupt_chunks += 1;
             self.counts.corrupt_from_origin += 1;
         }
-        self.origin_rest = now + ORIGIN_REST;
+        self.origin_retry_at = now + ORIGIN_RETRY_DELAY;
     }
 
     fn peer_failed(
@@ -305,11 +310,11 @@
                 self.partners.record_corrupt_chunk(now, id, self.settings.corrupt_limit);
                 self.partners.retract(id, index);
             }
-            DrawOutcome::Busy(others) => {
-                self.partners.back_off(now, id, self.busy_rest());
-                for other in others {
-                    self.partners.record_hint(other, index);
-                    self.note_seen(now, index);
+            DrawOutcome::Busy(holders) => {
+                self.partners.back_off(now, id, self.busy_backoff());
+                for holder in holders {
+                    self.partners.record_hint(holder, index);
+                    self.record_observed(now, index);
                 }
             }
             DrawOutcome::Missing => self.partners.retract(id, index),
@@ -317,70 +322,73 @@
         }
     }
 
-    /// How long a busy partner is left alone: about until a chunk has left its link.
-    fn busy_rest(&self) -> Millis {
-        let pace = self.settings.origin_pace;
-        if self.settings.homes && pace > 0.0 {
-            return Millis((pace * BUSY_PACES) as u64 + 1);
+    /// Backoff for a busy partner: about until its link has sent a chunk.
+    fn busy_backoff(&self) -> Millis {
+        let chunk_ms = self.settings.origin_pace;
+        if self.settings.homes && chunk_ms > 0.0 {
+            return Millis((chunk_ms * BUSY_BACKOFF_CHUNKS) as u64 + 1);
         }
-        Millis(self.pace.0 / 2 + 1)
+        Millis(self.mean_fetch_time.0 / 2 + 1)
     }
 
-    fn start(&mut self, now: Moment, index: ChunkIndex, source: ChunkSource) -> ChunkDraw {
+    fn start_fetch(&mut self, now: Moment, index: ChunkIndex, source: ChunkSource) -> ChunkDraw {
         if let ChunkSource::Peer(id) = &source {
             self.partners.record_fetch_start(id);
         }
-        self.flights.insert(index, Flight { source: source.clone(), started: now });
-        let patience = self.patience(&source);
+        self.pending.insert(index, PendingFetch { source: source.clone(), started_at: now });
+        let patience = self.fetch_timeout(&source);
         ChunkDraw { index, source, patience }
     }
 
-    fn drop_flights(&mut self, id: &InstanceId) {
-        let gone = ChunkSource::Peer(id.clone());
-        self.flights.retain(|_, flight| flight.source != gone);
+    fn drop_fetches_from(&mut self, id: &InstanceId) {
+        let source = ChunkSource::Peer(id.clone());
+        self.pending.retain(|_, fetch| fetch.source != source);
     }
 
-    /// How long a draw may take. The origin shares its link among all that draw: a chunk that is
-    /// given up there was sent in vain, which makes all others slower still.
-    fn patience(&self, source: &ChunkSource) -> Millis {
-        let usual = self.settings.chunk_patience.0.max(self.pace.0 * PATIENCE_PACES);
+    /// Timeout of a fetch. The origin's link is shared by all instances that fetch from it: a chunk
+    /// given up there was sent in vain, which slows all others down.
+    fn fetch_timeout(&self, source: &ChunkSource) -> Millis {
+        let usual_ms = self.settings.chunk_patience.0.max(self.mean_fetch_time.0 * TIMEOUT_FACTOR);
         if *source == ChunkSource::Origin {
-            let shared = self.settings.origin_pace * self.settings.drawers as f64;
-            return Millis(usual.max((shared * ORIGIN_PACES) as u64).min(LONGEST_PATIENCE.0));
+            let shared_ms = self.settings.origin_pace * self.settings.drawers as f64;
+            return Millis(
+                usual_ms.max((shared_ms * ORIGIN_TIMEOUT_FACTOR) as u64).min(MAX_ORIGIN_TIMEOUT.0),
+            );
         }
-        Millis(usual)
+        Millis(usual_ms)
     }
 
-    /// How many chunks are held that others draw from here first: those that this instance is the
-    /// home of, or draws from the origin.
+    /// Number of held chunks that other instances fetch from here first: those of which this
+    /// instance is primary holder or first seeder.
     pub fn awaited_here(&self) -> usize {
         let is_awaited = |index: &ChunkIndex| {
-            self.homes.holder_rank(*index) == 0 || self.homes.origin_rank(*index) == 0
+            self.assignment.holder_rank(*index) == 0 || self.assignment.origin_rank(*index) == 0
         };
         self.held.held().into_iter().filter(is_awaited).count()
     }
 
-    /// The draws under way, so that their I/O can be cancelled when the plan is given up.
+    /// The pending fetches, so that their I/O can be cancelled when the plan is dropped.
     pub fn flights(&self) -> Vec<(ChunkIndex, ChunkSource)> {
-        let flights = self.flights.iter();
-        flights.map(|(index, flight)| (*index, flight.source.clone())).collect()
+        let pending = self.pending.iter();
+        pending.map(|(index, fetch)| (*index, fetch.source.clone())).collect()
     }
 }
 
-/// A busy partner is left alone for this many times that a link takes for a chunk; longer leaves links
+/// Backoff for a busy partner, in multiples of the link time of a chunk; a longer one leaves links
 /// idle between two chunks.
-const BUSY_PACES: f64 = 0.6;
+const BUSY_BACKOFF_CHUNKS: f64 = 0.6;
 
-/// A chunk of the origin is given this many times what it takes while all drawers draw at once.
-const ORIGIN_PACES: f64 = 2.0;
+/// Timeout of a fetch from the origin, in multiples of the time that it takes while all seeders
+/// fetch at once.
+const ORIGIN_TIMEOUT_FACTOR: f64 = 2.0;
 
-/// The longest that a chunk of the origin is waited for: what is silent for so long is lost.
-const LONGEST_PATIENCE: Millis = Millis(4_000);
+/// Maximum timeout of a fetch from the origin: one without data for this long is lost.
+const MAX_ORIGIN_TIMEOUT: Millis = Millis(4_000);
 
-/// A chunk is given this many times the usual time of a chunk.
-const PATIENCE_PACES: u64 = 8;
+/// Timeout of a fetch, in multiples of the mean fetch time.
+const TIMEOUT_FACTOR: u64 = 8;
 
-/// The place of `own` among `names` for a chunk, from zero; past the end where it is not there.
+/// The rank of `own` among `names` for a chunk, from zero; `usize::MAX` if it is not among them.
 fn rank_of(names: &[InstanceId], own: &InstanceId, index: ChunkIndex) -> usize {
     if !names.contains(own) {
         return usize::MAX;
--- a/mustardrill_core/src/transfer/relay_fetch.rs
+++ b/mustardrill_core/src/transfer/relay_fetch.rs
@@ -1,107 +1,109 @@
-//! Drawing chunks from entries that hand them on.
+//! Fetches chunks from entries that relay them.
 
 use mustardrill_types::{ChunkIndex, InstanceId, Millis, Moment};
 
 use crate::direct::PeerRecord;
 use crate::relays::RelayItem;
-use crate::transfer::{ChunkSource, DrawOutcome, Flight, TransferPlan};
+use crate::transfer::{ChunkSource, DrawOutcome, PendingFetch, TransferPlan};
 
-/// How long one that finds a version named long ago waits for its peers' holdings before it asks
-/// entries: some rounds of questions and answers.
-const PEERS_FIRST: Millis = Millis(300);
+/// How long an instance that starts after a version was announced waits for its peers' holdings
+/// before it asks entries: a few round trips.
+const PEER_REPORT_WAIT: Millis = Millis(300);
 
-/// A chunk that takes longer, with others in flight, tells of a link that is narrower than those that
-/// the bounds are made for.
-const SLOW_PACE: Millis = Millis(250);
+/// A mean fetch time above this, with several chunks in flight, indicates a link narrower than
+/// those for which the concurrency limits are meant.
+const SLOW_FETCH_TIME: Millis = Millis(250);
 
-/// How long entries are left alone of which one says that the origin can't be had.
+/// Backoff for all entries after one of them reports that the origin is unavailable.
 ///
-/// Load pattern: the origin is away. Counted as failed, the entries would be left one after the other,
-/// until each agent asks the origin itself, and on its return all draw the same chunks from it. The
-/// rest is about what entries take to notice.
-const RELAY_REST: Millis = Millis(150);
+/// If each such response counted as a failure of the entry, the entries would be ejected one after
+/// the other until each agent asks the origin itself, and once it is available again all would
+/// fetch the same chunks from it. The backoff is about the time in which entries detect the outage.
+const RELAY_RETRY_DELAY: Millis = Millis(150);
 
-/// With each time of so many stalls that passes, one more instance asks far entries for a chunk
-/// that none here shows.
-const STALLS_A_HOME: u64 = 4;
+/// After every this many stall intervals, one more instance of a data centre asks remote entries
+/// for a chunk that no partner holds.
+const STALLS_PER_HOLDER: u64 = 4;
 
-/// What is asked of entries.
+/// Which chunks are requested from entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum RelayDuty {
-    /// Nothing: none may be asked.
+pub(super) enum RelayUse {
+    /// None: no entry is usable.
     None,
-    /// What this instance is the home of: only entries of other data centres may be asked, and one
-    /// copy is to cross the border.
-    Homes,
-    /// What no peer shows.
-    Unseen,
-    /// Everything.
+    /// Chunks of which this instance is the primary holder: only entries of other data centres are
+    /// usable, and one copy should cross the border of the data centre.
+    PrimaryHeld,
+    /// Chunks that no partner reports as held.
+    Unheld,
+    /// All missing chunks.
     All,
 }
 
 impl TransferPlan {
-    /// Takes the entries that hand chunks on.
+    /// Sets the entries that relay chunks.
     pub fn set_relays(&mut self, relays: Vec<PeerRecord>) {
         self.relays.set_relays(relays);
     }
 
-    pub(super) fn relay_flights(&self) -> usize {
-        let is_relay = |flight: &&Flight| matches!(flight.source, ChunkSource::Relay(_));
-        self.flights.values().filter(is_relay).count()
+    pub(super) fn relay_fetches(&self) -> usize {
+        let is_relay = |fetch: &&PendingFetch| matches!(fetch.source, ChunkSource::Relay(_));
+        self.pending.values().filter(is_relay).count()
     }
 
-    /// Chunks in flight from entries at once.
+    /// Maximum number of concurrent fetches from entries.
     ///
-    /// Load pattern: an engine's link narrows in the middle of a copy. What is in flight then waits
-    /// before the link, and requests wait behind it until their callers have left.
+    /// If an engine's link narrows during a copy, the chunks in flight queue up before it and delay
+    /// requests until their callers have given up. On a slow link only one chunk is fetched at a
+    /// time.
     pub(super) fn relay_window(&self) -> usize {
         let window = self.settings.relay_window;
-        if self.pace > SLOW_PACE { window.min(1) } else { window }
+        if self.mean_fetch_time > SLOW_FETCH_TIME { window.min(1) } else { window }
     }
 
-    pub(super) fn relay_duty(&self, now: Moment) -> RelayDuty {
+    pub(super) fn relay_use(&self, now: Moment) -> RelayUse {
         if self.settings.relay_window == 0 {
-            return RelayDuty::None;
+            return RelayUse::None;
         }
         let nearest = self.nearest_relay(now, RelayItem::List);
-        let Some(relay) = nearest else { return RelayDuty::None };
+        let Some(relay) = nearest else { return RelayUse::None };
         if relay.data_centre != self.own.data_centre {
-            return RelayDuty::Homes;
+            return RelayUse::PrimaryHeld;
         }
-        if self.settings.relays_first { RelayDuty::All } else { RelayDuty::Unseen }
+        if self.settings.relays_first { RelayUse::All } else { RelayUse::Unheld }
     }
 
-    /// The next chunk to ask an entry for. All ask in the same order, so that what one entry has
-    /// drawn for the first serves all others.
+    /// The next chunk to request from an entry. All instances request chunks in the same order, so
+    /// that what an entry has fetched for the first serves all others.
     pub(super) fn next_relay_chunk(
         &self,
         now: Moment,
-        duty: RelayDuty,
+        relay_use: RelayUse,
     ) -> Option<(ChunkIndex, InstanceId)> {
-        if now < self.relay_rest {
+        if now < self.relay_retry_at {
             return None;
         }
-        let waited = now.since(self.started);
-        if duty == RelayDuty::None || (duty != RelayDuty::All && waited < PEERS_FIRST) {
+        let waited = now.since(self.started_at);
+        if relay_use == RelayUse::None || (relay_use != RelayUse::All && waited < PEER_REPORT_WAIT)
+        {
             return None;
         }
-        let stalls = (waited.0 / (self.settings.stall_after.0.max(1) * STALLS_A_HOME)) as usize;
-        let is_open = |index: &ChunkIndex| match duty {
-            RelayDuty::All => true,
-            RelayDuty::Unseen => self.partners.copies(*index) == 0,
-            _ => self.partners.copies(*index) == 0 && self.homes.holder_rank(*index) <= stalls,
+        let stalls = (waited.0 / (self.settings.stall_after.0.max(1) * STALLS_PER_HOLDER)) as usize;
+        let is_allowed = |index: &ChunkIndex| match relay_use {
+            RelayUse::All => true,
+            RelayUse::Unheld => self.partners.copies(*index) == 0,
+            _ => self.partners.copies(*index) == 0 && self.assignment.holder_rank(*index) <= stalls,
         };
         let missing = self.missing.chunks.iter().copied();
-        let free = missing.filter(|index| !self.flights.contains_key(index));
-        let index = free.filter(is_open).min()?;
+        let free = missing.filter(|index| !self.pending.contains_key(index));
+        let index = free.filter(is_allowed).min()?;
         let relay = self.nearest_relay(now, RelayItem::Chunk(index))?;
         Some((index, relay.id.clone()))
     }
 
     pub(super) fn relay_failed(&mut self, now: Moment, id: &InstanceId, outcome: &DrawOutcome) {
         match outcome {
-            // It is well; nobody has the chunk yet.
-            DrawOutcome::Busy(_) => self.relay_rest = now + RELAY_REST,
+            // The entry works; no process has the chunk yet.
+            DrawOutcome::Busy(_) => self.relay_retry_at = now + RELAY_RETRY_DELAY,
             DrawOutcome::Corrupt => {
                 self.counts.corrupt_chunks += 1;
                 self.relays.record_failure(now, id);
