--- a/mustardrill_core/src/agent/event.rs
+++ b/mustardrill_core/src/agent/event.rs
@@ -1,4 +1,4 @@
-//! What an agent sees and what it does about it, as data.
+//! Events, effects and settings of an agent, as plain data.
 
 use std::sync::Arc;
 
@@ -18,83 +18,84 @@
 use crate::refusal::AttemptRefusal;
 use crate::transfer::{ChunkDraw, ChunkSource, DrawOutcome, TransferPeer, TransferSettings};
 
-/// Something that happened at or to an agent.
+/// An input of the agent's reducer.
 #[derive(Debug, Clone)]
 pub enum AgentEvent {
-    /// A catalogue came from an entry or the platform's service.
+    /// An entry or the platform's service sent a catalogue.
     CatalogueSeen(Arc<CatalogueDocument>),
     /// The platform's instance list was read.
     InstancesSeen(Vec<InstanceRecord>),
-    /// A manifest came and has the pinned digest.
+    /// A manifest was fetched and has the pinned digest.
     ManifestLoaded(Arc<Manifest>, ManifestDigest),
-    /// A manifest could not be had.
+    /// A manifest could not be fetched; the reason.
     ManifestFailed(ManifestDigest, Box<str>),
-    /// A peer told what it holds.
+    /// A peer reported the chunks that it holds.
     HoldingSeen {
         /// The version.
         digest: ManifestDigest,
         /// The peer.
         id: InstanceId,
-        /// What it holds.
+        /// The chunks that it holds.
         bitmap: ChunkBitmap,
-        /// Its queued uploads.
+        /// Number of its queued uploads.
         queue: u32,
-        /// Whether its upstream serves the version; unknown where it only asked for something.
+        /// Whether its upstream serves the version; unknown if the message was only a request.
         serving: Option<bool>,
     },
-    /// A peer did not answer.
+    /// A peer did not respond.
     PeerFailed(InstanceId),
-    /// A draw ended.
+    /// A chunk fetch ended.
     DrawFinished {
         /// The version.
         digest: ManifestDigest,
         /// The chunk.
         index: ChunkIndex,
-        /// Where it was drawn.
+        /// Where it was fetched from.
         source: ChunkSource,
-        /// What came of it.
+        /// The outcome of the fetch.
         outcome: DrawOutcome,
     },
-    /// The upstream told what it serves, or could not be reached.
+    /// The upstream reported what it serves; `None` if it could not be reached.
     EngineSeen(Option<EngineReport>),
-    /// The upstream answered a load order; the reason where it refused.
+    /// The upstream responded to a load order; the reason if it refused.
     LoadAnswered(ManifestDigest, Result<(), Box<str>>),
-    /// The platform's service answered a call about the lease.
+    /// The platform's service responded to a call about the lease.
     OwnerAnswered(OwnerAnswer),
-    /// A request came from an entry.
+    /// An entry sent a request.
     RequestArrived {
         /// The attempt.
         attempt: AttemptId,
-        /// The class of its entry in the catalogue.
+        /// The class of its catalogue entry.
         class: RequestClass,
-        /// The weights that it is pinned to, for a model.
+        /// The weights that it is pinned to, if it is for a model.
         pinned: Option<ManifestDigest>,
-        /// When its answer is worth nothing any more.
+        /// Time after which its answer is worthless.
         deadline: Moment,
     },
     /// The entry or caller gave up an attempt.
     RequestWithdrawn(AttemptId),
-    /// The upstream ended a dispatched attempt, or its connection is closed.
+    /// The upstream completed a dispatched attempt, or its connection is closed.
     RequestFinished(AttemptId),
-    /// An entry told what customers asked of it lately.
+    /// An entry reported its recent customer demand.
     DemandSeen(InstanceId, Vec<DemandRow>),
-    /// An entry told of requests under which upstreams ended.
+    /// An entry reported requests whose upstream crashed.
     CrashesHeard(Vec<CrashReport>),
-    /// An entry asks for a claim. The wall clock, in seconds, is for its retention alone.
+    /// An entry requests a claim. The wall clock, in seconds, is only used for the claim's
+    /// retention.
     ClaimAsked(RequestKey, AttemptId, u64),
-    /// An entry takes a claim back, as the request was not run.
+    /// An entry releases a claim, as the request was not run.
     ClaimReleased(RequestKey, AttemptId, u64),
-    /// The platform's service answered about claims.
+    /// The platform's service responded to a read or write of a claim shard.
     ClaimAnswered(ShardIndex, ShardResponse),
-    /// Time passed.
+    /// Timer tick.
     Tick,
-    /// The moment came for which `AgentEffect::Wake` asked.
+    /// The time requested by `AgentEffect::Wake` was reached.
     Woke,
-    /// A planned stop begins.
+    /// A planned shutdown begins.
     Stop,
 }
 
-/// Something that an agent does.
+/// An output of the agent's reducer, to be carried out by the process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AgentEffect {
     /// Fetch a manifest from the first source that has it.
@@ -105,34 +106,34 @@
         version: VersionName,
         /// The digest that the manifest must have.
         digest: ManifestDigest,
-        /// Where to ask, in this order.
+        /// The sources to ask, in this order.
         sources: Vec<ChunkSource>,
     },
-    /// Draw a chunk.
+    /// Fetch a chunk.
     DrawChunk(ManifestDigest, ChunkDraw),
-    /// Stop a draw that is not awaited any more.
+    /// Cancel a fetch whose result is no longer needed.
     CancelDraw(ManifestDigest, ChunkIndex, ChunkSource),
     /// Exchange holdings with a peer.
     Exchange(ManifestDigest, InstanceId),
     /// Order the upstream to load staged weights.
     OrderLoad(LoadOrder),
-    /// Ask the upstream what it serves.
+    /// Read from the upstream which weights it serves.
     ReadEngine,
-    /// Drop the staged bytes of a version.
+    /// Delete the staged bytes of a version.
     DropWeights(ManifestDigest),
     /// Call the platform's service about the lease.
     CallOwner(OwnerCall),
-    /// Read or write claims, or tell what came of one.
+    /// Read or write claims, or report the outcome of one.
     Claim(ClaimEffect),
-    /// Send `AgentEvent::Woke` at that moment.
+    /// Send `AgentEvent::Woke` at this time.
     Wake(Moment),
-    /// Give a request to the upstream.
+    /// Send a request to the upstream.
     Dispatch(AttemptId),
     /// Refuse a request, which was not run.
     Refuse(AttemptId, AttemptRefusal),
 }
 
-/// An order to the upstream.
+/// An order to the upstream to load staged weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadOrder {
     /// The model.
@@ -145,67 +146,67 @@
     pub fence: FencingNumber,
 }
 
-/// What an upstream says of itself.
+/// State that an upstream reports.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineReport {
     /// The weights that it serves.
     pub serving: Vec<ManifestDigest>,
 }
 
-/// How far one version is at one agent, for operators.
+/// Progress of one version at one agent, shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightsProgress {
     /// The model.
     pub model: ModelName,
     /// The version.
     pub digest: ManifestDigest,
-    /// Chunks held.
+    /// Number of chunks held.
     pub held: u32,
-    /// Chunks in all; zero while the manifest is awaited.
+    /// Number of chunks; zero until the manifest is available.
     pub total: u32,
-    /// Bytes drawn from the origin.
+    /// Bytes fetched from the origin.
     pub origin_bytes: u64,
-    /// Bytes drawn from peers.
+    /// Bytes fetched from peers.
     pub peer_bytes: u64,
-    /// How long until all chunks are held at the present pace; nothing where none is known.
+    /// Time until all chunks are held at the current rate, if that is known.
     pub remaining: Option<Millis>,
-    /// Where it stands: manifest, fetching, staged, loading, serving or stuck.
+    /// Stage: manifest, fetching, staged, loading, serving or stuck.
     pub state: &'static str,
-    /// What is in the way; empty where nothing is.
+    /// What prevents progress; empty if nothing does.
     pub trouble: Box<str>,
 }
 
-/// What an agent must know of itself and how it decides.
+/// Identity of an agent and parameters of its decisions.
 #[derive(Debug, Clone)]
 pub struct AgentSettings {
     /// The agent's own instance and data centre.
     pub own: TransferPeer,
-    /// Its service.
+    /// The service that its upstream belongs to.
     pub service: ServiceName,
-    /// Its region.
+    /// The region of its data centre.
     pub region: RegionName,
-    /// How weights are drawn.
+    /// How weights are fetched.
     pub transfer: TransferSettings,
-    /// Whether each region draws its own copy from the origin.
+    /// Whether each region fetches its own copy from the origin.
     pub copy_per_region: bool,
-    /// How requests wait.
+    /// Limits of the request queue.
     pub admission: AdmissionSettings,
-    /// How claims are kept.
+    /// How claims are stored and batched.
     pub claim: ClaimSettings,
-    /// How the upstream is owned.
+    /// How the lease on the upstream is acquired and renewed.
     pub owner: OwnerSettings,
-    /// How the instance list is corrected.
+    /// How failures seen by this agent correct the instance list.
     pub members: MemberSettings,
-    /// How many bytes of weights may be staged.
+    /// Maximum number of bytes of weights that may be staged.
     pub staging_limit: ByteSize,
-    /// The share of a service's instances that keep serving during a switch, in percent.
+    /// Share of a service's instances that keep serving during a switch, in percent.
     pub floor_percent: u32,
-    /// How often a partner that has not been heard of is asked.
+    /// Interval after which a partner that has not reported its holdings is asked for them.
     pub exchange_every: Millis,
-    /// How long a switch waits for the instance before it in the wave order.
+    /// Maximum time that a switch waits for the instance before it in the wave order.
     pub wave_patience: Millis,
-    /// How often a failed manifest, load order or read is tried again.
+    /// Delay before a failed manifest fetch, load order or engine read is retried.
     pub retry_every: Millis,
-    /// Whether the upstream is a model engine; a plain service gets no orders.
+    /// Whether the upstream is a model engine; a plain service receives no load orders.
     pub is_engine: bool,
 }
--- a/mustardrill_core/src/agent/load_wave.rs
+++ b/mustardrill_core/src/agent/load_wave.rs
@@ -1,4 +1,4 @@
-//! The switch to a staged version: whose turn it is, the load order, and word to the next.
+//! Switching to a staged version: wave order, the load order, and the notice to the next instance.
 
 use log::{info, warn};
 use mustardrill_types::{FencingNumber, InstanceId, ManifestDigest, Moment};
@@ -9,8 +9,9 @@
 use crate::wave;
 
 impl WeightsTable {
-    /// Orders the upstream to load a whole copy, where lease, wave and the last try allow it.
-    pub(super) fn consider_load(
+    /// Orders the upstream to load a complete copy, if the lease, the wave order and the retry
+    /// interval allow it.
+    pub(super) fn order_load_if_due(
         &mut self,
         now: Moment,
         digest: ManifestDigest,
@@ -21,8 +22,8 @@
             return Vec::new();
         }
         let Some(fence) = fence else { return Vec::new() };
-        if let Some(id) = self.wave_blocker(now, digest, members) {
-            return self.ask_blocker(now, digest, id).into_iter().collect();
+        if let Some(id) = self.pending_wave_predecessor(now, digest, members) {
+            return self.query_wave_predecessor(now, digest, id).into_iter().collect();
         }
         let retry = now + self.settings.retry_every;
         let state = self.versions.get_mut(&digest).expect("a version of the table");
@@ -45,27 +46,28 @@
         })]
     }
 
-    /// Asks whether the instance before this one has switched, in case that its word of it was lost.
-    fn ask_blocker(
+    /// Asks the instance before this one in the wave order whether it has switched, in case its
+    /// notice was lost.
+    fn query_wave_predecessor(
         &mut self,
         now: Moment,
         digest: ManifestDigest,
         id: InstanceId,
     ) -> Option<AgentEffect> {
         let next = now + self.settings.retry_every;
-        let state = self.versions.get_mut(&digest).filter(|state| now >= state.next_question)?;
-        state.next_question = next;
+        let state = self.versions.get_mut(&digest).filter(|state| now >= state.next_wave_query)?;
+        state.next_wave_query = next;
         Some(AgentEffect::Exchange(digest, id))
     }
 
-    /// The instance that must switch before this one, where it has not yet.
-    fn wave_blocker(
+    /// The instance that must switch before this one and has not done so yet.
+    fn pending_wave_predecessor(
         &mut self,
         now: Moment,
         digest: ManifestDigest,
         members: &MemberTable,
     ) -> Option<InstanceId> {
-        // An upstream that serves nothing yet takes no capacity away by loading.
+        // An upstream that serves nothing yet takes no capacity out of service by loading.
         if self.serving.is_empty() {
             return None;
         }
@@ -76,7 +78,7 @@
         if self.served_by.get(&digest).is_some_and(|known| known.contains(&id)) {
             return None;
         }
-        let since = *state.waiting_since.get_or_insert(now);
+        let since = *state.wave_wait_since.get_or_insert(now);
         if now.since(since) >= self.settings.wave_patience {
             warn!("load manifest={} decision=skip-wait instance={id}", digest.short());
             return None;
@@ -84,8 +86,8 @@
         Some(id)
     }
 
-    /// Tells the instance that waits for this one that it has switched.
-    pub(super) fn tell_successor(
+    /// Notifies the instance that waits for this one that it has switched.
+    pub(super) fn notify_wave_successor(
         &self,
         now: Moment,
         digest: ManifestDigest,
--- a/mustardrill_core/src/agent/mod.rs
+++ b/mustardrill_core/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent's reducer: everything that the process beside an upstream decides.
+//! The reducer of the agent: all decisions of the process that runs beside an upstream.
 
 mod event;
 mod load_wave;
--- a/mustardrill_core/src/agent/reducer.rs
+++ b/mustardrill_core/src/agent/reducer.rs
@@ -1,4 +1,4 @@
-//! One reducer over all events of an agent.
+//! The reducer that handles all events of an agent.
 
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 use crate::quarantine::CrashReport;
 use crate::refusal::AttemptRefusal;
 
-/// Everything that an agent knows; it holds no bytes of weights or requests.
+/// The state of an agent; it holds no bytes of weights or requests.
 #[derive(Debug)]
 pub struct AgentReducer {
     document: Arc<CatalogueDocument>,
@@ -36,10 +36,10 @@
     demand: DemandAggregator,
     crashes: CrashReportRelay,
     claims: ClaimBatch,
-    /// The wall clock that came with the last claim.
-    wall: Option<(Moment, u64)>,
+    /// When the last claim arrived and the wall clock in seconds that it carried.
+    claim_wall_clock: Option<(Moment, u64)>,
     leaving: bool,
-    /// When a request that is held back may start.
+    /// When a delayed request may start, if a wake-up is scheduled for it.
     wake_at: Option<Moment>,
     is_engine: bool,
     random: SmallRng,
@@ -53,14 +53,15 @@
     finished: bool,
 }
 
-/// How long a finished attempt is remembered, so that a late copy of it is not run.
-const REMEMBER_ATTEMPT: Millis = Millis(120_000);
+/// How long a finished attempt is kept, so that a delayed duplicate of it is not run.
+const ATTEMPT_RETENTION: Millis = Millis(120_000);
 
-/// How often the list is weighed anew, since suspicion of dead instances ends by time.
-const REFRESH_EVERY: Millis = Millis(1_000);
+/// How often live instances are determined again, as suspicion of dead instances expires.
+const REFRESH_INTERVAL: Millis = Millis(1_000);
 
 impl AgentReducer {
-    /// An agent that knows nothing yet. `seed` decides between equals.
+    /// Creates an agent without any state. `seed` drives the random choices between equal
+    /// candidates.
     pub fn new(now: Moment, settings: AgentSettings, seed: u64) -> Self {
         Self {
             document: Arc::default(),
@@ -71,7 +72,7 @@
             demand: DemandAggregator::default(),
             crashes: CrashReportRelay::default(),
             claims: ClaimBatch::new(settings.claim.clone()),
-            wall: None,
+            claim_wall_clock: None,
             leaving: false,
             wake_at: None,
             is_engine: settings.is_engine,
@@ -81,11 +82,11 @@
         }
     }
 
-    /// Takes one event and returns what is to be done.
+    /// Handles one event and returns the effects to carry out.
     pub fn reduce(&mut self, now: Moment, event: AgentEvent) -> Vec<AgentEffect> {
         match event {
-            AgentEvent::CatalogueSeen(document) => self.catalogue_seen(now, document),
-            AgentEvent::InstancesSeen(list) => self.instances_seen(now, list),
+            AgentEvent::CatalogueSeen(document) => self.apply_catalogue(now, document),
+            AgentEvent::InstancesSeen(list) => self.apply_instances(now, list),
             AgentEvent::ManifestLoaded(manifest, digest) => {
                 self.weights.manifest_loaded(now, manifest, digest, &self.members)
             }
@@ -95,7 +96,7 @@
             }
             AgentEvent::HoldingSeen { digest, id, bitmap, queue, serving } => {
                 self.members.record_success(&id);
-                self.weights.heard(now, digest, &id, bitmap, queue, serving)
+                self.weights.holdings_received(now, digest, &id, bitmap, queue, serving)
             }
             AgentEvent::PeerFailed(id) => {
                 self.members.record_failure(now, &id);
@@ -103,10 +104,10 @@
                 Vec::new()
             }
             AgentEvent::DrawFinished { digest, index, source, outcome } => {
-                self.weights.draw_finished(now, digest, index, &source, &outcome)
+                self.weights.chunk_fetch_ended(now, digest, index, &source, &outcome)
             }
             AgentEvent::EngineSeen(report) => {
-                let mut effects = self.weights.engine_seen(now, report, &self.members);
+                let mut effects = self.weights.engine_observed(now, report, &self.members);
                 effects.extend(self.advance_weights(now));
                 effects
             }
@@ -123,16 +124,16 @@
                 self.demand.record_report(now, entry, rows);
                 Vec::new()
             }
-            AgentEvent::CrashesHeard(words) => {
-                words.into_iter().for_each(|word| self.crashes.record(now, word));
+            AgentEvent::CrashesHeard(reports) => {
+                reports.into_iter().for_each(|report| self.crashes.record(now, report));
                 Vec::new()
             }
             AgentEvent::ClaimAsked(key, attempt, wall_s) => {
-                self.wall = Some((now, wall_s));
+                self.claim_wall_clock = Some((now, wall_s));
                 claim_effects(self.claims.claim(now, wall_s, key, attempt))
             }
             AgentEvent::ClaimReleased(key, attempt, wall_s) => {
-                self.wall = Some((now, wall_s));
+                self.claim_wall_clock = Some((now, wall_s));
                 claim_effects(self.claims.release(now, wall_s, key, attempt))
             }
             AgentEvent::ClaimAnswered(shard, answer) => {
@@ -148,67 +149,67 @@
         }
     }
 
-    /// The catalogue in force here.
+    /// The catalogue applied here.
     pub fn document(&self) -> &Arc<CatalogueDocument> {
         &self.document
     }
 
-    /// What customers asked of all entries lately.
+    /// Recent customer demand, as reported by all entries.
     pub fn demand(&self) -> &DemandAggregator {
         &self.demand
     }
 
-    /// What entries told lately of requests under which upstreams ended.
+    /// Recent reports from entries of requests whose upstream crashed.
     pub fn crashes(&self, now: Moment) -> Vec<CrashReport> {
         self.crashes.active_reports(now)
     }
 
-    /// The generation in force here.
+    /// The generation of the catalogue applied here.
     pub fn generation(&self) -> Generation {
         self.document.generation
     }
 
-    /// Whether the agent takes no new work.
+    /// Whether the agent is shutting down and accepts no new requests.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether nothing is queued or running, and every claim is settled or taken back.
+    /// Whether no request is queued or running, and every claim is settled or released.
     pub fn is_drained(&self) -> bool {
         self.queue.running() == 0 && self.queue.queued() == 0 && self.claims.is_idle()
     }
 
-    /// Requests queued and running.
+    /// Number of requests queued and running.
     pub fn outstanding(&self) -> u32 {
         (self.queue.running() + self.queue.queued()) as u32
     }
 
-    /// Requests that the upstream runs at once.
+    /// Number of requests that the upstream runs concurrently.
     pub fn capacity(&self) -> u32 {
         self.queue.capacity()
     }
 
-    /// The weights that the upstream serves.
+    /// The weights that the upstream serves, by manifest digest.
     pub fn serving(&self) -> &[ManifestDigest] {
         self.weights.serving()
     }
 
-    /// How far each wanted version is.
+    /// Progress of each version that this agent should serve.
     pub fn progress(&self, now: Moment) -> Vec<WeightsProgress> {
         self.weights.progress(now)
     }
 
-    /// Which chunks of a version are held and verified.
+    /// The chunks of a version that are held and verified.
     pub fn held(&self, digest: ManifestDigest) -> Option<&ChunkBitmap> {
         self.weights.held(digest)
     }
 
-    /// Peers that hold a chunk.
+    /// Some peers that hold a chunk.
     pub fn holders(&self, digest: ManifestDigest, index: ChunkIndex) -> Vec<InstanceId> {
         self.weights.holders(digest, index)
     }
 
-    /// The members as this agent sees them.
+    /// The instances of the fleet as this agent sees them.
     pub fn members(&self) -> &MemberTable {
         &self.members
     }
@@ -218,14 +219,14 @@
         &self.owner
     }
 
-    fn catalogue_seen(&mut self, now: Moment, next: Arc<CatalogueDocument>) -> Vec<AgentEffect> {
+    fn apply_catalogue(&mut self, now: Moment, next: Arc<CatalogueDocument>) -> Vec<AgentEffect> {
         if !adopt(&mut self.document, next) {
             return Vec::new();
         }
         self.refresh_weights(now)
     }
 
-    fn instances_seen(
+    fn apply_instances(
         &mut self,
         now: Moment,
         list: Vec<crate::membership::InstanceRecord>,
@@ -268,7 +269,7 @@
             return refusal(attempt, ResultCode::Leaving, Millis(1));
         }
         if !self.serves(pinned) {
-            return self.other_weights(attempt, Millis(100));
+            return self.refuse_other_weights(attempt, Millis(100));
         }
         let admission = self.queue.offer(now, attempt, class, deadline);
         log::debug!(
@@ -284,30 +285,31 @@
         match admission {
             Admission::Run => vec![AgentEffect::Dispatch(attempt)],
             Admission::Displaced(other) => {
-                self.forget(other);
+                self.mark_finished(other);
                 refusal(other, ResultCode::Overloaded, self.queue.retry_after())
             }
-            Admission::Queued => self.wake(now).into_iter().collect(),
+            Admission::Queued => self.schedule_wake(now).into_iter().collect(),
             Admission::Refused(..) => Vec::new(),
         }
     }
 
     fn request_withdrawn(&mut self, now: Moment, attempt: AttemptId) -> Vec<AgentEffect> {
         if self.queue.withdraw(attempt) {
-            self.forget(attempt);
+            self.mark_finished(attempt);
             return refusal(attempt, ResultCode::Withdrawn, Millis(0));
         }
-        // It runs already: its task closes the connection to the upstream and reports the end.
+        // It is already running: its task closes the connection to the upstream and reports the
+        // end.
         self.request_finished(now, attempt)
     }
 
     fn request_finished(&mut self, now: Moment, attempt: AttemptId) -> Vec<AgentEffect> {
-        self.forget(attempt);
+        self.mark_finished(attempt);
         self.queue.finish(now, attempt);
         self.run_next(now)
     }
 
-    fn forget(&mut self, attempt: AttemptId) {
+    fn mark_finished(&mut self, attempt: AttemptId) {
         if let Some(state) = self.attempts.get_mut(&attempt) {
             state.finished = true;
         }
@@ -317,21 +319,22 @@
         let mut effects = Vec::new();
         while let Some(attempt) = self.queue.start_next(now) {
             let pinned = self.attempts.get(&attempt).and_then(|state| state.pinned);
-            // The upstream may have switched while the request waited.
+            // The upstream may have switched weights while the request was queued.
             if !self.serves(pinned) {
                 self.queue.finish(now, attempt);
-                self.forget(attempt);
-                effects.extend(self.other_weights(attempt, Millis(1)));
+                self.mark_finished(attempt);
+                effects.extend(self.refuse_other_weights(attempt, Millis(1)));
                 continue;
             }
             effects.push(AgentEffect::Dispatch(attempt));
         }
-        effects.extend(self.wake(now));
+        effects.extend(self.schedule_wake(now));
         effects
     }
 
-    /// Asks to be woken for the next start, where one is held back and no waking is due before.
-    fn wake(&mut self, now: Moment) -> Option<AgentEffect> {
+    /// Schedules a wake-up for the next start, if a request is delayed and no earlier wake-up is
+    /// scheduled.
+    fn schedule_wake(&mut self, now: Moment) -> Option<AgentEffect> {
         let at = self.queue.next_start_at().filter(|at| *at > now)?;
         if self.wake_at.is_some_and(|due| due <= at) {
             return None;
@@ -344,8 +347,9 @@
         pinned.is_none_or(|digest| self.is_engine && self.weights.serving().contains(&digest))
     }
 
-    /// Refuses a request and tells what the upstream serves, ahead of the next heartbeat.
-    fn other_weights(&self, attempt: AttemptId, retry_after: Millis) -> Vec<AgentEffect> {
+    /// Refuses a request and reports the weights that the upstream serves, without waiting for the
+    /// next heartbeat.
+    fn refuse_other_weights(&self, attempt: AttemptId, retry_after: Millis) -> Vec<AgentEffect> {
         let serving = self.weights.serving().to_vec();
         vec![AgentEffect::Refuse(attempt, AttemptRefusal::other_weights(retry_after, serving))]
     }
@@ -354,17 +358,17 @@
         let wall_s = self.wall_s(now);
         let mut effects = claim_effects(self.claims.tick(now, wall_s));
         for attempt in self.queue.take_expired(now) {
-            self.forget(attempt);
+            self.mark_finished(attempt);
             effects.extend(refusal(attempt, ResultCode::DeadlinePassed, Millis(0)));
         }
         effects.extend(self.run_next(now));
         self.attempts
-            .retain(|_, state| !state.finished || now.since(state.arrived) < REMEMBER_ATTEMPT);
+            .retain(|_, state| !state.finished || now.since(state.arrived) < ATTEMPT_RETENTION);
         if self.is_engine && !self.leaving {
             effects.extend(self.owner.due(now).map(AgentEffect::CallOwner));
         }
         if now >= self.next_refresh {
-            self.next_refresh = now + REFRESH_EVERY;
+            self.next_refresh = now + REFRESH_INTERVAL;
             let (document, members) = (&self.document, &self.members);
             effects.extend(self.weights.refresh_if_changed(now, document, members));
         }
@@ -372,9 +376,10 @@
         effects
     }
 
-    /// The wall clock, reckoned from the last claim; claims are all that it matters to.
+    /// The wall clock in seconds, extrapolated from the last claim; only claims need it.
     fn wall_s(&self, now: Moment) -> u64 {
-        self.wall.map_or(0, |(heard, wall_s)| wall_s + now.since(heard).0 / 1_000)
+        self.claim_wall_clock
+            .map_or(0, |(received_at, wall_s)| wall_s + now.since(received_at).0 / 1_000)
     }
 
     fn stop(&mut self) -> Vec<AgentEffect> {
@@ -384,7 +389,7 @@
         drained
             .into_iter()
             .flat_map(|attempt| {
-                self.forget(attempt);
+                self.mark_finished(attempt);
                 refusal(attempt, ResultCode::Leaving, Millis(1))
             })
             .collect()
--- a/mustardrill_core/src/agent/version_state.rs
+++ b/mustardrill_core/src/agent/version_state.rs
@@ -1,4 +1,4 @@
-//! One version of weights at one agent, from its manifest to a whole staged copy.
+//! State of one version of weights at one agent, from its manifest to a complete staged copy.
 
 use mustardrill_types::{InstanceId, Millis, ModelName, Moment, VersionName};
 
@@ -6,27 +6,27 @@
 use crate::transfer::TransferPlan;
 use crate::transfer_rate::TransferRate;
 
-/// One version that this agent is to serve.
+/// A version that this agent should serve.
 #[derive(Debug)]
 pub(super) struct VersionState {
     pub(super) model: ModelName,
     pub(super) version: VersionName,
     pub(super) stage: VersionStage,
-    /// The instances that are to serve the version, in the order of their names.
+    /// The instances that should serve the version, sorted by id.
     pub(super) assigned: Vec<InstanceId>,
     pub(super) next_try: Moment,
     pub(super) tries: u32,
-    pub(super) waiting_since: Option<Moment>,
-    /// When the instance before this one in the wave order may be asked again.
-    pub(super) next_question: Moment,
+    pub(super) wave_wait_since: Option<Moment>,
+    /// Earliest time at which the instance before this one in the wave order is asked again.
+    pub(super) next_wave_query: Moment,
     pub(super) trouble: Box<str>,
-    pub(super) pace: TransferRate,
+    pub(super) transfer_rate: TransferRate,
 }
 
 #[derive(Debug)]
 pub(super) enum VersionStage {
-    Manifest,
-    Drawing(Box<TransferPlan>),
+    FetchingManifest,
+    FetchingChunks(Box<TransferPlan>),
     Staged(Box<TransferPlan>),
 }
 
@@ -35,32 +35,32 @@
         Self {
             model,
             version,
-            stage: VersionStage::Manifest,
+            stage: VersionStage::FetchingManifest,
             assigned: Vec::new(),
             next_try: now,
             tries: 0,
-            waiting_since: None,
-            next_question: now,
+            wave_wait_since: None,
+            next_wave_query: now,
             trouble: "".into(),
-            pace: TransferRate::default(),
+            transfer_rate: TransferRate::default(),
         }
     }
 
-    /// The instances that are to serve the version and are not believed dead.
+    /// The instances that should serve the version and are not suspected to be dead.
     pub(super) fn live_instances(&self, now: Moment, members: &MemberTable) -> Vec<InstanceId> {
         self.assigned.iter().filter(|id| members.is_live(now, id)).cloned().collect()
     }
 
-    /// How long until the copy is whole, where that can be told.
+    /// Estimated time until the copy is complete, if it can be estimated.
     pub(super) fn remaining(&self, now: Moment) -> Option<Millis> {
         let plan = self.plan()?;
-        self.pace.remaining(now, plan.held().count(), plan.manifest().chunk_count())
+        self.transfer_rate.remaining(now, plan.held().count(), plan.manifest().chunk_count())
     }
 
     pub(super) fn plan(&self) -> Option<&TransferPlan> {
         match &self.stage {
-            VersionStage::Drawing(plan) | VersionStage::Staged(plan) => Some(plan),
-            VersionStage::Manifest => None,
+            VersionStage::FetchingChunks(plan) | VersionStage::Staged(plan) => Some(plan),
+            VersionStage::FetchingManifest => None,
         }
     }
 }
--- a/mustardrill_core/src/agent/weights_table.rs
+++ b/mustardrill_core/src/agent/weights_table.rs
@@ -1,4 +1,5 @@
-//! The weights at one agent: what is wanted, how far it is, and when the upstream may load it.
+//! The weights at one agent: which versions it should serve, their progress, and when the upstream
+//! may load them.
 
 use std::sync::Arc;
 
@@ -19,13 +20,13 @@
 use crate::rendezvous;
 use crate::transfer::{ChunkSource, DrawOutcome, TransferPeer, TransferPlan};
 
-/// The weights of one agent.
+/// All versions of weights that one agent should serve.
 #[derive(Debug)]
 pub(crate) struct WeightsTable {
     pub(super) settings: AgentSettings,
     pub(super) versions: FastMap<ManifestDigest, VersionState>,
-    /// The instances of the service by which `versions` was worked out.
-    live: Vec<InstanceId>,
+    /// The live instances of the service from which `versions` was computed.
+    placed_among: Vec<InstanceId>,
     pub(super) serving: Vec<ManifestDigest>,
     pub(super) served_by: FastMap<ManifestDigest, FastSet<InstanceId>>,
     pub(super) loading: Option<ManifestDigest>,
@@ -33,15 +34,15 @@
     random: SmallRng,
 }
 
-/// After this many tries a manifest is asked for at the origin whatever the rank.
-const MANIFEST_TRIES: u32 = 10;
+/// Number of tries after which a manifest is requested from the origin regardless of rank.
+const MAX_PEER_TRIES: u32 = 10;
 
 impl WeightsTable {
     pub(crate) fn new(settings: AgentSettings, seed: u64) -> Self {
         Self {
             settings,
             versions: FastMap::default(),
-            live: Vec::new(),
+            placed_among: Vec::new(),
             serving: Vec::new(),
             served_by: FastMap::default(),
             loading: None,
@@ -54,20 +55,22 @@
         &self.serving
     }
 
-    /// Works out anew what this instance is to serve, where who is live has changed.
+    /// Recomputes which versions this instance should serve, if the set of live instances has
+    /// changed.
     pub(crate) fn refresh_if_changed(
         &mut self,
         now: Moment,
         document: &CatalogueDocument,
         members: &MemberTable,
     ) -> Vec<AgentEffect> {
-        if self.live_instances(now, members) == self.live {
+        if self.live_instances(now, members) == self.placed_among {
             return Vec::new();
         }
         self.refresh(now, document, members)
     }
 
-    /// Works out anew what this instance is to serve, after the catalogue or the list changed.
+    /// Recomputes which versions this instance should serve, after a change of the catalogue or the
+    /// instance list.
     pub(crate) fn refresh(
         &mut self,
         now: Moment,
@@ -92,11 +95,13 @@
                 VersionState::new(now, model, version)
             });
             state.assigned = instances;
-            if let VersionStage::Drawing(plan) | VersionStage::Staged(plan) = &mut state.stage {
+            if let VersionStage::FetchingChunks(plan) | VersionStage::Staged(plan) =
+                &mut state.stage
+            {
                 plan.set_peers(&peers);
             }
         }
-        self.live = live;
+        self.placed_among = live;
         effects.extend(self.advance(now, members, None));
         effects
     }
@@ -110,7 +115,7 @@
     ) -> Vec<AgentEffect> {
         let staged = self.staged_bytes();
         let Some(state) = self.versions.get(&digest) else { return Vec::new() };
-        if !matches!(state.stage, VersionStage::Manifest) {
+        if !matches!(state.stage, VersionStage::FetchingManifest) {
             return Vec::new();
         }
         let peers = self.peers_of(&state.assigned, members);
@@ -133,25 +138,25 @@
         let transfer = self.settings.transfer.clone();
         let mut plan = TransferPlan::new(now, own, manifest, transfer, seed);
         plan.set_peers(&peers);
-        state.pace.add_sample(now, 0);
+        state.transfer_rate.add_sample(now, 0);
         state.trouble = "".into();
-        state.stage = VersionStage::Drawing(Box::new(plan));
-        self.draw(now, digest)
+        state.stage = VersionStage::FetchingChunks(Box::new(plan));
+        self.start_fetches(now, digest)
     }
 
     pub(crate) fn manifest_failed(&mut self, now: Moment, digest: ManifestDigest, reason: &str) {
         let retry = now + self.settings.retry_every;
         if let Some(state) = self.versions.get_mut(&digest) {
             warn!("placement manifest={} decision=retry reason=\"{reason}\"", digest.short());
-            // Peers that lack it yet are no trouble; the next try comes soon.
-            if state.tries > MANIFEST_TRIES {
+            // Peers that do not have it yet are no fault to report; the next try follows soon.
+            if state.tries > MAX_PEER_TRIES {
                 state.trouble = reason.into();
                 state.next_try = retry;
             }
         }
     }
 
-    pub(crate) fn heard(
+    pub(crate) fn holdings_received(
         &mut self,
         now: Moment,
         digest: ManifestDigest,
@@ -172,18 +177,20 @@
         if let Some(plan) = self.plan(digest) {
             plan.heard(now, id, bitmap, queue);
         }
-        self.draw(now, digest)
+        self.start_fetches(now, digest)
     }
 
     pub(crate) fn peer_failed(&mut self, now: Moment, id: &InstanceId) {
         for state in self.versions.values_mut() {
-            if let VersionStage::Drawing(plan) | VersionStage::Staged(plan) = &mut state.stage {
+            if let VersionStage::FetchingChunks(plan) | VersionStage::Staged(plan) =
+                &mut state.stage
+            {
                 plan.shun(now, id);
             }
         }
     }
 
-    pub(crate) fn draw_finished(
+    pub(crate) fn chunk_fetch_ended(
         &mut self,
         now: Moment,
         digest: ManifestDigest,
@@ -192,9 +199,9 @@
         outcome: &DrawOutcome,
     ) -> Vec<AgentEffect> {
         let Some(state) = self.versions.get_mut(&digest) else { return Vec::new() };
-        let VersionStage::Drawing(plan) = &mut state.stage else { return Vec::new() };
+        let VersionStage::FetchingChunks(plan) = &mut state.stage else { return Vec::new() };
         plan.finished(now, index, source, outcome);
-        state.pace.add_sample(now, plan.held().count());
+        state.transfer_rate.add_sample(now, plan.held().count());
         if *outcome == DrawOutcome::Corrupt {
             warn!(
                 "chunk manifest={} index={index} source={source} decision=drop reason=corrupt",
@@ -207,10 +214,10 @@
         if *outcome == DrawOutcome::Verified && *source == ChunkSource::Origin {
             state.trouble = "".into();
         }
-        self.draw(now, digest)
+        self.start_fetches(now, digest)
     }
 
-    pub(crate) fn engine_seen(
+    pub(crate) fn engine_observed(
         &mut self,
         now: Moment,
         report: Option<EngineReport>,
@@ -221,12 +228,15 @@
         if report.serving == self.serving {
             return Vec::new();
         }
-        let names: Vec<_> = report.serving.iter().map(ManifestDigest::short).collect();
-        info!("serving manifests={}", names.join(","));
+        let digests: Vec<_> = report.serving.iter().map(ManifestDigest::short).collect();
+        info!("serving manifests={}", digests.join(","));
         let before = std::mem::replace(&mut self.serving, report.serving);
-        let new: Vec<_> =
+        let added: Vec<_> =
             self.serving.iter().filter(|digest| !before.contains(digest)).copied().collect();
-        new.into_iter().filter_map(|digest| self.tell_successor(now, digest, members)).collect()
+        added
+            .into_iter()
+            .filter_map(|digest| self.notify_wave_successor(now, digest, members))
+            .collect()
     }
 
     pub(crate) fn load_answered(
@@ -239,18 +249,18 @@
             self.loading = None;
         }
         if let Some(state) = self.versions.get_mut(&digest) {
-            // Until the upstream has been read, a second order would only repeat the first.
+            // Until the upstream's state has been read, a second order would only repeat the first.
             state.next_try = now + self.settings.retry_every;
             if let Err(reason) = result {
                 warn!("load manifest={} decision=retry reason=\"{reason}\"", digest.short());
                 state.trouble = reason;
             }
         }
-        // Whatever the upstream answered, only what it says it serves now counts.
+        // Regardless of the response, only the weights that the upstream reports as served count.
         vec![AgentEffect::ReadEngine]
     }
 
-    /// Takes the next step of every version: manifests, overdue draws, exchanges and loads.
+    /// Advances every version: manifests, overdue fetches, exchanges of holdings, and loads.
     pub(crate) fn advance(
         &mut self,
         now: Moment,
@@ -266,10 +276,14 @@
         digests.sort_unstable();
         for digest in digests {
             match self.versions[&digest].stage {
-                VersionStage::Manifest => effects.extend(self.ask_manifest(now, digest)),
-                VersionStage::Drawing(_) => effects.extend(self.continue_drawing(now, digest)),
+                VersionStage::FetchingManifest => {
+                    effects.extend(self.request_manifest(now, digest))
+                }
+                VersionStage::FetchingChunks(_) => {
+                    effects.extend(self.continue_fetching(now, digest))
+                }
                 VersionStage::Staged(_) => {
-                    effects.extend(self.consider_load(now, digest, members, fence));
+                    effects.extend(self.order_load_if_due(now, digest, members, fence));
                 }
             }
         }
@@ -305,9 +319,9 @@
     }
 
     pub(crate) fn holders(&self, digest: ManifestDigest, index: ChunkIndex) -> Vec<InstanceId> {
-        const NAMED: usize = 4;
+        const MAX_HOLDERS: usize = 4;
         let plan = self.versions.get(&digest).and_then(VersionState::plan);
-        plan.map_or_else(Vec::new, |plan| plan.partners().holders(index, NAMED))
+        plan.map_or_else(Vec::new, |plan| plan.partners().holders(index, MAX_HOLDERS))
     }
 
     fn live_instances(&self, now: Moment, members: &MemberTable) -> Vec<InstanceId> {
@@ -318,8 +332,8 @@
 
     fn plan(&mut self, digest: ManifestDigest) -> Option<&mut TransferPlan> {
         match &mut self.versions.get_mut(&digest)?.stage {
-            VersionStage::Drawing(plan) | VersionStage::Staged(plan) => Some(plan),
-            VersionStage::Manifest => None,
+            VersionStage::FetchingChunks(plan) | VersionStage::Staged(plan) => Some(plan),
+            VersionStage::FetchingManifest => None,
         }
     }
 
@@ -342,65 +356,65 @@
     }
 
     fn drop_unwanted<T>(&mut self, wanted: &FastMap<ManifestDigest, T>) -> Vec<AgentEffect> {
-        let is_gone = |digest: &&ManifestDigest| !wanted.contains_key(*digest);
-        let mut gone: Vec<_> = self.versions.keys().filter(is_gone).copied().collect();
-        gone.sort_unstable();
-        for digest in &gone {
+        let is_unwanted = |digest: &&ManifestDigest| !wanted.contains_key(*digest);
+        let mut unwanted: Vec<_> = self.versions.keys().filter(is_unwanted).copied().collect();
+        unwanted.sort_unstable();
+        for digest in &unwanted {
             info!("placement manifest={} decision=drop reason=not-wanted", digest.short());
             self.versions.remove(digest);
             self.served_by.remove(digest);
         }
-        gone.into_iter().map(AgentEffect::DropWeights).collect()
+        unwanted.into_iter().map(AgentEffect::DropWeights).collect()
     }
 
-    /// Asks for a manifest: a few instances at the origin, the others at peers first, so that
-    /// the origin is not asked by everybody at once.
-    fn ask_manifest(&mut self, now: Moment, digest: ManifestDigest) -> Option<AgentEffect> {
-        const AT_ORIGIN: usize = 2;
-        const ASKED: usize = 3;
-        const PEER_RETRY: Millis = Millis(50);
+    /// Requests a manifest: a few instances ask the origin, the others ask peers first, so that not
+    /// all ask the origin at once.
+    fn request_manifest(&mut self, now: Moment, digest: ManifestDigest) -> Option<AgentEffect> {
+        const ORIGIN_FETCHERS: usize = 2;
+        const PEERS_PER_TRY: usize = 3;
+        const PEER_RETRY_DELAY: Millis = Millis(50);
         let own = &self.settings.own.id;
         let state = self.versions.get_mut(&digest)?;
         if now < state.next_try {
             return None;
         }
         let ranked = rendezvous::ranked(&digest.0, &state.assigned, |id| id.as_str());
-        let at_origin = ranked.iter().take(AT_ORIGIN).any(|id| *id == own);
+        let asks_origin = ranked.iter().take(ORIGIN_FETCHERS).any(|id| *id == own);
         let others: Vec<_> = state.assigned.iter().filter(|id| *id != own).collect();
         let mut sources = Vec::new();
-        if !at_origin && !others.is_empty() {
-            let mut pick = || others[self.random.random_range(0..others.len())].clone();
-            sources.extend((0..ASKED).map(|_| ChunkSource::Peer(pick())));
+        if !asks_origin && !others.is_empty() {
+            let mut random_peer = || others[self.random.random_range(0..others.len())].clone();
+            sources.extend((0..PEERS_PER_TRY).map(|_| ChunkSource::Peer(random_peer())));
         }
         state.tries += 1;
-        if at_origin || state.tries > MANIFEST_TRIES {
+        if asks_origin || state.tries > MAX_PEER_TRIES {
             sources.push(ChunkSource::Origin);
             state.next_try = now + self.settings.retry_every;
         } else {
-            state.next_try = now + PEER_RETRY;
+            state.next_try = now + PEER_RETRY_DELAY;
         }
         let (model, version) = (state.model.clone(), state.version.clone());
         Some(AgentEffect::FetchManifest { model, version, digest, sources })
     }
 
-    fn continue_drawing(&mut self, now: Moment, digest: ManifestDigest) -> Vec<AgentEffect> {
-        let every = self.settings.exchange_every;
+    fn continue_fetching(&mut self, now: Moment, digest: ManifestDigest) -> Vec<AgentEffect> {
+        let interval = self.settings.exchange_every;
         let Some(plan) = self.plan(digest) else { return Vec::new() };
-        let late = plan.overdue(now);
-        let stale = plan.partners().stale_partners(now, every);
-        let mut effects: Vec<_> = late
+        let overdue = plan.overdue(now);
+        let stale = plan.partners().stale_partners(now, interval);
+        let mut effects: Vec<_> = overdue
             .into_iter()
             .map(|(index, source)| AgentEffect::CancelDraw(digest, index, source))
             .collect();
         effects.extend(stale.into_iter().map(|id| AgentEffect::Exchange(digest, id)));
-        effects.extend(self.draw(now, digest));
+        effects.extend(self.start_fetches(now, digest));
         effects
     }
 
-    /// Starts draws and notes a complete copy.
-    fn draw(&mut self, now: Moment, digest: ManifestDigest) -> Vec<AgentEffect> {
+    /// Starts fetches, or records that the copy is complete.
+    fn start_fetches(&mut self, now: Moment, digest: ManifestDigest) -> Vec<AgentEffect> {
         let Some(state) = self.versions.get_mut(&digest) else { return Vec::new() };
-        let VersionStage::Drawing(plan) = &mut state.stage else { return Vec::new() };
+        let VersionStage::FetchingChunks(plan) = &mut state.stage else { return Vec::new() };
         if plan.is_complete() {
             let counts = plan.counts();
             info!(
@@ -409,8 +423,8 @@
                 counts.origin_bytes,
                 counts.peer_bytes
             );
-            let stage = std::mem::replace(&mut state.stage, VersionStage::Manifest);
-            if let VersionStage::Drawing(plan) = stage {
+            let stage = std::mem::replace(&mut state.stage, VersionStage::FetchingManifest);
+            if let VersionStage::FetchingChunks(plan) = stage {
                 state.stage = VersionStage::Staged(plan);
             }
             state.trouble = "".into();
@@ -436,8 +450,8 @@
             _ if self.serving.contains(&digest) => "serving",
             _ if self.loading == Some(digest) => "loading",
             _ if !state.trouble.is_empty() => "stuck",
-            VersionStage::Manifest => "manifest",
-            VersionStage::Drawing(_) => "fetching",
+            VersionStage::FetchingManifest => "manifest",
+            VersionStage::FetchingChunks(_) => "fetching",
             VersionStage::Staged(_) => "staged",
         }
     }
