--- a/mustardrill_core/tests/agents.rs
+++ b/mustardrill_core/tests/agents.rs
@@ -1,4 +1,5 @@
-//! The agent's reducer: when an upstream may be ordered to load, and which requests it may run.
+//! Tests of the agent's reducer: when an upstream may be ordered to load, and which requests may
+//! run.
 
 mod common;
 
@@ -37,7 +38,7 @@
     ))
 }
 
-/// The catalogue after each of the versions was accepted in turn.
+/// The catalogue after an edit for each of the versions was accepted.
 fn catalogue(versions: &[&str]) -> CatalogueDocument {
     let mut facts = facts();
     facts.instances.insert("mustard-pool".parse().unwrap(), AGENTS as u32);
@@ -47,30 +48,30 @@
         facts.versions.insert((manifest.model.clone(), manifest.version.clone()), fact);
     }
     let mut document = CatalogueDocument::default();
-    for (place, version) in versions.iter().enumerate() {
+    for (edit_index, version) in versions.iter().enumerate() {
         let text = model_text().replace("version = v1", &format!("version = {version}"));
         let text = text.replace("replicas = 4", "replicas = 8");
-        let revision = format!("[model drafts]\nrevision = {place}");
-        let text = if place > 0 { text.replace("[model drafts]", &revision) } else { text };
-        let edit = request(place as u128 + 1, "ana", read_drafts("edit.ini", &text).unwrap());
+        let revision = format!("[model drafts]\nrevision = {edit_index}");
+        let text = if edit_index > 0 { text.replace("[model drafts]", &revision) } else { text };
+        let edit = request(edit_index as u128 + 1, "ana", read_drafts("edit.ini", &text).unwrap());
         document = apply_edit(&document, &edit, &facts).unwrap();
     }
     document
 }
 
-fn record(place: usize) -> InstanceRecord {
+fn record(agent_index: usize) -> InstanceRecord {
     InstanceRecord {
-        id: format!("instance-{place}").parse().unwrap(),
+        id: format!("instance-{agent_index}").parse().unwrap(),
         service: "mustard-pool".parse().unwrap(),
         data_centre: "gc-hall-a".parse().unwrap(),
         region: "guate-central".parse().unwrap(),
-        agent: format!("127.0.0.1:{place}").into(),
+        agent: format!("127.0.0.1:{agent_index}").into(),
         leaving: false,
     }
 }
 
-fn settings(place: usize) -> AgentSettings {
-    let record = record(place);
+fn settings(agent_index: usize) -> AgentSettings {
+    let record = record(agent_index);
     AgentSettings {
         own: TransferPeer { id: record.id, data_centre: record.data_centre },
         service: record.service,
@@ -90,109 +91,115 @@
     }
 }
 
-/// One agent with the engine beside it.
-struct Side {
+/// An agent with its simulated engine.
+struct AgentWithEngine {
     reducer: AgentReducer,
     staged: BTreeMap<ManifestDigest, u32>,
     serving: Option<ManifestDigest>,
     loading: Option<(u64, LoadOrder)>,
 }
 
-/// A small fleet, where every call is answered a little later.
-struct World {
+/// A simulated fleet in which every call is answered after 5 ms.
+struct Simulation {
     now: u64,
-    sides: Vec<Side>,
+    agents: Vec<AgentWithEngine>,
     due: Vec<(u64, usize, AgentEvent)>,
-    most_loading: usize,
-    /// When an agent with a whole copy last asked whether its turn has come.
-    asked: BTreeMap<usize, u64>,
-    /// How often an agent that has switched told the one that waits for it.
-    told: usize,
-    /// The origin sends corrupt chunks until then.
+    max_loading: usize,
+    /// When an agent with a complete copy last asked the one before it in the wave order.
+    last_queries: BTreeMap<usize, u64>,
+    /// Number of notices from agents that have switched to the one that waits for them.
+    notices_to_successors: usize,
+    /// Time until which the origin sends corrupt chunks.
     corrupt_until: u64,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let sides = (0..AGENTS).map(|place| Side {
-            reducer: AgentReducer::new(Moment(1), settings(place), place as u64),
+        let agents = (0..AGENTS).map(|agent_index| AgentWithEngine {
+            reducer: AgentReducer::new(Moment(1), settings(agent_index), agent_index as u64),
             staged: BTreeMap::new(),
             serving: None,
             loading: None,
         });
-        let mut world = Self {
+        let mut simulation = Self {
             now: 1,
-            sides: sides.collect(),
+            agents: agents.collect(),
             due: Vec::new(),
-            most_loading: 0,
-            asked: BTreeMap::new(),
-            told: 0,
+            max_loading: 0,
+            last_queries: BTreeMap::new(),
+            notices_to_successors: 0,
             corrupt_until: 0,
         };
         let list: Vec<_> = (0..AGENTS).map(record).collect();
-        for place in 0..AGENTS {
-            world.act(place, AgentEvent::InstancesSeen(list.clone()));
+        for agent_index in 0..AGENTS {
+            simulation.dispatch(agent_index, AgentEvent::InstancesSeen(list.clone()));
         }
-        world
+        simulation
     }
 
-    fn publish(&mut self, document: CatalogueDocument) {
+    fn apply_catalogue(&mut self, document: CatalogueDocument) {
         let document = Arc::new(document);
-        for place in 0..AGENTS {
-            self.act(place, AgentEvent::CatalogueSeen(document.clone()));
+        for agent_index in 0..AGENTS {
+            self.dispatch(agent_index, AgentEvent::CatalogueSeen(document.clone()));
         }
     }
 
-    fn act(&mut self, place: usize, event: AgentEvent) {
+    fn dispatch(&mut self, agent_index: usize, event: AgentEvent) {
         if let AgentEvent::DrawFinished { digest, outcome: DrawOutcome::Verified, .. } = &event {
-            *self.sides[place].staged.entry(*digest).or_default() += 1;
+            *self.agents[agent_index].staged.entry(*digest).or_default() += 1;
         }
-        let effects = self.sides[place].reducer.reduce(Moment(self.now), event);
+        let effects = self.agents[agent_index].reducer.reduce(Moment(self.now), event);
         for effect in effects {
-            self.carry_out(place, effect);
+            self.carry_out(agent_index, effect);
         }
     }
 
-    fn later(&mut self, place: usize, event: AgentEvent) {
-        self.due.push((self.now + 5, place, event));
+    fn schedule(&mut self, agent_index: usize, event: AgentEvent) {
+        self.due.push((self.now + 5, agent_index, event));
     }
 
-    fn carry_out(&mut self, place: usize, effect: AgentEffect) {
+    fn carry_out(&mut self, agent_index: usize, effect: AgentEffect) {
         match effect {
             AgentEffect::FetchManifest { version, digest, .. } => {
-                self.later(place, AgentEvent::ManifestLoaded(manifest(version.as_str()), digest));
+                self.schedule(
+                    agent_index,
+                    AgentEvent::ManifestLoaded(manifest(version.as_str()), digest),
+                );
             }
             AgentEffect::DrawChunk(digest, draw) => {
                 let is_corrupt =
                     draw.source == ChunkSource::Origin && self.now < self.corrupt_until;
                 let outcome = if is_corrupt { DrawOutcome::Corrupt } else { DrawOutcome::Verified };
                 let (index, source) = (draw.index, draw.source);
-                self.later(place, AgentEvent::DrawFinished { digest, index, source, outcome });
+                self.schedule(
+                    agent_index,
+                    AgentEvent::DrawFinished { digest, index, source, outcome },
+                );
             }
             AgentEffect::Exchange(digest, id) => {
                 let other = (0..AGENTS).find(|other| record(*other).id == id).unwrap();
-                let held = self.sides[other].reducer.held(digest).cloned();
+                let held = self.agents[other].reducer.held(digest).cloned();
                 let total = manifest("v1").chunk_count();
-                self.note_turns(place, other, digest);
+                self.record_wave_message(agent_index, other, digest);
                 let bitmap = held.unwrap_or(ChunkBitmap::empty(total));
-                let serving = Some(self.sides[other].reducer.serving().contains(&digest));
-                self.later(
-                    place,
+                let serving = Some(self.agents[other].reducer.serving().contains(&digest));
+                self.schedule(
+                    agent_index,
                     AgentEvent::HoldingSeen { digest, id, bitmap, queue: 0, serving },
                 );
             }
-            AgentEffect::OrderLoad(order) => self.order(place, order),
+            AgentEffect::OrderLoad(order) => self.start_load(agent_index, order),
             AgentEffect::ReadEngine => {
-                let serving = self.sides[place].serving.into_iter().collect();
-                self.later(place, AgentEvent::EngineSeen(Some(EngineReport { serving })));
+                let serving = self.agents[agent_index].serving.into_iter().collect();
+                self.schedule(agent_index, AgentEvent::EngineSeen(Some(EngineReport { serving })));
             }
             AgentEffect::CallOwner(_) => {
                 let (lease, fence) = (LeaseId(1), FencingNumber(1));
                 let answer = OwnerAnswer::Acquired { lease, fence };
-                self.later(place, AgentEvent::OwnerAnswered(answer));
+                self.schedule(agent_index, AgentEvent::OwnerAnswered(answer));
             }
             AgentEffect::DropWeights(digest) => {
-                self.sides[place].staged.remove(&digest);
+                self.agents[agent_index].staged.remove(&digest);
             }
             AgentEffect::Wake(_)
             | AgentEffect::CancelDraw(..)
@@ -202,91 +209,97 @@
         }
     }
 
-    /// Whoever has switched tells the next one; whoever waits asks, but not at every tick.
-    fn note_turns(&mut self, place: usize, other: usize, digest: ManifestDigest) {
+    /// An agent that has switched notifies the next one; one that waits queries the one before it,
+    /// but not at every tick.
+    fn record_wave_message(&mut self, agent_index: usize, other: usize, digest: ManifestDigest) {
         let total = manifest("v1").chunk_count();
         let bitmap = ChunkBitmap::full(total);
-        if self.sides[place].reducer.serving().contains(&digest) {
-            self.told += 1;
-            let (id, serving) = (record(place).id, Some(true));
-            self.later(other, AgentEvent::HoldingSeen { digest, id, bitmap, queue: 0, serving });
-        } else if self.sides[place].staged.get(&digest) >= Some(&total) {
-            let before = self.asked.insert(place, self.now).unwrap_or(0);
-            assert!(self.now - before >= 20, "it asks at every tick");
+        if self.agents[agent_index].reducer.serving().contains(&digest) {
+            self.notices_to_successors += 1;
+            let (id, serving) = (record(agent_index).id, Some(true));
+            self.schedule(other, AgentEvent::HoldingSeen { digest, id, bitmap, queue: 0, serving });
+        } else if self.agents[agent_index].staged.get(&digest) >= Some(&total) {
+            let before = self.last_queries.insert(agent_index, self.now).unwrap_or(0);
+            assert!(self.now - before >= 20, "the wave predecessor is queried at every tick");
         }
     }
 
-    /// Loads take a while, during which the engine counts as taken away.
-    fn order(&mut self, place: usize, order: LoadOrder) {
+    /// A load takes 50 ms, during which the engine counts as out of service.
+    fn start_load(&mut self, agent_index: usize, order: LoadOrder) {
         let total = manifest(order.version.as_str()).chunk_count();
-        let staged = self.sides[place].staged.get(&order.digest).copied().unwrap_or(0);
-        assert!(staged >= total, "an order for {staged} of {total} verified chunks");
-        assert!(self.sides[place].loading.is_none(), "two orders at once");
-        if self.sides[place].serving.is_some() {
-            let loading = self.sides.iter().filter(|side| side.loading.is_some()).count() + 1;
-            self.most_loading = self.most_loading.max(loading);
+        let staged = self.agents[agent_index].staged.get(&order.digest).copied().unwrap_or(0);
+        assert!(staged >= total, "a load order with only {staged} of {total} verified chunks");
+        assert!(self.agents[agent_index].loading.is_none(), "a second load order during a load");
+        if self.agents[agent_index].serving.is_some() {
+            let loading = self.agents.iter().filter(|agent| agent.loading.is_some()).count() + 1;
+            self.max_loading = self.max_loading.max(loading);
         }
-        self.sides[place].loading = Some((self.now + 50, order));
+        self.agents[agent_index].loading = Some((self.now + 50, order));
     }
 
     fn step(&mut self) {
         self.now += 5;
-        for place in 0..AGENTS {
+        for agent_index in 0..AGENTS {
             let is_loaded =
-                self.sides[place].loading.as_ref().is_some_and(|(at, _)| *at <= self.now);
-            if let (true, Some((_, order))) = (is_loaded, self.sides[place].loading.clone()) {
-                self.sides[place].loading = None;
-                self.sides[place].serving = Some(order.digest);
-                self.act(place, AgentEvent::LoadAnswered(order.digest, Ok(())));
+                self.agents[agent_index].loading.as_ref().is_some_and(|(at, _)| *at <= self.now);
+            if let (true, Some((_, order))) = (is_loaded, self.agents[agent_index].loading.clone())
+            {
+                self.agents[agent_index].loading = None;
+                self.agents[agent_index].serving = Some(order.digest);
+                self.dispatch(agent_index, AgentEvent::LoadAnswered(order.digest, Ok(())));
             }
-            self.act(place, AgentEvent::Tick);
+            self.dispatch(agent_index, AgentEvent::Tick);
         }
         let now = self.now;
         let (due, rest) =
             std::mem::take(&mut self.due).into_iter().partition(|(at, _, _)| *at <= now);
         self.due = rest;
         let due: Vec<(u64, usize, AgentEvent)> = due;
-        for (_, place, event) in due {
-            self.act(place, event);
+        for (_, agent_index, event) in due {
+            self.dispatch(agent_index, event);
         }
     }
 
     fn run_until_serving(&mut self, version: &str) {
         let digest = manifest(version).digest();
         let limit = self.now + 60_000;
-        while !self.sides.iter().all(|side| side.serving == Some(digest)) {
+        while !self.agents.iter().all(|agent| agent.serving == Some(digest)) {
             self.step();
-            assert!(self.now < limit, "{version} is never served everywhere");
+            assert!(self.now < limit, "{version} is not served by all agents within 60 s");
         }
     }
 }
 
 #[test]
 fn a_switch_goes_in_waves_above_the_floor() {
-    let mut world = World::new();
-    world.publish(catalogue(&["v1"]));
-    world.run_until_serving("v1");
-    world.publish(catalogue(&["v1", "v2"]));
-    world.told = 0;
-    world.run_until_serving("v2");
-    assert_eq!(world.told, AGENTS - 2, "each tells the one a wave behind");
-    assert_eq!(world.most_loading, 2, "a quarter of eight may load at once");
+    let mut simulation = Simulation::new();
+    simulation.apply_catalogue(catalogue(&["v1"]));
+    simulation.run_until_serving("v1");
+    simulation.apply_catalogue(catalogue(&["v1", "v2"]));
+    simulation.notices_to_successors = 0;
+    simulation.run_until_serving("v2");
+    assert_eq!(
+        simulation.notices_to_successors,
+        AGENTS - 2,
+        "each agent notifies the one a wave behind"
+    );
+    assert_eq!(simulation.max_loading, 2, "a quarter of eight agents may load at once");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: cases(60), rng_seed: RngSeed::Fixed(9), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// `order` asserts at each order that every chunk was verified before.
+    /// `start_load` asserts for each load order that every chunk was verified before.
     #[test]
-    fn only_whole_copies_are_ordered(second in 1..60_u32, third in 1..60_u32, corrupt in 0..200_u64) {
-        let mut world = World::new();
-        world.publish(catalogue(&["v1"]));
-        world.corrupt_until = corrupt;
-        (0..second).for_each(|_| world.step());
-        world.publish(catalogue(&["v1", "v2"]));
-        (0..third).for_each(|_| world.step());
-        world.publish(catalogue(&["v1", "v2", "v3"]));
-        world.run_until_serving("v3");
+    fn only_complete_copies_are_loaded(second in 1..60_u32, third in 1..60_u32, corrupt in 0..200_u64) {
+        let mut simulation = Simulation::new();
+        simulation.apply_catalogue(catalogue(&["v1"]));
+        simulation.corrupt_until = corrupt;
+        (0..second).for_each(|_| simulation.step());
+        simulation.apply_catalogue(catalogue(&["v1", "v2"]));
+        (0..third).for_each(|_| simulation.step());
+        simulation.apply_catalogue(catalogue(&["v1", "v2", "v3"]));
+        simulation.run_until_serving("v3");
     }
 }
 
@@ -298,7 +311,7 @@
     reducer
 }
 
-/// The attempt that a single effect refuses, with the code.
+/// The attempt and code of a refusal, if it is the only effect.
 fn refused_code(effects: &[AgentEffect]) -> Option<(AttemptId, ResultCode)> {
     let [AgentEffect::Refuse(attempt, refusal)] = effects else { return None };
     Some((*attempt, refusal.code))
@@ -315,7 +328,7 @@
 fn a_request_is_not_run_under_other_weights_than_its_own() {
     let mut agent = serving("v1");
     assert_eq!(arrive(&mut agent, 1, "v1"), [AgentEffect::Dispatch(AttemptId(1))]);
-    assert_eq!(arrive(&mut agent, 2, "v1"), [], "it waits");
+    assert_eq!(arrive(&mut agent, 2, "v1"), [], "the second request is queued");
     let refused = arrive(&mut agent, 3, "v2");
     let other = AttemptRefusal::other_weights(Millis(100), vec![manifest("v1").digest()]);
     assert_eq!(refused, [AgentEffect::Refuse(AttemptId(3), other)]);
@@ -328,7 +341,7 @@
 }
 
 #[test]
-fn an_attempt_that_comes_twice_is_run_once() {
+fn a_duplicate_attempt_is_run_once() {
     let mut agent = serving("v1");
     arrive(&mut agent, 1, "v1");
     agent.reduce(Moment(20), AgentEvent::RequestFinished(AttemptId(1)));
@@ -337,7 +350,7 @@
 }
 
 #[test]
-fn a_leaving_agent_refuses_what_waits_and_what_comes() {
+fn a_leaving_agent_refuses_queued_and_new_requests() {
     let mut agent = serving("v1");
     arrive(&mut agent, 1, "v1");
     arrive(&mut agent, 2, "v1");
@@ -345,7 +358,7 @@
     assert_eq!(refused_code(&effects), Some((AttemptId(2), ResultCode::Leaving)));
     let refused = arrive(&mut agent, 3, "v1");
     assert_eq!(refused_code(&refused), Some((AttemptId(3), ResultCode::Leaving)));
-    assert!(!agent.is_drained(), "the first one still runs");
+    assert!(!agent.is_drained(), "the first request is still running");
     agent.reduce(Moment(30), AgentEvent::RequestFinished(AttemptId(1)));
     assert!(agent.is_drained());
 }
@@ -362,5 +375,5 @@
     let mut broken = catalogue(&["v1", "v2", "v3"]);
     broken.entries.values_mut().for_each(|entry| entry.limits.in_flight = 0);
     agent.reduce(Moment(4), AgentEvent::CatalogueSeen(Arc::new(broken)));
-    assert_eq!(agent.generation(), Generation(2), "a broken document is not applied");
+    assert_eq!(agent.generation(), Generation(2), "an invalid document is not applied");
 }
--- a/mustardrill_core/tests/stock.rs
+++ b/mustardrill_core/tests/stock.rs
@@ -1,4 +1,4 @@
-//! The reducer of an agent that stocks its engine, event by event.
+//! Tests of the reducer that provisions an agent's engine, event by event.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     document_with(Generation(1), SocketAddr::from(([172, 20, 0, 3], 8006)))
 }
 
-/// A configuration in which weights come from `origin`.
+/// A configuration whose weights come from `origin`.
 fn document_with(generation: Generation, origin: SocketAddr) -> Arc<RouteDocument> {
     let engine = EngineProfile {
         models: vec![ModelProfile { name: "m".parse().unwrap(), load_time: Millis(300) }],
@@ -77,7 +77,7 @@
     })
 }
 
-fn engine(version: u64, sequence: u64) -> StockEvent {
+fn engine_state(version: u64, sequence: u64) -> StockEvent {
     let model = "m".parse().unwrap();
     let served = ServedWeights { model, version: WeightVersion(version) };
     let serving = if version > 0 { vec![served] } else { Vec::new() };
@@ -93,11 +93,11 @@
     VersionId { model: "m".parse().unwrap(), version: WeightVersion(number) }
 }
 
-fn named(number: u64) -> FleetChange {
+fn announced(number: u64) -> FleetChange {
     FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(number))
 }
 
-fn list(number: u64) -> StockEvent {
+fn manifest_received(number: u64) -> StockEvent {
     let chunks = (0..TOTAL).map(|index| ManifestDigest([index as u8 + number as u8; 32]));
     let manifest = Manifest {
         model: "m".parse().unwrap(),
@@ -109,21 +109,21 @@
     StockEvent::ListSeen(version(number), Some(Arc::new(manifest)))
 }
 
-fn drawn(effects: &[StockEffect]) -> Vec<(ChunkIndex, ChunkSource)> {
-    let draws = effects.iter().filter_map(|effect| match effect {
+fn started_fetches(effects: &[StockEffect]) -> Vec<(ChunkIndex, ChunkSource)> {
+    let fetches = effects.iter().filter_map(|effect| match effect {
         StockEffect::Draw(_, draw, _) => Some((draw.index, draw.source.clone())),
         _ => None,
     });
-    draws.collect()
+    fetches.collect()
 }
 
-/// The versions whose lists are asked for.
-fn lists_asked(effects: &[StockEffect]) -> Vec<VersionId> {
-    let lists = effects.iter().filter_map(|effect| match effect {
+/// The versions whose manifests are requested.
+fn manifests_requested(effects: &[StockEffect]) -> Vec<VersionId> {
+    let requests = effects.iter().filter_map(|effect| match effect {
         StockEffect::FetchList(wanted, _) => Some(wanted.clone()),
         _ => None,
     });
-    lists.collect()
+    requests.collect()
 }
 
 /// An agent alone in its service, whose engine serves version 1.
@@ -131,15 +131,20 @@
     let mut reducer = StockReducer::new(common::stock_settings(), 3);
     let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
     reducer.reduce(START, fleet(changes, true));
-    reducer.reduce(START, engine(1, 0));
+    reducer.reduce(START, engine_state(1, 0));
     reducer
 }
 
-/// Draws everything that the reducer asks for, from `now` on, until nothing more comes.
-fn draw_all(reducer: &mut StockReducer, now: Moment, number: u64, mut effects: Vec<StockEffect>) {
+/// Completes every fetch that the reducer starts, at `now`, until it starts no more.
+fn complete_fetches(
+    reducer: &mut StockReducer,
+    now: Moment,
+    number: u64,
+    mut effects: Vec<StockEffect>,
+) {
     for _ in 0..10 * TOTAL {
-        let Some((index, source)) = drawn(&effects).first().cloned() else { return };
-        let mut rest = drawn(&effects).split_off(1);
+        let Some((index, source)) = started_fetches(&effects).first().cloned() else { return };
+        let mut rest = started_fetches(&effects).split_off(1);
         effects.clear();
         rest.insert(0, (index, source));
         for (index, source) in rest {
@@ -150,83 +155,84 @@
     }
 }
 
-fn whole() -> ChunkBitmap {
+fn all_chunks() -> ChunkBitmap {
     ChunkBitmap::full(TOTAL)
 }
 
 #[test]
-fn an_engine_that_serves_what_is_named_is_left_alone() {
+fn an_engine_that_serves_the_announced_version_gets_no_order() {
     let mut reducer = agent();
     assert!(!reducer.is_busy());
-    assert!(reducer.holds(&version(1), ChunkIndex(0)), "what it serves was staged");
+    assert!(reducer.holds(&version(1), ChunkIndex(0)), "the served version counts as staged");
     assert_eq!(reducer.reduce(START, StockEvent::Woke), Vec::new());
 }
 
-/// An agent starts beside an engine that runs, and the entry that it asks was cut off when the newest
-/// version was named, or the store came back from a copy made before.
+/// An agent starts beside a running engine, while its entry has been cut off from the store since
+/// before the newest announcement, or while the store was restored from an older copy.
 #[test]
-fn an_agent_that_starts_with_old_news_leaves_newer_weights_in_place() {
-    for news in [vec![named(2)], Vec::new()] {
+fn an_agent_that_starts_with_outdated_announcements_keeps_newer_weights() {
+    for announcements in [vec![announced(2)], Vec::new()] {
         let mut reducer = StockReducer::new(common::stock_settings(), 3);
         let mut changes = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
-        changes.extend(news);
+        changes.extend(announcements);
         reducer.reduce(START, fleet(changes, true));
-        let effects = reducer.reduce(START, engine(3, 1));
-        assert!(!reducer.is_busy(), "an older version is stocked: {effects:?}");
-        reducer.reduce(START + Millis(500), fleet(vec![named(3)], false));
+        let effects = reducer.reduce(START, engine_state(3, 1));
+        assert!(!reducer.is_busy(), "an older version is provisioned: {effects:?}");
+        reducer.reduce(START + Millis(500), fleet(vec![announced(3)], false));
         assert!(!reducer.is_busy());
-        // Its next start holds nothing, and is not given less than the one before had.
+        // After a restart the engine holds nothing and must not get an older version than before.
         reducer.reduce(START + Millis(900), StockEvent::EngineSeen(None));
-        let effects = reducer.reduce(START + Millis(1_000), engine(0, 0));
-        assert_eq!(lists_asked(&effects), [version(3)]);
-        let effects = reducer.reduce(START + Millis(2_000), fleet(vec![named(4)], false));
+        let effects = reducer.reduce(START + Millis(1_000), engine_state(0, 0));
+        assert_eq!(manifests_requested(&effects), [version(3)]);
+        let effects = reducer.reduce(START + Millis(2_000), fleet(vec![announced(4)], false));
         assert!(effects.contains(&StockEffect::ReadPeers));
     }
 }
 
-/// The same, where the newer version is never told of: the engine's own word is enough.
+/// As above, but the newer version is never announced here: the engine's own report is sufficient.
 #[test]
-fn what_an_engine_served_is_what_its_next_start_gets() {
+fn a_restarted_engine_gets_no_older_version_than_it_served() {
     let mut reducer = StockReducer::new(common::stock_settings(), 3);
-    let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1), named(2)];
+    let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1), announced(2)];
     reducer.reduce(START, fleet(changes, true));
-    reducer.reduce(START, engine(3, 1));
+    reducer.reduce(START, engine_state(3, 1));
     reducer.reduce(START + Millis(900), StockEvent::EngineSeen(None));
-    let effects = reducer.reduce(START + Millis(1_000), engine(0, 0));
-    assert_eq!(lists_asked(&effects), [version(3)]);
+    let effects = reducer.reduce(START + Millis(1_000), engine_state(0, 0));
+    assert_eq!(manifests_requested(&effects), [version(3)]);
 }
 
 #[test]
-fn an_empty_engine_is_filled_and_loads_at_once() {
+fn an_empty_engine_loads_without_waiting_for_a_slot() {
     let mut reducer = StockReducer::new(common::stock_settings(), 3);
     let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
     reducer.reduce(START, fleet(changes, true));
-    let effects = reducer.reduce(START, engine(0, 0));
+    let effects = reducer.reduce(START, engine_state(0, 0));
     assert_matches!(effects[..], [StockEffect::FetchList(..)]);
-    let effects = reducer.reduce(START, list(1));
-    // After a start, what an earlier one staged is looked at first.
+    let effects = reducer.reduce(START, manifest_received(1));
+    // After the agent's start, the copy staged by an earlier run is inspected first.
     assert_matches!(effects[..], [StockEffect::ReadBack(_), ..]);
     let mut found = ChunkBitmap::empty(TOTAL);
     found.insert(ChunkIndex(2));
     let effects = reducer.reduce(START, StockEvent::ReadBack(version(1), found));
-    assert!(drawn(&effects).iter().all(|(index, _)| *index != ChunkIndex(2)));
-    draw_all(&mut reducer, START, 1, effects);
+    assert!(started_fetches(&effects).iter().all(|(index, _)| *index != ChunkIndex(2)));
+    complete_fetches(&mut reducer, START, 1, effects);
     let effects = reducer.reduce(START, StockEvent::Woke);
     assert!(effects.contains(&StockEffect::ReadBack(version(1))), "{effects:?}");
-    let effects = reducer.reduce(START, StockEvent::ReadBack(version(1), whole()));
+    let effects = reducer.reduce(START, StockEvent::ReadBack(version(1), all_chunks()));
     assert!(effects.contains(&StockEffect::Order(version(1), 0)), "{effects:?}");
 }
 
-/// Who needs a version that was named is asked of an entry, which may have been cut off since before.
+/// An agent reads the peers that need an announced version from an entry, which may have been cut
+/// off from the store.
 #[test]
-fn an_older_configuration_that_an_entry_tells_replaces_no_newer_one() {
+fn an_older_configuration_from_an_entry_replaces_no_newer_one() {
     let mut reducer = agent();
     let origin = SocketAddr::from(([172, 20, 0, 9], 8006));
     let newer = FleetChange::Configured(document_with(Generation(2), origin));
     reducer.reduce(START, fleet(vec![newer], false));
-    let told = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
-    reducer.reduce(START, fleet(told, true));
-    let effects = reducer.reduce(START, fleet(vec![named(2)], false));
+    let reported = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
+    reducer.reduce(START, fleet(reported, true));
+    let effects = reducer.reduce(START, fleet(vec![announced(2)], false));
     let sources = effects.iter().find_map(|effect| match effect {
         StockEffect::FetchList(_, sources) => Some(sources.clone()),
         _ => None,
@@ -234,201 +240,218 @@
     assert_eq!(sources, Some(vec![WeightSource::Origin(origin)]));
 }
 
-/// Brings an agent to where version 2 is staged.
-fn staged() -> StockReducer {
+/// An agent that has version 2 staged.
+fn agent_with_staged_version() -> StockReducer {
     let mut reducer = agent();
-    let effects = reducer.reduce(START, fleet(vec![named(2)], false));
+    let effects = reducer.reduce(START, fleet(vec![announced(2)], false));
     assert!(effects.contains(&StockEffect::ReadPeers));
     reducer.reduce(START, StockEvent::ListSeen(version(2), None));
-    // An agent that has just started looks at what is staged.
-    reducer.reduce(START, list(2));
+    // An agent that has just started inspects the staged copy.
+    reducer.reduce(START, manifest_received(2));
     let empty = ChunkBitmap::empty(TOTAL);
     let effects = reducer.reduce(START, StockEvent::ReadBack(version(2), empty));
-    draw_all(&mut reducer, START, 2, effects);
+    complete_fetches(&mut reducer, START, 2, effects);
     reducer
 }
 
-/// One whose turn has come and whose staged chunks were found whole, so that it has given the order,
-/// and the moment of that turn.
-fn ordered() -> (StockReducer, Moment) {
-    let mut reducer = staged();
-    let turn = START + common::TURNS.first;
-    reducer.reduce(turn, StockEvent::Woke);
-    reducer.reduce(turn, StockEvent::ReadBack(version(2), whole()));
-    (reducer, turn)
+/// An agent that has ordered the load of version 2 in its slot after verification, and the time of
+/// that slot.
+fn agent_with_load_order() -> (StockReducer, Moment) {
+    let mut reducer = agent_with_staged_version();
+    let slot = START + common::TURNS.first;
+    reducer.reduce(slot, StockEvent::Woke);
+    reducer.reduce(slot, StockEvent::ReadBack(version(2), all_chunks()));
+    (reducer, slot)
 }
 
 #[test]
-fn newer_weights_load_at_their_turn_after_they_were_read_back() {
-    let mut reducer = staged();
+fn newer_weights_load_in_their_slot_after_verification() {
+    let mut reducer = agent_with_staged_version();
     let before = reducer.reduce(START + Millis(3_000), StockEvent::Woke);
-    let is_word = |effect: &StockEffect| {
+    let is_report = |effect: &StockEffect| {
         matches!(
             effect,
             StockEffect::TellHolding { .. } | StockEffect::TellEntries(_, EngineWord::Closing(_))
         )
     };
-    assert!(!before.is_empty() && before.iter().all(is_word), "tells only: {before:?}");
-    let turn = START + common::TURNS.first;
-    let effects = reducer.reduce(turn, StockEvent::Woke);
+    assert!(
+        !before.is_empty() && before.iter().all(is_report),
+        "only reports are sent: {before:?}"
+    );
+    let slot = START + common::TURNS.first;
+    let effects = reducer.reduce(slot, StockEvent::Woke);
     assert!(effects.contains(&StockEffect::ReadBack(version(2))), "{effects:?}");
     let pause = StockEffect::TellEntries("m".parse().unwrap(), EngineWord::Pausing);
-    assert!(effects.contains(&pause), "entries are told before the engine takes nothing more");
+    assert!(
+        effects.contains(&pause),
+        "entries are notified before the engine stops accepting requests"
+    );
     assert!(!effects.iter().any(|it| matches!(it, StockEffect::Order(..))), "{effects:?}");
-    let effects = reducer.reduce(turn, StockEvent::ReadBack(version(2), whole()));
+    let effects = reducer.reduce(slot, StockEvent::ReadBack(version(2), all_chunks()));
     assert!(effects.iter().any(|it| matches!(it, StockEffect::Order(..))), "{effects:?}");
-    reducer.reduce(turn, StockEvent::Ordered(version(2), OrderFate::Taken));
-    let effects = reducer.reduce(turn + Millis(900), engine(2, 1));
+    reducer.reduce(slot, StockEvent::Ordered(version(2), OrderFate::Taken));
+    let effects = reducer.reduce(slot + Millis(900), engine_state(2, 1));
     let word = EngineWord::Serving(WeightVersion(2));
     assert!(effects.contains(&StockEffect::TellEntries("m".parse().unwrap(), word)));
     assert!(!reducer.is_busy());
 }
 
-/// Entries that don't know of a turn begin long answers just before it, which the engine finishes while
-/// its other slots idle.
+/// Entries that do not know of a load slot start long answers just before it, which the engine has
+/// to complete while its other slots idle.
 #[test]
-fn entries_hear_of_a_turn_only_when_it_has_come() {
-    let mut reducer = staged();
-    let turn = START + common::TURNS.first;
+fn entries_are_notified_of_a_load_slot_only_shortly_before_it() {
+    let mut reducer = agent_with_staged_version();
+    let slot = START + common::TURNS.first;
     let closing = |effects: &[StockEffect]| {
         effects.iter().find_map(|effect| match effect {
             StockEffect::TellEntries(_, EngineWord::Closing(after)) => Some(*after),
             _ => None,
         })
     };
-    let early = reducer.reduce(turn - Millis(2_000), StockEvent::Woke);
-    assert_eq!(closing(&early), None, "most answers end by then");
-    let near = reducer.reduce(turn - Millis(1_000), StockEvent::Woke);
+    let early = reducer.reduce(slot - Millis(2_000), StockEvent::Woke);
+    assert_eq!(closing(&early), None, "most answers complete by then");
+    let near = reducer.reduce(slot - Millis(1_000), StockEvent::Woke);
     assert_eq!(closing(&near), Some(Millis(1_000)));
-    assert_eq!(closing(&reducer.reduce(turn - Millis(900), StockEvent::Woke)), None, "told once");
+    assert_eq!(
+        closing(&reducer.reduce(slot - Millis(900), StockEvent::Woke)),
+        None,
+        "notified once"
+    );
 }
 
 #[test]
-fn a_chunk_that_turned_bad_is_drawn_anew_before_any_order() {
-    let mut reducer = staged();
-    let turn = START + common::TURNS.first;
-    reducer.reduce(turn, StockEvent::Woke);
-    let mut spoilt = whole();
-    spoilt.remove(ChunkIndex(5));
-    let mut effects = reducer.reduce(turn, StockEvent::ReadBack(version(2), spoilt));
+fn a_damaged_staged_chunk_is_fetched_again_before_any_order() {
+    let mut reducer = agent_with_staged_version();
+    let slot = START + common::TURNS.first;
+    reducer.reduce(slot, StockEvent::Woke);
+    let mut with_damaged_chunk = all_chunks();
+    with_damaged_chunk.remove(ChunkIndex(5));
+    let mut effects = reducer.reduce(slot, StockEvent::ReadBack(version(2), with_damaged_chunk));
     assert!(!effects.iter().any(|effect| matches!(effect, StockEffect::Order(..))));
-    let goes_on = EngineWord::Serving(WeightVersion(1));
-    let goes_on = StockEffect::TellEntries("m".parse().unwrap(), goes_on);
-    assert!(effects.contains(&goes_on), "entries were told of a pause that does not come");
+    let resumed = EngineWord::Serving(WeightVersion(1));
+    let resumed = StockEffect::TellEntries("m".parse().unwrap(), resumed);
+    assert!(effects.contains(&resumed), "entries were notified of a pause that does not come");
     for step in 1..60 {
-        effects.extend(reducer.reduce(turn + Millis(step * 100), StockEvent::Woke));
+        effects.extend(reducer.reduce(slot + Millis(step * 100), StockEvent::Woke));
     }
-    assert!(drawn(&effects).iter().all(|(index, _)| *index == ChunkIndex(5)));
-    assert!(!drawn(&effects).is_empty(), "it is drawn from somewhere");
+    assert!(started_fetches(&effects).iter().all(|(index, _)| *index == ChunkIndex(5)));
+    assert!(!started_fetches(&effects).is_empty(), "the damaged chunk is not fetched");
 }
 
 #[test]
-fn an_order_that_was_not_taken_is_given_again() {
-    let (mut reducer, turn) = ordered();
-    reducer.reduce(turn, StockEvent::Ordered(version(2), OrderFate::Refused));
-    let mut effects = reducer.reduce(turn + Millis(50), engine(1, 3));
-    effects.extend(reducer.reduce(turn + Millis(75), StockEvent::Woke));
+fn a_rejected_load_order_is_repeated() {
+    let (mut reducer, slot) = agent_with_load_order();
+    reducer.reduce(slot, StockEvent::Ordered(version(2), OrderFate::Refused));
+    let mut effects = reducer.reduce(slot + Millis(50), engine_state(1, 3));
+    effects.extend(reducer.reduce(slot + Millis(75), StockEvent::Woke));
     assert!(effects.contains(&StockEffect::ReadBack(version(2))), "{effects:?}");
-    let effects = reducer.reduce(turn + Millis(80), StockEvent::ReadBack(version(2), whole()));
+    let effects = reducer.reduce(slot + Millis(80), StockEvent::ReadBack(version(2), all_chunks()));
     assert!(effects.contains(&StockEffect::Order(version(2), 3)), "{effects:?}");
 }
 
 #[test]
-fn what_is_staged_stays_until_the_engine_has_taken_the_order() {
-    let (mut reducer, turn) = ordered();
-    let mut effects = reducer.reduce(turn, fleet(vec![named(3)], false));
-    effects.extend(reducer.reduce(turn, list(3)));
-    assert!(drawn(&effects).is_empty(), "a chunk would replace a staged one: {effects:?}");
-    let mut effects = reducer.reduce(turn, StockEvent::Ordered(version(2), OrderFate::Taken));
-    effects.extend(reducer.reduce(turn, StockEvent::Woke));
-    assert!(!drawn(&effects).is_empty(), "{effects:?}");
+fn the_staged_copy_is_kept_until_the_engine_accepts_the_order() {
+    let (mut reducer, slot) = agent_with_load_order();
+    let mut effects = reducer.reduce(slot, fleet(vec![announced(3)], false));
+    effects.extend(reducer.reduce(slot, manifest_received(3)));
+    assert!(
+        started_fetches(&effects).is_empty(),
+        "a fetched chunk would overwrite a staged one: {effects:?}"
+    );
+    let mut effects = reducer.reduce(slot, StockEvent::Ordered(version(2), OrderFate::Taken));
+    effects.extend(reducer.reduce(slot, StockEvent::Woke));
+    assert!(!started_fetches(&effects).is_empty(), "{effects:?}");
 }
 
-/// An engine that stands still answers no order and takes it when it goes on, with what is staged then.
+/// A suspended engine does not respond to an order and accepts it once it resumes, with the copy
+/// staged by then.
 #[test]
-fn what_is_staged_stays_while_an_order_without_an_answer_may_yet_be_taken() {
-    let (mut reducer, turn) = ordered();
-    let mut effects = reducer.reduce(turn, fleet(vec![named(3)], false));
-    effects.extend(reducer.reduce(turn, list(3)));
-    let late = turn + Millis(400);
+fn the_staged_copy_is_kept_while_an_unanswered_order_may_be_accepted() {
+    let (mut reducer, slot) = agent_with_load_order();
+    let mut effects = reducer.reduce(slot, fleet(vec![announced(3)], false));
+    effects.extend(reducer.reduce(slot, manifest_received(3)));
+    let late = slot + Millis(400);
     effects.extend(reducer.reduce(late, StockEvent::Ordered(version(2), OrderFate::Unknown)));
-    effects.extend(reducer.reduce(late + Millis(25), engine(1, 0)));
+    effects.extend(reducer.reduce(late + Millis(25), engine_state(1, 0)));
     effects.extend(reducer.reduce(late + Millis(50), StockEvent::Woke));
-    assert!(drawn(&effects).is_empty(), "a chunk would replace a staged one: {effects:?}");
-    // Its count of orders tells that it has taken the order, and with it what was staged.
-    let mut effects = reducer.reduce(late + Millis(100), engine(1, 1));
+    assert!(
+        started_fetches(&effects).is_empty(),
+        "a fetched chunk would overwrite a staged one: {effects:?}"
+    );
+    // The engine's order count shows that it accepted the order, and with it the staged copy.
+    let mut effects = reducer.reduce(late + Millis(100), engine_state(1, 1));
     effects.extend(reducer.reduce(late + Millis(125), StockEvent::Woke));
-    assert!(!drawn(&effects).is_empty(), "{effects:?}");
+    assert!(!started_fetches(&effects).is_empty(), "{effects:?}");
 }
 
-/// An order that was lost on its way is given again.
+/// A load order that was lost on the network is sent again.
 #[test]
-fn an_order_that_was_never_taken_is_given_again_with_what_was_staged() {
-    let (mut reducer, turn) = ordered();
-    reducer.reduce(turn + Millis(20), fleet(vec![named(3)], false));
-    reducer.reduce(turn + Millis(60), list(3));
-    reducer.reduce(turn + Millis(400), StockEvent::Ordered(version(2), OrderFate::Unknown));
+fn a_lost_load_order_is_repeated_with_the_same_staged_copy() {
+    let (mut reducer, slot) = agent_with_load_order();
+    reducer.reduce(slot + Millis(20), fleet(vec![announced(3)], false));
+    reducer.reduce(slot + Millis(60), manifest_received(3));
+    reducer.reduce(slot + Millis(400), StockEvent::Ordered(version(2), OrderFate::Unknown));
     let mut effects = Vec::new();
     for step in 0..50 {
-        effects.extend(reducer.reduce(turn + Millis(400 + step * 100), engine(1, 0)));
+        effects.extend(reducer.reduce(slot + Millis(400 + step * 100), engine_state(1, 0)));
     }
-    assert!(drawn(&effects).is_empty(), "{effects:?}");
+    assert!(started_fetches(&effects).is_empty(), "{effects:?}");
     assert!(effects.contains(&StockEffect::ReadBack(version(2))), "{effects:?}");
-    let now = turn + Millis(5_500);
-    let effects = reducer.reduce(now, StockEvent::ReadBack(version(2), whole()));
+    let now = slot + Millis(5_500);
+    let effects = reducer.reduce(now, StockEvent::ReadBack(version(2), all_chunks()));
     assert!(effects.contains(&StockEffect::Order(version(2), 0)), "{effects:?}");
 }
 
-/// A load spared is worth more than loads that are spread.
+/// Saving a load is worth more than spreading loads over the window.
 #[test]
-fn a_version_that_is_not_loaded_is_dropped_for_one_that_can_be_drawn() {
-    let mut reducer = staged();
-    reducer.reduce(START + Millis(2_000), fleet(vec![named(3)], false));
-    let effects = reducer.reduce(START + Millis(2_100), list(3));
+fn a_staged_version_is_dropped_for_a_newer_one_with_a_manifest() {
+    let mut reducer = agent_with_staged_version();
+    reducer.reduce(START + Millis(2_000), fleet(vec![announced(3)], false));
+    let effects = reducer.reduce(START + Millis(2_100), manifest_received(3));
     assert!(effects.contains(&StockEffect::DropList(version(2))), "{effects:?}");
 }
 
-/// What is named after an engine's turn waits until the engine has taken the order.
+/// A version announced after an engine's slot has to wait until the engine has accepted the order.
 #[test]
-fn a_version_whose_turn_has_come_is_loaded_though_the_next_one_can_be_drawn() {
-    let turn = START + common::TURNS.first;
-    let mut reducer = staged();
-    reducer.reduce(turn, StockEvent::Woke);
-    reducer.reduce(turn + Millis(20), fleet(vec![named(3)], false));
-    reducer.reduce(turn + Millis(60), list(3));
-    let effects = reducer.reduce(turn + Millis(90), StockEvent::ReadBack(version(2), whole()));
+fn a_version_whose_slot_has_come_is_loaded_although_a_newer_one_can_be_fetched() {
+    let slot = START + common::TURNS.first;
+    let mut reducer = agent_with_staged_version();
+    reducer.reduce(slot, StockEvent::Woke);
+    reducer.reduce(slot + Millis(20), fleet(vec![announced(3)], false));
+    reducer.reduce(slot + Millis(60), manifest_received(3));
+    let effects = reducer.reduce(slot + Millis(90), StockEvent::ReadBack(version(2), all_chunks()));
     assert!(effects.contains(&StockEffect::Order(version(2), 0)), "{effects:?}");
 }
 
-/// Three of four engines dropped version 2 and have less time for version 3 than the one that
-/// serves version 2, which went at the same time as they did.
+/// Three of four engines skipped version 2, so they have less time to load version 3 than the one
+/// that serves version 2. It loaded at the same time as they did.
 #[test]
-fn engines_with_the_newer_of_two_replaced_versions_load_after_the_others() {
-    let (mut reducer, turn) = ordered();
-    reducer.reduce(turn, StockEvent::Ordered(version(2), OrderFate::Taken));
-    reducer.reduce(turn + Millis(900), engine(2, 1));
+fn engines_with_the_newer_of_two_superseded_versions_load_last() {
+    let (mut reducer, slot) = agent_with_load_order();
+    reducer.reduce(slot, StockEvent::Ordered(version(2), OrderFate::Taken));
+    reducer.reduce(slot + Millis(900), engine_state(2, 1));
     let second = START + Millis(4_000);
-    reducer.reduce(turn + Millis(900), StockEvent::Woke);
-    reducer.reduce(second.max(turn + Millis(901)), fleet(vec![named(3)], false));
-    let effects = reducer.reduce(turn + Millis(950), list(3));
-    draw_all(&mut reducer, turn + Millis(1_000), 3, effects);
-    let others_done = START + common::TURNS.last + common::TURNS.switch;
-    let early = reducer.reduce(others_done - Millis(50), StockEvent::Woke);
+    reducer.reduce(slot + Millis(900), StockEvent::Woke);
+    reducer.reduce(second.max(slot + Millis(901)), fleet(vec![announced(3)], false));
+    let effects = reducer.reduce(slot + Millis(950), manifest_received(3));
+    complete_fetches(&mut reducer, slot + Millis(1_000), 3, effects);
+    let peers_done = START + common::TURNS.last + common::TURNS.switch;
+    let early = reducer.reduce(peers_done - Millis(50), StockEvent::Woke);
     assert!(!early.contains(&StockEffect::ReadBack(version(3))), "{early:?}");
-    let due = reducer.reduce(others_done + Millis(50), StockEvent::Woke);
+    let due = reducer.reduce(peers_done + Millis(50), StockEvent::Woke);
     assert!(due.contains(&StockEffect::ReadBack(version(3))), "{due:?}");
 }
 
-/// The origin went away between two namings: nobody could have the newer list for 5 s, and no
-/// engine loaded the older version that lay staged beside it.
+/// The origin became unavailable between two announcements: the newer manifest could not be fetched
+/// for 5 s, and no engine loaded the older version that was already staged.
 #[test]
-fn a_version_is_loaded_in_its_turn_while_the_next_ones_list_cant_be_had() {
-    let mut reducer = staged();
-    let mut effects = reducer.reduce(START + Millis(3_000), fleet(vec![named(3)], false));
-    let asked = StockEffect::FetchList(version(3), Vec::new());
-    let is_asked =
-        |effect: &StockEffect| std::mem::discriminant(effect) == std::mem::discriminant(&asked);
-    assert!(effects.iter().any(is_asked), "{effects:?}");
+fn a_version_is_loaded_in_its_slot_while_the_next_manifest_is_unavailable() {
+    let mut reducer = agent_with_staged_version();
+    let mut effects = reducer.reduce(START + Millis(3_000), fleet(vec![announced(3)], false));
+    let requested = StockEffect::FetchList(version(3), Vec::new());
+    let is_manifest_fetch =
+        |effect: &StockEffect| std::mem::discriminant(effect) == std::mem::discriminant(&requested);
+    assert!(effects.iter().any(is_manifest_fetch), "{effects:?}");
     for step in 0..40 {
         let now = START + Millis(3_000 + step * 25);
         effects.extend(reducer.reduce(now, StockEvent::Woke));
@@ -436,27 +459,27 @@
     }
     assert!(effects.contains(&StockEffect::ReadBack(version(2))), "{effects:?}");
     assert!(!effects.contains(&StockEffect::DropList(version(2))));
-    let lists = effects.iter().filter(|effect| is_asked(effect)).count();
-    assert!((2..=8).contains(&lists), "{lists} questions in a second");
+    let requests = effects.iter().filter(|effect| is_manifest_fetch(effect)).count();
+    assert!((2..=8).contains(&requests), "{requests} manifest requests in a second");
 }
 
-/// Chunks of the older version go on being drawn, too.
+/// The fetches of the older version's chunks continue as well.
 #[test]
-fn a_transfer_is_given_up_only_for_one_that_can_begin() {
+fn a_transfer_is_cancelled_only_for_one_that_can_start() {
     let mut reducer = agent();
-    reducer.reduce(START, fleet(vec![named(2)], false));
-    reducer.reduce(START, list(2));
+    reducer.reduce(START, fleet(vec![announced(2)], false));
+    reducer.reduce(START, manifest_received(2));
     let empty = ChunkBitmap::empty(TOTAL);
     let mut effects = reducer.reduce(START, StockEvent::ReadBack(version(2), empty));
-    let named = reducer.reduce(START + Millis(100), fleet(vec![named(3)], false));
-    assert!(!named.iter().any(|effect| matches!(effect, StockEffect::CancelDraw(..))));
-    effects.extend(named);
-    draw_all(&mut reducer, START + Millis(200), 2, effects);
+    let later_effects = reducer.reduce(START + Millis(100), fleet(vec![announced(3)], false));
+    assert!(!later_effects.iter().any(|effect| matches!(effect, StockEffect::CancelDraw(..))));
+    effects.extend(later_effects);
+    complete_fetches(&mut reducer, START + Millis(200), 2, effects);
     assert_eq!(reducer.status().held, TOTAL);
 }
 
 #[test]
-fn turns_are_spread_over_the_whole_span() {
+fn load_slots_are_spread_over_the_whole_window() {
     let ids: Vec<InstanceId> = (1..=20).map(|at| format!("10.0.0.{at}").parse().unwrap()).collect();
     let span = TurnSpan { first: Moment(1_000), last: Moment(3_000) };
     let mut turns: Vec<_> = ids.iter().map(|own| span.turn(b"m", &ids, own)).collect();
@@ -466,28 +489,28 @@
 }
 
 #[test]
-fn whoever_asks_is_told_what_is_staged_here() {
+fn a_peer_that_asks_receives_the_staged_chunks_of_this_agent() {
     let mut reducer = agent();
-    let news = HoldingNews {
+    let report = HoldingNews {
         from: "10.0.0.2".parse().unwrap(),
         version: version(1),
         bitmap: ChunkBitmap::empty(TOTAL).to_bytes().into(),
         queue: 0,
         asks: true,
     };
-    let effects = reducer.reduce(START, StockEvent::HoldingSeen(news));
-    let told = StockEffect::TellHolding {
+    let effects = reducer.reduce(START, StockEvent::HoldingSeen(report));
+    let expected = StockEffect::TellHolding {
         version: version(1),
         to: vec![SocketAddr::from(([10, 0, 0, 2], 7701))],
-        bitmap: whole(),
+        bitmap: all_chunks(),
         asks: false,
     };
-    assert_eq!(effects, [told]);
+    assert_eq!(effects, [expected]);
 }
 
-/// A drawer that died costs its chunks one patience, not one patience each.
+/// A dead seeder delays its chunks by one timeout in total, not by one timeout each.
 #[test]
-fn all_chunks_of_a_dead_drawer_are_drawn_by_the_next_one_at_once() {
+fn all_chunks_of_a_dead_seeder_are_fetched_by_the_next_one_at_once() {
     let mut reducer = StockReducer::new(
         StockSettings {
             transfer: TransferSettings {
@@ -501,55 +524,65 @@
         },
         3,
     );
-    let mut paced = services();
+    let mut services_with_rate = services();
     let origin = OriginProfile {
         address: SocketAddr::from(([172, 20, 0, 3], 8006)),
         data_centre: "hall-b".parse().unwrap(),
         link_mbps: 0.8,
         connections: 0,
     };
-    paced.insert(
+    services_with_rate.insert(
         "records".parse().unwrap(),
         ServiceProfile { origin: Some(origin), ..ServiceProfile::default() },
     );
     let limits = CallerLimits::default();
-    let document =
-        Arc::new(RouteDocument::new(Generation(1), Vec::new(), paced, Vec::new(), limits));
-    // The second agent never shows anything.
-    let changes =
-        vec![FleetChange::Configured(document), upstream("i-1", 1), upstream("i-2", 2), named(2)];
+    let document = Arc::new(RouteDocument::new(
+        Generation(1),
+        Vec::new(),
+        services_with_rate,
+        Vec::new(),
+        limits,
+    ));
+    // The second agent never reports any chunk.
+    let changes = vec![
+        FleetChange::Configured(document),
+        upstream("i-1", 1),
+        upstream("i-2", 2),
+        announced(2),
+    ];
     reducer.reduce(START, fleet(changes, true));
-    reducer.reduce(START, engine(1, 0));
-    reducer.reduce(START, list(2));
+    reducer.reduce(START, engine_state(1, 0));
+    reducer.reduce(START, manifest_received(2));
     let empty = ChunkBitmap::empty(TOTAL);
     let effects = reducer.reduce(START, StockEvent::ReadBack(version(2), empty));
-    draw_all(&mut reducer, START, 2, effects);
+    complete_fetches(&mut reducer, START, 2, effects);
     let mut all = FastMap::default();
-    // Its own chunks come in their turns; the dead drawer's are late after twice the patience.
+    // The agent's own chunks arrive at their due times; those of the dead seeder are overdue after
+    // twice the stall interval.
     for step in 0..=56 {
         let now = START + Millis(step * 25);
-        let mut draws = drawn(&reducer.reduce(now, StockEvent::Woke));
-        // The end of a draw may begin another.
-        while let Some((index, source)) = draws.pop() {
+        let mut fetches = started_fetches(&reducer.reduce(now, StockEvent::Woke));
+        // The end of a fetch may start another.
+        while let Some((index, source)) = fetches.pop() {
             all.insert(index, now);
             let ended = StockEvent::DrawEnded(version(2), index, source, DrawOutcome::Verified);
-            draws.extend(drawn(&reducer.reduce(now, ended)));
+            fetches.extend(started_fetches(&reducer.reduce(now, ended)));
         }
     }
     let held = reducer.status().held;
-    assert_eq!(held, TOTAL, "all chunks within 1.4 s, drawn at {all:?}");
+    assert_eq!(held, TOTAL, "not all chunks within 1.4 s; fetched at {all:?}");
 }
 
-/// The services of `document`, to be changed by a test.
+/// The services of `document`, for a test to change.
 fn services() -> FastMap<ServiceName, ServiceProfile> {
     let document = document();
     let services = document.services();
     services.map(|(name, profile)| (name.clone(), profile.clone())).collect()
 }
 
-/// An origin takes a few dozen connections from the whole fleet.
+/// An origin accepts a few dozen connections from the whole fleet.
 #[test]
-fn a_fleet_that_starts_at_once_asks_the_origin_by_few() {
+fn few_agents_ask_the_origin_when_a_fleet_starts_at_once() {
     const FLEET: u8 = 76;
     let members = (1..=FLEET).map(|host| upstream(&format!("i-{host}"), host));
     let mut changes = vec![FleetChange::Configured(document())];
@@ -560,7 +593,7 @@
         let mut reducer =
             StockReducer::new(StockSettings { own, ..common::stock_settings() }, u64::from(host));
         reducer.reduce(START, fleet(changes.clone(), true));
-        let mut effects = reducer.reduce(START, engine(0, 0));
+        let mut effects = reducer.reduce(START, engine_state(0, 0));
         for step in 1..=18 {
             effects.extend(reducer.reduce(START + Millis(step * 50), StockEvent::Woke));
         }
@@ -573,75 +606,96 @@
     assert!((2..=12).contains(&asking), "{asking} of {FLEET} asked the origin within 0.9 s");
 }
 
-/// An agent that starts finds a version named: nobody knows since when, so entries that start as
-/// well send nothing to engines without it, and a turn would be waited for in vain.
+/// An agent that starts finds an announced version whose announcement time is unknown. Entries that
+/// start as well send nothing to engines without that version, so waiting for a slot would only
+/// delay it.
 #[test]
-fn an_agent_that_starts_loads_what_was_named_before_without_a_turn() {
+fn a_version_announced_before_the_agent_started_is_loaded_without_a_slot() {
     let mut reducer = StockReducer::new(common::stock_settings(), 3);
-    let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1), named(2)];
+    let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1), announced(2)];
     reducer.reduce(START, fleet(changes, true));
-    reducer.reduce(START, engine(1, 0));
-    reducer.reduce(START, list(2));
+    reducer.reduce(START, engine_state(1, 0));
+    reducer.reduce(START, manifest_received(2));
     let empty = ChunkBitmap::empty(TOTAL);
     let effects = reducer.reduce(START, StockEvent::ReadBack(version(2), empty));
-    draw_all(&mut reducer, START, 2, effects);
-    let soon = START + Millis(100);
-    reducer.reduce(soon, StockEvent::Woke);
-    let effects = reducer.reduce(soon, StockEvent::ReadBack(version(2), whole()));
+    complete_fetches(&mut reducer, START, 2, effects);
+    let after_fetch = START + Millis(100);
+    reducer.reduce(after_fetch, StockEvent::Woke);
+    let effects = reducer.reduce(after_fetch, StockEvent::ReadBack(version(2), all_chunks()));
     assert!(effects.contains(&StockEffect::Order(version(2), 0)), "{effects:?}");
 }
 
-/// Engines that are added long after a version was named ask agents that loaded it without a list.
+/// Engines added long after an announcement request the manifest from agents that loaded the
+/// version without one.
 #[test]
-fn a_list_of_what_is_served_is_fetched_once_for_those_who_ask() {
+fn the_manifest_of_the_served_version_is_fetched_once_for_peers() {
     let mut reducer = agent();
     let fetches = |effects: &[StockEffect]| {
         let is_fetch = |effect: &&StockEffect| matches!(effect, StockEffect::FetchList(..));
         effects.iter().filter(is_fetch).count()
     };
     let wanted = |number| StockEvent::ListWanted(version(number));
-    assert_eq!(fetches(&reducer.reduce(START, wanted(2))), 0, "it does not serve that");
+    assert_eq!(
+        fetches(&reducer.reduce(START, wanted(2))),
+        0,
+        "the engine does not serve version 2"
+    );
     let effects = reducer.reduce(START, wanted(1));
     assert_matches!(&effects[..], [StockEffect::FetchList(_, sources)]
         if matches!(sources[..], [WeightSource::Origin(_)]));
-    assert_eq!(fetches(&reducer.reduce(START + Millis(40), wanted(1))), 0, "one is under way");
+    assert_eq!(
+        fetches(&reducer.reduce(START + Millis(40), wanted(1))),
+        0,
+        "a fetch is in progress"
+    );
     reducer.reduce(START + Millis(50), StockEvent::ListSeen(version(1), None));
-    assert_eq!(fetches(&reducer.reduce(START + Millis(600), wanted(1))), 1, "it had failed");
-    assert!(!reducer.is_busy(), "the agent itself needs nothing");
+    assert_eq!(
+        fetches(&reducer.reduce(START + Millis(600), wanted(1))),
+        1,
+        "the first fetch failed"
+    );
+    assert!(!reducer.is_busy(), "the agent needs no manifest itself");
 }
 
-/// An origin that is slower than it says is behind with every chunk; drawing each anew would make
-/// it slower still. All agents see the same, so each chunk is drawn once.
+/// An origin that is slower than configured is behind with every chunk, and fetching chunks again
+/// would make it slower still. All agents observe the same progress, so each chunk is fetched once.
 #[test]
-fn an_origin_that_is_slower_than_told_sends_one_copy() {
+fn an_origin_slower_than_configured_sends_one_copy() {
     const MEMBERS: u8 = 4;
-    let mut paced = services();
-    let origin = paced.get_mut(&"records".parse::<ServiceName>().unwrap()).unwrap();
-    // 400 ms a chunk as told; in truth it sends one in 700 ms, as it has earlier calls to answer.
+    let mut services_with_rate = services();
+    let origin = services_with_rate.get_mut(&"records".parse::<ServiceName>().unwrap()).unwrap();
+    // Configured: 400 ms per chunk. Actual: one chunk in 700 ms, as the origin has earlier calls to
+    // answer.
     origin.origin.as_mut().unwrap().link_mbps = 0.02;
-    const TRUE_PACE: u64 = 700;
+    const ACTUAL_CHUNK_MS: u64 = 700;
     let limits = CallerLimits::default();
-    let document =
-        Arc::new(RouteDocument::new(Generation(1), Vec::new(), paced, Vec::new(), limits));
-    let mut changes = vec![FleetChange::Configured(document), named(2)];
+    let document = Arc::new(RouteDocument::new(
+        Generation(1),
+        Vec::new(),
+        services_with_rate,
+        Vec::new(),
+        limits,
+    ));
+    let mut changes = vec![FleetChange::Configured(document), announced(2)];
     changes.extend((1..=MEMBERS).map(|host| upstream(&format!("i-{host}"), host)));
     let mut fleet = SharedOrigin::new(MEMBERS, &changes);
     for step in 1..=400 {
         let now = START + Millis(step * 25);
         fleet.wake(now);
-        if step * 25 % TRUE_PACE == 0 {
-            fleet.origin_sends(now);
+        if step * 25 % ACTUAL_CHUNK_MS == 0 {
+            fleet.origin_sends_next(now);
         }
-        fleet.tell_holdings(now);
+        fleet.exchange_holdings(now);
     }
     assert!(fleet.agents.iter().all(|(_, agent)| agent.status().held == TOTAL));
     assert_eq!(fleet.sent, TOTAL, "chunks that the origin sent");
 }
 
-/// Agents that draw from one origin, which answers one after the other, and from each other at once.
+/// Agents that fetch from one origin, which serves one request at a time, and from each other
+/// without delay.
 struct SharedOrigin {
     agents: Vec<(InstanceId, StockReducer)>,
-    asked: VecDeque<(usize, ChunkIndex)>,
+    requested: VecDeque<(usize, ChunkIndex)>,
     held: Vec<ChunkBitmap>,
     sent: u32,
 }
@@ -650,21 +704,22 @@
     fn new(members: u8, changes: &[FleetChange]) -> Self {
         let count = usize::from(members);
         let held = vec![ChunkBitmap::empty(TOTAL); count];
-        let mut all = Self { agents: Vec::new(), asked: VecDeque::new(), held, sent: 0 };
+        let mut all = Self { agents: Vec::new(), requested: VecDeque::new(), held, sent: 0 };
         for host in 1..=members {
             let own: InstanceId = format!("10.0.0.{host}").parse().unwrap();
             let transfer = TransferSettings {
                 stall_after: Millis(500),
                 chunk_patience: Millis(10_000),
-                // As many as each agent is the home of, so that all are asked for in their turns.
+                // As many as the chunks of which each agent is primary holder, so that all are
+                // requested at their due times.
                 origin_window: 2,
                 ..common::stock_settings().transfer
             };
             let settings = StockSettings { own: own.clone(), transfer, ..common::stock_settings() };
             let mut reducer = StockReducer::new(settings, u64::from(host));
             reducer.reduce(START, fleet(changes.to_vec(), true));
-            reducer.reduce(START, engine(1, 0));
-            reducer.reduce(START, list(2));
+            reducer.reduce(START, engine_state(1, 0));
+            reducer.reduce(START, manifest_received(2));
             let empty = ChunkBitmap::empty(TOTAL);
             let effects = reducer.reduce(START, StockEvent::ReadBack(version(2), empty));
             all.agents.push((own, reducer));
@@ -674,9 +729,9 @@
     }
 
     fn carry_out(&mut self, now: Moment, place: usize, effects: &[StockEffect]) {
-        for (index, source) in drawn(effects) {
+        for (index, source) in started_fetches(effects) {
             match source {
-                ChunkSource::Origin => self.asked.push_back((place, index)),
+                ChunkSource::Origin => self.requested.push_back((place, index)),
                 ChunkSource::Peer(_) | ChunkSource::Relay(_) => {
                     self.ended(now, place, index, source)
                 }
@@ -698,23 +753,23 @@
         }
     }
 
-    fn origin_sends(&mut self, now: Moment) {
-        let Some((place, index)) = self.asked.pop_front() else { return };
+    fn origin_sends_next(&mut self, now: Moment) {
+        let Some((place, index)) = self.requested.pop_front() else { return };
         self.sent += 1;
         self.ended(now, place, index, ChunkSource::Origin);
     }
 
-    fn tell_holdings(&mut self, now: Moment) {
-        for teller in 0..self.agents.len() {
-            let news = HoldingNews {
-                from: self.agents[teller].0.clone(),
+    fn exchange_holdings(&mut self, now: Moment) {
+        for sender in 0..self.agents.len() {
+            let report = HoldingNews {
+                from: self.agents[sender].0.clone(),
                 version: version(2),
-                bitmap: self.held[teller].to_bytes().into(),
+                bitmap: self.held[sender].to_bytes().into(),
                 queue: 0,
                 asks: false,
             };
-            for place in (0..self.agents.len()).filter(|place| *place != teller) {
-                let event = StockEvent::HoldingSeen(news.clone());
+            for place in (0..self.agents.len()).filter(|place| *place != sender) {
+                let event = StockEvent::HoldingSeen(report.clone());
                 let effects = self.agents[place].1.reduce(now, event);
                 self.carry_out(now, place, &effects);
             }
@@ -722,37 +777,46 @@
     }
 }
 
-/// An agent that the store turns away hears of a version from an entry; the store's own word, when
-/// it comes, changes nothing.
+/// An agent that the store rejects learns of a version from an entry; the store's own announcement
+/// changes nothing when it arrives.
 #[test]
-fn a_version_that_an_entry_tells_of_is_stocked_at_once() {
+fn a_version_reported_by_an_entry_is_provisioned_at_once() {
     let mut reducer = agent();
     let model: mustardrill_types::ModelName = "m".parse().unwrap();
-    let heard = StockEvent::VersionHeard(model, WeightVersion(2));
-    let effects = reducer.reduce(START, heard.clone());
+    let announcement = StockEvent::VersionHeard(model, WeightVersion(2));
+    let effects = reducer.reduce(START, announcement.clone());
     assert!(effects.contains(&StockEffect::ReadPeers), "{effects:?}");
     assert!(effects.iter().any(|effect| matches!(effect, StockEffect::FetchList(..))));
-    assert_eq!(reducer.reduce(START, heard), Vec::new());
-    let effects = reducer.reduce(START + Millis(900), fleet(vec![named(2)], false));
+    assert_eq!(reducer.reduce(START, announcement), Vec::new());
+    let effects = reducer.reduce(START + Millis(900), fleet(vec![announced(2)], false));
     assert!(!effects.contains(&StockEffect::ReadPeers), "{effects:?}");
 }
 
-/// Entries that were not told of a load went on sending to an engine that took nothing.
+/// Entries that received no notice of a load continued to send requests to an engine that accepted
+/// none.
 #[test]
-fn the_entries_that_are_known_are_told_however_long_the_store_is_away() {
-    let mut book = EntryBook::default();
-    assert!(book.is_due(START) && book.known().is_empty());
+fn known_entries_are_kept_however_long_the_store_is_unavailable() {
+    let mut directory = EntryBook::default();
+    assert!(directory.is_due(START) && directory.known().is_empty());
     let entry = PeerRecord {
         id: "edge-1".parse().unwrap(),
         address: SocketAddr::from(([10, 0, 1, 1], 7700)),
         data_centre: "hall-a".parse().unwrap(),
         link_mbps: 1_000,
     };
-    book.note(START, vec![entry.clone()]);
-    assert!(!book.is_due(START + Millis(5_000)));
+    directory.note(START, vec![entry.clone()]);
+    assert!(!directory.is_due(START + Millis(5_000)));
     let later = START + Millis(30_000);
-    assert!(book.is_due(later), "one that has come since is to be found");
-    assert_eq!(book.known(), std::slice::from_ref(&entry), "nothing better is known");
-    book.note(later, Vec::new());
-    assert_eq!(book.known(), [entry], "none is registered where all have just restarted");
+    assert!(directory.is_due(later), "entries registered since then must be found");
+    assert_eq!(
+        directory.known(),
+        std::slice::from_ref(&entry),
+        "old addresses are kept until newer ones are read"
+    );
+    directory.note(later, Vec::new());
+    assert_eq!(
+        directory.known(),
+        [entry],
+        "an empty list is ignored, as after a restart of all processes"
+    );
 }
--- a/mustardrill_core/tests/transfers.rs
+++ b/mustardrill_core/tests/transfers.rs
@@ -1,4 +1,5 @@
-//! Transfers under failure: deaths, stalls, corruption, leavers, and the only holder gone.
+//! Tests of transfers under faults: dead, stalled and corrupting agents or origin, and the loss of
+//! the only holder.
 
 mod common;
 
@@ -16,35 +17,35 @@
 
 const CHUNKS: u32 = 24;
 
-/// How long a draw takes here.
-const DRAW_MS: u64 = 10;
+/// Duration of a fetch in the simulation.
+const FETCH_MS: u64 = 10;
 
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     Kill(usize),
-    /// The agent answers nothing for a while.
+    /// The agent does not respond for a while.
     Stall(usize),
     /// Every chunk that the agent sends is corrupt from now on.
     Corrupt(usize),
     OriginStalls,
-    /// The origin's bytes change for a while: every chunk fails its digest.
+    /// The origin sends changed bytes for a while: every chunk fails its digest.
     OriginCorrupts,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     plans: Vec<Option<TransferPlan>>,
     peers: Vec<TransferPeer>,
-    flights: Vec<(u64, usize, ChunkDraw)>,
+    pending_fetches: Vec<(u64, usize, ChunkDraw)>,
     stalled_until: BTreeMap<usize, u64>,
     corrupt: Vec<usize>,
     origin_stalled_until: u64,
     origin_corrupt_until: u64,
-    origin_draws: u32,
+    origin_fetches: u32,
 }
 
 fn manifest() -> Manifest {
-    let bytes: Vec<u8> = (0..CHUNKS * 4).map(|place| place as u8).collect();
+    let bytes: Vec<u8> = (0..CHUNKS * 4).map(|index| index as u8).collect();
     Manifest::describe("drafts".parse().unwrap(), "v1".parse().unwrap(), ByteSize(4), &bytes)
 }
 
@@ -56,22 +57,22 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(agents: usize, settings: &TransferSettings) -> Self {
         let manifest = Arc::new(manifest());
         let peers: Vec<_> = (0..agents)
-            .map(|place| TransferPeer {
-                id: format!("instance-{place}").parse().unwrap(),
-                data_centre: format!("centre-{}", place % 2).parse().unwrap(),
+            .map(|index| TransferPeer {
+                id: format!("instance-{index}").parse().unwrap(),
+                data_centre: format!("centre-{}", index % 2).parse().unwrap(),
             })
             .collect();
-        let plans = peers.iter().enumerate().map(|(place, own)| {
+        let plans = peers.iter().enumerate().map(|(index, own)| {
             let mut plan = TransferPlan::new(
                 Moment(1),
                 own.clone(),
                 manifest.clone(),
                 settings.clone(),
-                place as u64,
+                index as u64,
             );
             plan.set_peers(&peers);
             Some(plan)
@@ -79,54 +80,55 @@
         Self {
             now: 1,
             plans: plans.collect(),
-            flights: Vec::new(),
+            pending_fetches: Vec::new(),
             stalled_until: BTreeMap::new(),
             corrupt: Vec::new(),
             origin_stalled_until: 0,
             origin_corrupt_until: 0,
-            origin_draws: 0,
+            origin_fetches: 0,
             peers,
         }
     }
 
-    fn strike(&mut self, fault: Fault) {
-        const SPELL: u64 = 400;
+    fn inject(&mut self, fault: Fault) {
+        const FAULT_MS: u64 = 400;
         match fault {
             Fault::Kill(agent) => {
                 self.plans[agent] = None;
-                let alive: Vec<_> = self.alive().map(|place| self.peers[place].clone()).collect();
-                self.plans.iter_mut().flatten().for_each(|plan| plan.set_peers(&alive));
+                let live_agents: Vec<_> =
+                    self.live_agents().map(|index| self.peers[index].clone()).collect();
+                self.plans.iter_mut().flatten().for_each(|plan| plan.set_peers(&live_agents));
             }
             Fault::Stall(agent) => {
-                self.stalled_until.insert(agent, self.now + SPELL);
+                self.stalled_until.insert(agent, self.now + FAULT_MS);
             }
             Fault::Corrupt(agent) => self.corrupt.push(agent),
-            Fault::OriginStalls => self.origin_stalled_until = self.now + SPELL,
-            Fault::OriginCorrupts => self.origin_corrupt_until = self.now + SPELL,
+            Fault::OriginStalls => self.origin_stalled_until = self.now + FAULT_MS,
+            Fault::OriginCorrupts => self.origin_corrupt_until = self.now + FAULT_MS,
         }
     }
 
-    fn alive(&self) -> impl Iterator<Item = usize> {
-        self.plans.iter().enumerate().filter(|(_, plan)| plan.is_some()).map(|(place, _)| place)
+    fn live_agents(&self) -> impl Iterator<Item = usize> {
+        self.plans.iter().enumerate().filter(|(_, plan)| plan.is_some()).map(|(index, _)| index)
     }
 
     fn step(&mut self) {
-        self.now += DRAW_MS;
+        self.now += FETCH_MS;
         let due: Vec<_> =
-            self.flights.iter().filter(|flight| flight.0 <= self.now).cloned().collect();
-        self.flights.retain(|flight| flight.0 > self.now);
-        for (_, agent, draw) in due {
-            self.land(agent, &draw);
+            self.pending_fetches.iter().filter(|fetch| fetch.0 <= self.now).cloned().collect();
+        self.pending_fetches.retain(|fetch| fetch.0 > self.now);
+        for (_, agent, fetch) in due {
+            self.finish_fetch(agent, &fetch);
         }
-        let agents: Vec<_> = self.alive().collect();
+        let agents: Vec<_> = self.live_agents().collect();
         for agent in &agents {
             self.exchange(*agent);
             let now = Moment(self.now);
             let plan = self.plans[*agent].as_mut().unwrap();
             plan.overdue(now);
-            for draw in plan.next_draws(now) {
-                self.origin_draws += u32::from(draw.source == ChunkSource::Origin);
-                self.flights.push((self.now + DRAW_MS, *agent, draw));
+            for fetch in plan.next_draws(now) {
+                self.origin_fetches += u32::from(fetch.source == ChunkSource::Origin);
+                self.pending_fetches.push((self.now + FETCH_MS, *agent, fetch));
             }
         }
     }
@@ -135,29 +137,29 @@
         let now = Moment(self.now);
         let stale = self.plans[agent].as_ref().unwrap().partners().stale_partners(now, Millis(1));
         for id in stale {
-            let place = self.peers.iter().position(|peer| peer.id == id).unwrap();
-            let is_silent = self.stalled_until.get(&place).is_some_and(|until| *until > self.now);
-            let held = self.plans[place].as_ref().map(|plan| plan.held().clone());
+            let index = self.peers.iter().position(|peer| peer.id == id).unwrap();
+            let is_silent = self.stalled_until.get(&index).is_some_and(|until| *until > self.now);
+            let held = self.plans[index].as_ref().map(|plan| plan.held().clone());
             if let (Some(held), false) = (held, is_silent) {
                 self.plans[agent].as_mut().unwrap().heard(now, &id, held, 0);
             }
         }
     }
 
-    fn land(&mut self, agent: usize, draw: &ChunkDraw) {
-        let outcome = match &draw.source {
+    fn finish_fetch(&mut self, agent: usize, fetch: &ChunkDraw) {
+        let outcome = match &fetch.source {
             ChunkSource::Origin if self.origin_stalled_until > self.now => return,
             ChunkSource::Origin if self.origin_corrupt_until > self.now => DrawOutcome::Corrupt,
             ChunkSource::Origin => DrawOutcome::Verified,
             ChunkSource::Peer(id) | ChunkSource::Relay(id) => {
-                let place = self.peers.iter().position(|peer| peer.id == *id).unwrap();
+                let index = self.peers.iter().position(|peer| peer.id == *id).unwrap();
                 let is_silent =
-                    self.stalled_until.get(&place).is_some_and(|until| *until > self.now);
-                match &self.plans[place] {
+                    self.stalled_until.get(&index).is_some_and(|until| *until > self.now);
+                match &self.plans[index] {
                     None => return,
                     Some(_) if is_silent => return,
-                    Some(_) if self.corrupt.contains(&place) => DrawOutcome::Corrupt,
-                    Some(plan) if plan.held().contains(draw.index) => DrawOutcome::Verified,
+                    Some(_) if self.corrupt.contains(&index) => DrawOutcome::Corrupt,
+                    Some(plan) if plan.held().contains(fetch.index) => DrawOutcome::Verified,
                     Some(_) => DrawOutcome::Missing,
                 }
             }
@@ -165,11 +167,11 @@
         let now = Moment(self.now);
         if let Some(plan) = self.plans[agent].as_mut() {
             let before = plan.held().count();
-            plan.finished(now, draw.index, &draw.source, &outcome);
-            let grew = plan.held().count() > before;
+            plan.finished(now, fetch.index, &fetch.source, &outcome);
+            let is_kept = plan.held().count() > before;
             assert!(
-                !grew || outcome == DrawOutcome::Verified,
-                "kept a chunk that was not verified"
+                !is_kept || outcome == DrawOutcome::Verified,
+                "a chunk was kept without verification"
             );
         }
     }
@@ -194,102 +196,103 @@
     #![proptest_config(ProptestConfig { cases: cases(300), rng_seed: RngSeed::Fixed(2), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whoever_lives_gets_all_of_it(faults in faults(8)) {
-        let mut world = World::new(8, &settings());
+    fn every_surviving_instance_completes_the_copy(faults in faults(8)) {
+        let mut simulation = Simulation::new(8, &settings());
         let mut corrupt = 0;
         for step in 0..1_500 {
             for (at, fault) in &faults {
                 if *at != step {
                     continue;
                 }
-                // Somebody honest stays, or there would be nothing to prove.
-                let is_last = matches!(fault, Fault::Kill(_)) && world.alive().count() <= 3;
+                // At least one agent that sends correct chunks stays alive; otherwise the copy
+                // could not complete.
+                let is_last = matches!(fault, Fault::Kill(_)) && simulation.live_agents().count() <= 3;
                 let is_corrupt = matches!(fault, Fault::Corrupt(_));
                 if !is_last && (!is_corrupt || corrupt < 1) {
                     corrupt += u32::from(is_corrupt);
-                    world.strike(*fault);
+                    simulation.inject(*fault);
                 }
             }
-            world.step();
-            if world.is_complete() {
+            simulation.step();
+            if simulation.is_complete() {
                 break;
             }
         }
-        prop_assert!(world.is_complete(), "not complete after {} ms", world.now);
+        prop_assert!(simulation.is_complete(), "not complete after {} ms", simulation.now);
     }
 }
 
 #[test]
-fn one_copy_comes_from_the_origin() {
+fn the_origin_sends_one_copy() {
     for agents in [1, 2, 8, 16] {
-        let mut world = World::new(agents, &settings());
-        while !world.is_complete() {
-            world.step();
-            assert!(world.now < 10_000, "{agents} agents never complete");
+        let mut simulation = Simulation::new(agents, &settings());
+        while !simulation.is_complete() {
+            simulation.step();
+            assert!(simulation.now < 10_000, "{agents} agents never complete");
         }
-        assert_eq!(world.origin_draws, CHUNKS, "{agents} agents");
+        assert_eq!(simulation.origin_fetches, CHUNKS, "{agents} agents");
     }
 }
 
 #[test]
-fn more_copies_are_drawn_where_the_setting_says_so() {
-    let mut world = World::new(8, &TransferSettings { origin_copies: 4, ..settings() });
-    while !world.is_complete() {
-        world.step();
+fn the_origin_sends_more_copies_if_configured() {
+    let mut simulation = Simulation::new(8, &TransferSettings { origin_copies: 4, ..settings() });
+    while !simulation.is_complete() {
+        simulation.step();
     }
-    assert!(world.origin_draws > CHUNKS && world.origin_draws <= 4 * CHUNKS);
+    assert!(simulation.origin_fetches > CHUNKS && simulation.origin_fetches <= 4 * CHUNKS);
 }
 
 #[test]
-fn the_only_holder_may_die() {
-    let mut world = World::new(4, &settings());
-    while !world.plans.iter().flatten().any(|plan| plan.held().count() > 3) {
-        world.step();
+fn the_copy_completes_after_the_only_holder_dies() {
+    let mut simulation = Simulation::new(4, &settings());
+    while !simulation.plans.iter().flatten().any(|plan| plan.held().count() > 3) {
+        simulation.step();
     }
-    let most = |place: &usize| world.plans[*place].as_ref().unwrap().held().count();
-    let holder = world.alive().max_by_key(most).unwrap();
-    world.strike(Fault::Kill(holder));
-    while !world.is_complete() {
-        world.step();
-        assert!(world.now < 20_000, "the others never complete");
+    let held_count = |index: &usize| simulation.plans[*index].as_ref().unwrap().held().count();
+    let holder = simulation.live_agents().max_by_key(held_count).unwrap();
+    simulation.inject(Fault::Kill(holder));
+    while !simulation.is_complete() {
+        simulation.step();
+        assert!(simulation.now < 20_000, "the surviving agents never complete");
     }
-    assert!(world.origin_draws <= CHUNKS * 2);
+    assert!(simulation.origin_fetches <= CHUNKS * 2);
 }
 
 #[test]
-fn a_sender_of_corrupt_chunks_is_avoided() {
+fn a_sender_of_corrupt_chunks_is_ejected() {
     let manifest = Arc::new(manifest());
     let peer = |name: &str| TransferPeer {
         id: name.parse().unwrap(),
         data_centre: "centre".parse().unwrap(),
     };
-    let (own, bad) = (peer("own"), peer("bad"));
+    let (own, corrupt_peer) = (peer("own"), peer("bad"));
     let settings = TransferSettings { drawers: 1, ..settings() };
     let mut plan = TransferPlan::new(Moment(1), own.clone(), manifest, settings, 1);
-    plan.set_peers(&[own, bad.clone()]);
-    plan.heard(Moment(1), &bad.id, ChunkBitmap::full(CHUNKS), 0);
-    let source = ChunkSource::Peer(bad.id.clone());
+    plan.set_peers(&[own, corrupt_peer.clone()]);
+    plan.heard(Moment(1), &corrupt_peer.id, ChunkBitmap::full(CHUNKS), 0);
+    let source = ChunkSource::Peer(corrupt_peer.id.clone());
     let mut corrupt = 0;
     for now in 2..200 {
-        for draw in plan.next_draws(Moment(now)) {
-            if draw.source == source {
+        for fetch in plan.next_draws(Moment(now)) {
+            if fetch.source == source {
                 corrupt += 1;
-                plan.finished(Moment(now), draw.index, &source, &DrawOutcome::Corrupt);
+                plan.finished(Moment(now), fetch.index, &source, &DrawOutcome::Corrupt);
             }
         }
     }
-    assert!(corrupt <= 3, "{corrupt} corrupt chunks were drawn from one peer");
+    assert!(corrupt <= 3, "{corrupt} corrupt chunks were fetched from one peer");
     assert_eq!(plan.held().count(), 0);
 }
 
 #[test]
-fn a_manifest_that_is_not_the_pinned_one_is_refused() {
+fn a_manifest_that_is_not_the_pinned_one_is_rejected() {
     let manifest = manifest();
     let bytes = manifest.encode();
     assert_eq!(Manifest::open(&bytes, manifest.digest()).as_ref(), Ok(&manifest));
     let mut other = bytes.clone();
-    let place = other.len() / 2;
-    other[place] ^= 1;
+    let index = other.len() / 2;
+    other[index] ^= 1;
     let error = Manifest::open(&other, manifest.digest()).unwrap_err();
     assert!(matches!(error, ManifestError::WrongDigest { .. }), "{error}");
     let short = Manifest { chunks: manifest.chunks[1..].to_vec(), ..manifest.clone() };
@@ -304,7 +307,7 @@
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn bitmaps_survive_a_message(held in prop::collection::btree_set(0..300_u32, 0..300), total in 1..300_u32) {
+    fn a_decoded_bitmap_equals_the_encoded_one(held in prop::collection::btree_set(0..300_u32, 0..300), total in 1..300_u32) {
         let mut bitmap = ChunkBitmap::empty(total);
         held.iter().for_each(|index| { bitmap.insert(ChunkIndex(*index)); });
         let read = ChunkBitmap::from_bytes(&bitmap.to_bytes(), total);
