--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/stock/actor.rs
@@ -6,7 +6,7 @@
 use cadence::{Gauged, StatsdClient};
 use kameo::prelude::*;
 use mustardrill_core::manifest::Manifest;
-use mustardrill_core::stock::{
+use mustardrill_core::provisioning::{
     EntryBook, StockEffect, StockEvent, StockReducer, StockStatus, VersionId,
 };
 use mustardrill_core::transfer::ChunkSource;
--- a/mustardrill_agent/src/stock/config.rs
+++ b/mustardrill_agent/src/stock/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use log::LevelFilter;
-use mustardrill_core::stock::{StockSettings, TurnSettings};
+use mustardrill_core::provisioning::{StockSettings, TurnSettings};
 use mustardrill_core::transfer::TransferSettings;
 use mustardrill_runtime::config::{local, name};
 use mustardrill_runtime::settings::{PlatformKind, SettingsOutcome, SettingsReader};
--- a/mustardrill_agent/src/stock/effects.rs
+++ b/mustardrill_agent/src/stock/effects.rs
@@ -11,7 +11,7 @@
 use kameo::prelude::*;
 use mustardrill_core::direct::{EngineWord, PeerRecord};
 use mustardrill_core::manifest::ChunkBitmap;
-use mustardrill_core::stock::{OrderFate, StockEvent, VersionId, WeightSource};
+use mustardrill_core::provisioning::{OrderFate, StockEvent, VersionId, WeightSource};
 use mustardrill_core::transfer::{ChunkDraw, ChunkSource, DrawOutcome};
 use mustardrill_runtime::border::{ChunkList, FleetPart, OrderAnswer};
 use mustardrill_runtime::datagram::{Datagram, EngineRow};
--- a/mustardrill_agent/src/stock/peers.rs
+++ b/mustardrill_agent/src/stock/peers.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, Response, StatusCode};
 use kameo::prelude::*;
 use mustardrill_core::manifest::ChunkBitmap;
-use mustardrill_core::stock::{HoldingNews, StockEvent, VersionId};
+use mustardrill_core::provisioning::{HoldingNews, StockEvent, VersionId};
 use mustardrill_runtime::datagram::{DATAGRAM_LIMIT, Datagram, HoldingRow};
 use mustardrill_runtime::http::{AnyResponse, HttpHandler, text_response, whole_body};
 use mustardrill_runtime::peer_call::PeerCall;
--- a/mustardrill_agent/src/stock/shelf.rs
+++ b/mustardrill_agent/src/stock/shelf.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 
 use bytes::Bytes;
-use mustardrill_core::stock::VersionId;
+use mustardrill_core::provisioning::VersionId;
 use mustardrill_types::{ByteSize, ChunkIndex};
 
 /// The most that is kept: what a narrow link carries while an engine starts, and a small part of an
--- a/mustardrill_agent/src/stock/watch.rs
+++ b/mustardrill_agent/src/stock/watch.rs
@@ -6,7 +6,7 @@
 use kameo::prelude::*;
 use log::{info, warn};
 use mustardrill_core::direct::{CursorVerdict, FleetChange, StoreCursor, WatchTiming};
-use mustardrill_core::stock::{EngineView, StockEvent};
+use mustardrill_core::provisioning::{EngineView, StockEvent};
 use mustardrill_runtime::backoff::RetryBackoff;
 use mustardrill_runtime::border::{EngineState, FleetPart, FleetScope, StoreError};
 use mustardrill_types::Millis;
--- a/mustardrill_agent/tests/words.rs
+++ b/mustardrill_agent/tests/words.rs
@@ -13,7 +13,7 @@
     CallerLimits, EngineProfile, EngineWord, FleetChange, FleetUpdate, ModelProfile, PeerRecord,
     RouteDocument, ServedWeights, ServiceProfile, WatchTiming,
 };
-use mustardrill_core::stock::{StockSettings, TurnSettings};
+use mustardrill_core::provisioning::{StockSettings, TurnSettings};
 use mustardrill_core::transfer::TransferSettings;
 use mustardrill_runtime::border::{
     ChunkList, ChunkOrigin, EngineControl, EngineState, FleetPart, FleetScope, FleetSource,
--- a/mustardrill_core/src/stock/engine.rs
+++ b/mustardrill_core/src/provisioning/engine.rs
@@ -4,8 +4,8 @@
 use mustardrill_types::Moment;
 
 use crate::direct::{AnnouncementTime, EngineWord};
-use crate::stock::event::{EngineView, StockEffect};
-use crate::stock::reducer::{StockReducer, StockStage, version_id_of};
+use crate::provisioning::event::{EngineView, StockEffect};
+use crate::provisioning::reducer::{StockReducer, StockStage, version_id_of};
 
 impl StockReducer {
     pub(super) fn engine_observed(
--- a/mustardrill_core/src/stock/event.rs
+++ b/mustardrill_core/src/provisioning/event.rs
@@ -9,7 +9,7 @@
 
 use crate::direct::{EngineWord, FleetUpdate, PeerRecord, ServedWeights};
 use crate::manifest::{ChunkBitmap, Manifest};
-use crate::stock::rollout::TurnSettings;
+use crate::provisioning::rollout::TurnSettings;
 use crate::transfer::{ChunkDraw, ChunkSource, DrawOutcome, TransferSettings};
 
 /// A model and one of its versions, written as `model:version`.
--- a/mustardrill_core/src/stock/fetching.rs
+++ b/mustardrill_core/src/provisioning/fetching.rs
@@ -4,8 +4,8 @@
 use mustardrill_types::{ChunkIndex, Moment};
 
 use crate::direct::EngineWord;
-use crate::stock::event::{StockEffect, VersionId};
-use crate::stock::reducer::{StockReducer, StockStage};
+use crate::provisioning::event::{StockEffect, VersionId};
+use crate::provisioning::reducer::{StockReducer, StockStage};
 use crate::transfer::{ChunkSource, DrawOutcome, TransferPlan};
 
 /// Share of a version's chunks held, in percent, from which entries are told that the version is
--- a/mustardrill_core/src/stock/holdings.rs
+++ b/mustardrill_core/src/provisioning/holdings.rs
@@ -3,8 +3,8 @@
 use mustardrill_types::Moment;
 
 use crate::manifest::ChunkBitmap;
-use crate::stock::event::{HoldingNews, StockEffect, VersionId};
-use crate::stock::reducer::{StockReducer, StockStage};
+use crate::provisioning::event::{HoldingNews, StockEffect, VersionId};
+use crate::provisioning::reducer::{StockReducer, StockStage};
 
 impl StockReducer {
     pub(super) fn holdings_received(
--- a/mustardrill_core/src/stock/load_order.rs
+++ b/mustardrill_core/src/provisioning/load_order.rs
@@ -5,9 +5,9 @@
 
 use crate::direct::{EngineWord, ServedWeights};
 use crate::manifest::ChunkBitmap;
-use crate::stock::event::{EngineView, OrderFate, StockEffect, VersionId};
-use crate::stock::reducer::{LOAD_ORDER_TIMEOUT, LoadOrder, StockReducer, StockStage};
-use crate::stock::rollout::TurnSpan;
+use crate::provisioning::event::{EngineView, OrderFate, StockEffect, VersionId};
+use crate::provisioning::reducer::{LOAD_ORDER_TIMEOUT, LoadOrder, StockReducer, StockStage};
+use crate::provisioning::rollout::TurnSpan;
 use crate::transfer::TransferPlan;
 
 /// How long before an engine's load slot the entries are notified of it; most answers complete
--- a/mustardrill_core/src/stock/pending_manifest.rs
+++ b/mustardrill_core/src/provisioning/pending_manifest.rs
@@ -6,8 +6,8 @@
 use mustardrill_types::Moment;
 
 use crate::manifest::Manifest;
-use crate::stock::event::{StockEffect, VersionId};
-use crate::stock::reducer::StockReducer;
+use crate::provisioning::event::{StockEffect, VersionId};
+use crate::provisioning::reducer::StockReducer;
 
 /// Manifest of a newer version, or the state of the tries to fetch it.
 #[derive(Debug)]
--- a/mustardrill_core/src/stock/reducer.rs
+++ b/mustardrill_core/src/provisioning/reducer.rs
@@ -15,11 +15,11 @@
     VersionTable,
 };
 use crate::manifest::Manifest;
-use crate::relays::RelayTable;
-use crate::stock::event::{
+use crate::provisioning::event::{
     EngineView, StockEffect, StockEvent, StockSettings, StockStatus, VersionId,
 };
-use crate::stock::pending_manifest::PendingManifest;
+use crate::provisioning::pending_manifest::PendingManifest;
+use crate::relays::RelayTable;
 use crate::transfer::{TransferPeer, TransferPlan};
 
 /// The version that engines hold before any is announced.
--- a/mustardrill_core/src/stock/sources.rs
+++ b/mustardrill_core/src/provisioning/sources.rs
@@ -6,10 +6,10 @@
 use rand::Rng;
 
 use crate::direct::OriginProfile;
+use crate::provisioning::event::{StockEffect, VersionId, WeightSource};
+use crate::provisioning::reducer::{StockReducer, version_id_of};
 use crate::relays::RelayItem;
 use crate::rendezvous;
-use crate::stock::event::{StockEffect, VersionId, WeightSource};
-use crate::stock::reducer::{StockReducer, version_id_of};
 
 /// Number of agents that ask the origin for a manifest first; the others ask these agents.
 const MANIFEST_SEEDERS: usize = 2;
--- a/mustardrill_core/tests/common/mod.rs
+++ b/mustardrill_core/tests/common/mod.rs
@@ -13,7 +13,7 @@
 };
 use mustardrill_core::document::CatalogueDocument;
 use mustardrill_core::edit::{EditChange, EditRequest, FleetFacts, VersionFact, apply_edit};
-use mustardrill_core::stock::{StockSettings, TurnSettings};
+use mustardrill_core::provisioning::{StockSettings, TurnSettings};
 use mustardrill_core::transfer::TransferSettings;
 use mustardrill_types::{
     ByteSize, EditId, FastMap, Generation, InstanceId, Millis, Moment, RequestDigest, StartStamp,
--- a/mustardrill_core/tests/rebirth.rs
+++ b/mustardrill_core/tests/rebirth.rs
@@ -10,7 +10,7 @@
     ServedWeights, ServiceProfile, UpstreamRecord, WorkSize,
 };
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
-use mustardrill_core::stock::{
+use mustardrill_core::provisioning::{
     EngineView, OrderFate, StockEffect, StockEvent, StockReducer, VersionId, WeightSource,
 };
 use mustardrill_core::transfer::DrawOutcome;
--- a/mustardrill_core/tests/stock.rs
+++ b/mustardrill_core/tests/stock.rs
@@ -10,7 +10,7 @@
     PeerRecord, RouteDocument, ServedWeights, ServiceProfile, UpstreamRecord,
 };
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
-use mustardrill_core::stock::{
+use mustardrill_core::provisioning::{
     EngineView, EntryBook, HoldingNews, OrderFate, StockEffect, StockEvent, StockReducer,
     StockSettings, TurnSpan, VersionId, WeightSource,
 };
--- a/mustardrill_runtime/src/peer_call.rs
+++ b/mustardrill_runtime/src/peer_call.rs
@@ -2,7 +2,7 @@
 
 use derive_more::Display;
 use hyper::Uri;
-use mustardrill_core::stock::VersionId;
+use mustardrill_core::provisioning::VersionId;
 use mustardrill_types::{ChunkIndex, ServiceName, WeightVersion};
 
 /// What is asked for.
--- a/mustardrill_runtime/tests/peer_calls.rs
+++ b/mustardrill_runtime/tests/peer_calls.rs
@@ -1,6 +1,6 @@
 //! What agents and entries ask each other for is read as it was written.
 
-use mustardrill_core::stock::VersionId;
+use mustardrill_core::provisioning::VersionId;
 use mustardrill_runtime::peer_call::PeerCall;
 use mustardrill_types::{ChunkIndex, WeightVersion};
 
