--- a/mustardrill_agent/src/actor.rs
+++ b/mustardrill_agent/src/actor.rs
@@ -193,7 +193,7 @@
         // An entry that asks again has given up the call before.
         self.claims.insert(attempt, settled);
         let wall_s = self.context.clock.wall_s();
-        self.reduce(AgentEvent::ClaimAsked(key, attempt, wall_s), &actor);
+        self.reduce(AgentEvent::ClaimRequested(key, attempt, wall_s), &actor);
     }
 }
 
@@ -374,7 +374,7 @@
                 let addresses: Vec<_> =
                     listing.instances.iter().map(|record| record.agent.clone()).collect();
                 context.peers.retain(&addresses);
-                let _ = actor.tell(Event(AgentEvent::InstancesSeen(listing.instances))).await;
+                let _ = actor.tell(Event(AgentEvent::InstancesRead(listing.instances))).await;
             }
             tokio::select! {
                 () = tokio::time::sleep(every.to_std()) => {}
--- a/mustardrill_agent/src/config.rs
+++ b/mustardrill_agent/src/config.rs
@@ -72,7 +72,7 @@
             staging_limit: reader.value("weights", "staging_limit", ByteSize(64_000_000_000)),
             floor_percent: reader.bounded("weights", "floor_percent", 75, 0, 99),
             exchange_every: reader.value("weights", "exchange_every", Millis(100)),
-            wave_patience: reader.value("weights", "wave_patience", Millis(120_000)),
+            wave_timeout: reader.value("weights", "wave_patience", Millis(120_000)),
             retry_every: reader.value("weights", "retry_every", Millis(500)),
             is_engine: reader.value("upstream", "engine", true),
         },
@@ -92,19 +92,19 @@
     let default = TransferSettings::default();
     TransferSettings {
         origin_copies: reader.bounded("weights", "origin_copies", default.origin_copies, 1, 4),
-        drawers: reader.bounded("weights", "drawers", default.drawers, 1, 1_000),
+        max_seeders: reader.bounded("weights", "drawers", default.max_seeders, 1, 1_000),
         window: reader.bounded("weights", "window", default.window, 1, 256),
         origin_window: reader.bounded("weights", "origin_window", default.origin_window, 1, 64),
         partners: reader.bounded("weights", "partners", default.partners, 1, 1_000),
         stall_after: reader.value("weights", "stall_after", default.stall_after),
-        chunk_patience: reader.value("weights", "chunk_patience", default.chunk_patience),
+        chunk_timeout: reader.value("weights", "chunk_patience", default.chunk_timeout),
         corrupt_limit: reader.bounded("weights", "corrupt_limit", default.corrupt_limit, 1, 100),
         sample: default.sample,
-        far_drawers: default.far_drawers,
-        homes: default.homes,
-        origin_pace: default.origin_pace,
+        remote_fetchers: default.remote_fetchers,
+        uses_primary_holders: default.uses_primary_holders,
+        origin_chunk_ms: default.origin_chunk_ms,
         relay_window: default.relay_window,
-        relays_first: default.relays_first,
+        prefers_relays: default.prefers_relays,
     }
 }
 
--- a/mustardrill_agent/src/effects.rs
+++ b/mustardrill_agent/src/effects.rs
@@ -9,7 +9,7 @@
 use mustardrill_core::claim::{ClaimDocument, ClaimEffect, ShardIndex, ShardResponse};
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::ownership::{OwnerAnswer, OwnerCall};
-use mustardrill_core::transfer::{ChunkDraw, ChunkSource, DrawOutcome};
+use mustardrill_core::transfer::{ChunkFetch, ChunkSource, FetchOutcome};
 use mustardrill_proto as proto;
 use mustardrill_runtime::platform::KeyValueError;
 use mustardrill_runtime::wire::digest_bytes;
@@ -38,7 +38,7 @@
         AgentEffect::FetchManifest { model, version, digest, sources } => {
             tokio::spawn(task.fetch_manifest(model, version, digest, sources));
         }
-        AgentEffect::DrawChunk(digest, draw) => {
+        AgentEffect::FetchChunk(digest, draw) => {
             let held = reducer.held(digest).cloned().unwrap_or_default();
             tokio::spawn(task.draw(digest, draw, held));
         }
@@ -53,7 +53,7 @@
         AgentEffect::ReadEngine => {
             tokio::spawn(async move {
                 let report = task.context.upstream.report().await;
-                task.report(AgentEvent::EngineSeen(report)).await;
+                task.report(AgentEvent::EnginePolled(report)).await;
             });
         }
         AgentEffect::DropWeights(digest) => context.store.remove(digest),
@@ -64,7 +64,7 @@
             tokio::spawn(task.claim(effect));
         }
         // An overdue draw ends by its own patience; its late chunk is still verified and kept.
-        AgentEffect::CancelDraw(..) => {}
+        AgentEffect::CancelFetch(..) => {}
         AgentEffect::Wake(at) => {
             let wait = at.since(task.context.clock.now());
             tokio::spawn(async move {
@@ -154,25 +154,25 @@
         if data.is_empty() { Err("lacks the manifest".into()) } else { Ok(data) }
     }
 
-    async fn draw(self, digest: ManifestDigest, draw: ChunkDraw, held: ChunkBitmap) {
+    async fn draw(self, digest: ManifestDigest, draw: ChunkFetch, held: ChunkBitmap) {
         let outcome = match &draw.source {
             ChunkSource::Origin => self.draw_from_origin(digest, &draw).await,
             ChunkSource::Peer(id) | ChunkSource::Relay(id) => {
                 self.draw_from_peer(digest, &draw, id, held).await
             }
         };
-        if outcome == DrawOutcome::Corrupt {
+        if outcome == FetchOutcome::Corrupt {
             let _ = self.context.metrics.count("chunks_corrupt", 1);
         }
-        let ChunkDraw { index, source, .. } = draw;
-        self.report(AgentEvent::DrawFinished { digest, index, source, outcome }).await;
+        let ChunkFetch { index, source, .. } = draw;
+        self.report(AgentEvent::FetchEnded { digest, index, source, outcome }).await;
     }
 
-    async fn draw_from_origin(&self, digest: ManifestDigest, draw: &ChunkDraw) -> DrawOutcome {
+    async fn draw_from_origin(&self, digest: ManifestDigest, draw: &ChunkFetch) -> FetchOutcome {
         let Some(manifest) = self.context.store.manifest(digest) else {
-            return DrawOutcome::Failed;
+            return FetchOutcome::Failed;
         };
-        match self.context.origin.chunk(&manifest, draw.index, draw.patience).await {
+        match self.context.origin.chunk(&manifest, draw.index, draw.timeout).await {
             Ok(bytes) => self.keep(digest, draw, bytes, "chunk_bytes_origin").await,
             Err(error) => {
                 log::warn!(
@@ -180,7 +180,7 @@
                     digest.short(),
                     draw.index
                 );
-                DrawOutcome::Failed
+                FetchOutcome::Failed
             }
         }
     }
@@ -188,21 +188,21 @@
     async fn draw_from_peer(
         &self,
         digest: ManifestDigest,
-        draw: &ChunkDraw,
+        draw: &ChunkFetch,
         id: &InstanceId,
         held: ChunkBitmap,
-    ) -> DrawOutcome {
-        let Some(mut client) = self.client(id).await else { return DrawOutcome::Failed };
+    ) -> FetchOutcome {
+        let Some(mut client) = self.client(id).await else { return FetchOutcome::Failed };
         let sent = proto::FetchChunkRequest {
             manifest: digest_bytes(digest),
             index: draw.index.0,
             instance: self.context.own.to_string(),
             bitmap: held.to_bytes().into(),
         };
-        let call = tokio::time::timeout(draw.patience.to_std(), client.fetch_chunk(sent)).await;
+        let call = tokio::time::timeout(draw.timeout.to_std(), client.fetch_chunk(sent)).await;
         let Ok(Ok(answer)) = call else {
             self.report(AgentEvent::PeerFailed(id.clone())).await;
-            return DrawOutcome::Failed;
+            return FetchOutcome::Failed;
         };
         let answer = answer.into_inner();
         if let Some(holding) = answer.holding {
@@ -213,9 +213,9 @@
             Some(Reply::Data(bytes)) => self.keep(digest, draw, bytes, "chunk_bytes_peer").await,
             Some(Reply::Refusal(refusal)) if refusal.busy => {
                 let others = refusal.others.iter().filter_map(|name| name.parse().ok());
-                DrawOutcome::Busy(others.collect())
+                FetchOutcome::Busy(others.collect())
             }
-            _ => DrawOutcome::Missing,
+            _ => FetchOutcome::Missing,
         }
     }
 
@@ -223,17 +223,17 @@
     async fn keep(
         &self,
         digest: ManifestDigest,
-        draw: &ChunkDraw,
+        draw: &ChunkFetch,
         bytes: Bytes,
         metric: &str,
-    ) -> DrawOutcome {
+    ) -> FetchOutcome {
         let size = bytes.len();
         self.context.downloads.receive(ByteSize(size as u64)).await;
         if !self.context.store.keep(digest, draw.index, bytes) {
-            return DrawOutcome::Corrupt;
+            return FetchOutcome::Corrupt;
         }
         let _ = self.context.metrics.count(metric, size as i64);
-        DrawOutcome::Verified
+        FetchOutcome::Verified
     }
 
     async fn exchange(
@@ -266,7 +266,7 @@
         let total = self.context.store.manifest(digest).map_or(0, |it| it.chunk_count());
         let bitmap = ChunkBitmap::from_bytes(&holding.bitmap, total);
         let (id, queue, serving) = (id.clone(), holding.queue, Some(holding.serving));
-        self.report(AgentEvent::HoldingSeen { digest, id, bitmap, queue, serving }).await;
+        self.report(AgentEvent::HoldingsReceived { digest, id, bitmap, queue, serving }).await;
     }
 
     async fn order_load(self, order: LoadOrder) {
--- a/mustardrill_agent/src/server.rs
+++ b/mustardrill_agent/src/server.rs
@@ -86,7 +86,7 @@
         let now = self.context.clock.now();
         let words: Vec<_> = sent.iter().filter_map(|row| crash_word(now, row)).collect();
         if !words.is_empty() {
-            let _ = self.actor.tell(Event(AgentEvent::CrashesHeard(words))).await;
+            let _ = self.actor.tell(Event(AgentEvent::CrashesReported(words))).await;
         }
     }
 
@@ -94,7 +94,7 @@
     async fn trade_demand(&self, sent: &proto::SyncRequest) -> (Vec<DemandRow>, u32) {
         if let Ok(entry) = sent.entry.parse() {
             let rows = sent.demand.iter().filter_map(demand_row).collect();
-            let _ = self.actor.tell(Event(AgentEvent::DemandSeen(entry, rows))).await;
+            let _ = self.actor.tell(Event(AgentEvent::DemandReported(entry, rows))).await;
         }
         self.actor.ask(DemandQuery).await.unwrap_or_default()
     }
@@ -110,7 +110,7 @@
         let Ok(id) = instance.parse() else { return };
         let Some(manifest) = self.context.store.manifest(digest) else { return };
         let bitmap = ChunkBitmap::from_bytes(bitmap, manifest.chunk_count());
-        let event = AgentEvent::HoldingSeen { digest, id, bitmap, queue: 0, serving };
+        let event = AgentEvent::HoldingsReceived { digest, id, bitmap, queue: 0, serving };
         let _ = self.actor.tell(Event(event)).await;
     }
 }
@@ -133,7 +133,7 @@
     ) -> Result<Response<proto::SyncReply>, Status> {
         let sent = request.into_inner();
         if let Some(document) = catalogue_of(&sent.catalogue, &sent.entry) {
-            let _ = self.actor.tell(Event(AgentEvent::CatalogueSeen(Arc::new(document)))).await;
+            let _ = self.actor.tell(Event(AgentEvent::CatalogueReceived(Arc::new(document)))).await;
         }
         self.note_crashes(&sent.crashes).await;
         let (demand, entries) =
--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/stock/actor.rs
@@ -7,7 +7,8 @@
 use kameo::prelude::*;
 use mustardrill_core::manifest::Manifest;
 use mustardrill_core::provisioning::{
-    EntryBook, StockEffect, StockEvent, StockReducer, StockStatus, VersionId,
+    EntryDirectory, ProvisioningEffect, ProvisioningEvent, ProvisioningReducer, ProvisioningStatus,
+    VersionId,
 };
 use mustardrill_core::transfer::ChunkSource;
 use mustardrill_runtime::border::{ChunkList, ChunkOrigin, EngineControl, FleetSource};
@@ -55,7 +56,7 @@
     pub(crate) metrics: StatsdClient,
     pub(crate) shelf: ChunkShelf,
     /// Where the entries listen.
-    pub(crate) entries: Mutex<EntryBook>,
+    pub(crate) entries: Mutex<EntryDirectory>,
     /// How many words the entries were told of the engine.
     pub(crate) words: AtomicU64,
     pub(crate) halt: CancellationToken,
@@ -64,14 +65,14 @@
 /// Owns the reducer; all decisions are made here, one after the other.
 #[derive(Actor)]
 pub(crate) struct StockActor {
-    reducer: StockReducer,
+    reducer: ProvisioningReducer,
     context: Arc<StockContext>,
     lists: FastMap<VersionId, Arc<ChunkList>>,
     draws: FastMap<(ChunkIndex, Box<str>), CancellationToken>,
 }
 
 /// An event for the reducer.
-pub(crate) struct Event(pub(crate) StockEvent);
+pub(crate) struct Event(pub(crate) ProvisioningEvent);
 
 /// A list of chunks that was fetched; nothing where it could not be had.
 pub(crate) struct ListFetched(pub(crate) VersionId, pub(crate) Option<ChunkList>);
@@ -94,11 +95,11 @@
 
 /// The answer to `StatusQuery`.
 #[derive(Debug, Reply)]
-pub(crate) struct StatusReply(pub(crate) StockStatus);
+pub(crate) struct StatusReply(pub(crate) ProvisioningStatus);
 
 impl StockActor {
-    fn reduce(&mut self, event: StockEvent, actor: &ActorRef<Self>) {
-        if let StockEvent::DrawEnded(_, index, source, _) = &event {
+    fn reduce(&mut self, event: ProvisioningEvent, actor: &ActorRef<Self>) {
+        if let ProvisioningEvent::FetchEnded(_, index, source, _) = &event {
             self.draws.remove(&draw_key(*index, source));
         }
         let now = self.context.clock.now();
@@ -107,14 +108,14 @@
         }
     }
 
-    fn carry_out(&mut self, effect: StockEffect, actor: &ActorRef<Self>) {
+    fn carry_out(&mut self, effect: ProvisioningEffect, actor: &ActorRef<Self>) {
         let (context, actor) = (self.context.clone(), actor.clone());
         match effect {
-            StockEffect::ReadPeers => effects::read_peers(context, actor),
-            StockEffect::FetchList(version, sources) => {
+            ProvisioningEffect::ReadPeers => effects::read_peers(context, actor),
+            ProvisioningEffect::FetchManifest(version, sources) => {
                 effects::fetch_list(context, actor, version, sources);
             }
-            StockEffect::Draw(version, draw, address) => {
+            ProvisioningEffect::FetchChunk(version, draw, address) => {
                 let Some(list) = self.lists.get(&version).cloned() else { return };
                 let token = self.context.halt.child_token();
                 self.draws.insert(draw_key(draw.index, &draw.source), token.clone());
@@ -126,23 +127,25 @@
                     token,
                 );
             }
-            StockEffect::CancelDraw(index, source) => {
+            ProvisioningEffect::CancelFetch(index, source) => {
                 if let Some(token) = self.draws.remove(&draw_key(index, &source)) {
                     token.cancel();
                 }
             }
-            StockEffect::TellHolding { version, to, bitmap, asks } => {
-                peers::tell_holding(context, &version, to, &bitmap, asks);
+            ProvisioningEffect::SendHoldings { version, to, bitmap, wants_reply } => {
+                peers::tell_holding(context, &version, to, &bitmap, wants_reply);
             }
-            StockEffect::ReadBack(version) => {
+            ProvisioningEffect::VerifyStaged(version) => {
                 let Some(list) = self.lists.get(&version).cloned() else { return };
                 effects::read_back(context, actor, version, list);
             }
-            StockEffect::Order(version, sequence) => {
+            ProvisioningEffect::OrderLoad(version, sequence) => {
                 effects::order(context, actor, version, sequence);
             }
-            StockEffect::TellEntries(model, word) => effects::tell_entries(context, model, word),
-            StockEffect::DropList(version) => {
+            ProvisioningEffect::NotifyEntries(model, word) => {
+                effects::tell_entries(context, model, word)
+            }
+            ProvisioningEffect::DropManifest(version) => {
                 self.lists.remove(&version);
             }
         }
@@ -176,7 +179,7 @@
             self.lists.insert(version.clone(), Arc::new(list));
             manifest
         });
-        self.reduce(StockEvent::ListSeen(version, manifest), &actor);
+        self.reduce(ProvisioningEvent::ManifestFetched(version, manifest), &actor);
     }
 }
 
@@ -261,7 +264,7 @@
 pub async fn spawn(config: StockConfig, borders: StockBorders) -> std::io::Result<StockHandle> {
     let halt = CancellationToken::new();
     let socket = UdpSocket::bind(config.listen).await?;
-    let reducer = StockReducer::new(config.stock.clone(), rand::random());
+    let reducer = ProvisioningReducer::new(config.stock.clone(), rand::random());
     let page = Arc::new(MetricPage::new(&METRICS));
     let (listen, link_mbps) = (config.listen, config.link_mbps);
     log::info!(
--- a/mustardrill_agent/src/stock/config.rs
+++ b/mustardrill_agent/src/stock/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use log::LevelFilter;
-use mustardrill_core::provisioning::{StockSettings, TurnSettings};
+use mustardrill_core::provisioning::{ProvisioningSettings, RolloutSettings};
 use mustardrill_core::transfer::TransferSettings;
 use mustardrill_runtime::config::{local, name};
 use mustardrill_runtime::settings::{PlatformKind, SettingsOutcome, SettingsReader};
@@ -29,7 +29,7 @@
     /// What the machine's link carries, in Mbit/s.
     pub link_mbps: f64,
     /// What the reducer is told.
-    pub stock: StockSettings,
+    pub stock: ProvisioningSettings,
 }
 
 /// The part of the version bound after which the first engine loads, in percent: about when a version
@@ -57,19 +57,19 @@
         watch: reader.value("platform", "watch", Millis(4_000)),
         look_every: reader.value("upstream", "look_every", Millis(250)),
         link_mbps: reader.bounded("weights", "link_mbps", 1_000.0, 0.1, 1_000_000.0),
-        stock: StockSettings {
+        stock: ProvisioningSettings {
             own,
             data_centre: name(&mut reader, "agent", "data_centre"),
             service: name(&mut reader, "agent", "service"),
             engine: reader.required("upstream", "address", "IP:PORT", local()),
             port: listen.port(),
             transfer: transfer(&mut reader),
-            turns: TurnSettings {
+            rollout: RolloutSettings {
                 first: Millis(version.0 * FIRST_TURN_PERCENT / 100),
                 last: Millis(version.0.saturating_sub(LAST_TURN_RESERVE.0)),
-                switch: reader.value("weights", "switch", Millis(2_000)),
+                load_duration: reader.value("weights", "switch", Millis(2_000)),
             },
-            tell_every: reader.value("weights", "exchange_every", Millis(35)),
+            holdings_interval: reader.value("weights", "exchange_every", Millis(35)),
         },
     };
     reader.finish(config)
@@ -79,20 +79,20 @@
     let default = TransferSettings::default();
     TransferSettings {
         origin_copies: reader.bounded("weights", "origin_copies", default.origin_copies, 1, 4),
-        drawers: reader.bounded("weights", "drawers", 40, 1, 1_000),
+        max_seeders: reader.bounded("weights", "drawers", 40, 1, 1_000),
         window: reader.bounded("weights", "window", 6, 1, 256),
         origin_window: reader.bounded("weights", "origin_window", 1, 1, 64),
         partners: reader.bounded("weights", "partners", 96, 1, 1_000),
         stall_after: reader.value("weights", "stall_after", Millis(500)),
-        chunk_patience: reader.value("weights", "chunk_patience", default.chunk_patience),
+        chunk_timeout: reader.value("weights", "chunk_patience", default.chunk_timeout),
         corrupt_limit: reader.bounded("weights", "corrupt_limit", default.corrupt_limit, 1, 100),
         sample: default.sample,
-        far_drawers: reader.bounded("weights", "far_drawers", 1, 0, 1_000),
-        homes: reader.value("weights", "homes", true),
+        remote_fetchers: reader.bounded("weights", "far_drawers", 1, 0, 1_000),
+        uses_primary_holders: reader.value("weights", "homes", true),
         relay_window: reader.bounded("weights", "entry_window", 3, 0, 64),
         // Set for each version.
-        relays_first: default.relays_first,
+        prefers_relays: default.prefers_relays,
         // Set by the origin's rate in the configuration.
-        origin_pace: default.origin_pace,
+        origin_chunk_ms: default.origin_chunk_ms,
     }
 }
--- a/mustardrill_agent/src/stock/effects.rs
+++ b/mustardrill_agent/src/stock/effects.rs
@@ -11,8 +11,10 @@
 use kameo::prelude::*;
 use mustardrill_core::direct::{EngineWord, PeerRecord};
 use mustardrill_core::manifest::ChunkBitmap;
-use mustardrill_core::provisioning::{OrderFate, StockEvent, VersionId, WeightSource};
-use mustardrill_core::transfer::{ChunkDraw, ChunkSource, DrawOutcome};
+use mustardrill_core::provisioning::{
+    LoadOrderOutcome, ManifestSource, ProvisioningEvent, VersionId,
+};
+use mustardrill_core::transfer::{ChunkFetch, ChunkSource, FetchOutcome};
 use mustardrill_runtime::border::{ChunkList, FleetPart, OrderAnswer};
 use mustardrill_runtime::datagram::{Datagram, EngineRow};
 use mustardrill_runtime::http::request;
@@ -39,7 +41,7 @@
 /// A chunk to be drawn.
 pub(crate) struct ChunkOrder {
     pub(crate) version: VersionId,
-    pub(crate) draw: ChunkDraw,
+    pub(crate) draw: ChunkFetch,
     pub(crate) address: SocketAddr,
 }
 
@@ -47,18 +49,18 @@
 pub(crate) fn read_peers(context: Arc<StockContext>, actor: ActorRef<StockActor>) {
     tokio::spawn(async move {
         if let Some(page) = fleet::ask_known(&context).await {
-            let _ = actor.tell(Event(StockEvent::Fleet(page))).await;
+            let _ = actor.tell(Event(ProvisioningEvent::FleetUpdated(page))).await;
             return;
         }
         match fleet::stored_entries(&context).await {
             Ok(entries) => {
-                let _ = actor.tell(Event(StockEvent::RelaysSeen(entries))).await;
+                let _ = actor.tell(Event(ProvisioningEvent::EntriesRead(entries))).await;
             }
             Err(error) => log::warn!("entries outcome=kept reason=\"{error}\""),
         }
         match context.borders.source.read_part(FleetPart::Upstreams).await {
             Ok(page) => {
-                let _ = actor.tell(Event(StockEvent::Fleet(page))).await;
+                let _ = actor.tell(Event(ProvisioningEvent::FleetUpdated(page))).await;
             }
             // The peers known from before do for a transfer.
             Err(error) => log::warn!("peers outcome=kept reason=\"{error}\""),
@@ -71,7 +73,7 @@
     context: Arc<StockContext>,
     actor: ActorRef<StockActor>,
     version: VersionId,
-    sources: Vec<WeightSource>,
+    sources: Vec<ManifestSource>,
 ) {
     tokio::spawn(async move {
         let mut found = None;
@@ -96,18 +98,18 @@
 async fn list_from(
     context: &StockContext,
     version: &VersionId,
-    source: &WeightSource,
+    source: &ManifestSource,
 ) -> Result<ChunkList, Box<str>> {
     let origin = &context.borders.origin;
     let list = match source {
-        WeightSource::Origin(address) => {
+        ManifestSource::Origin(address) => {
             origin.list(*address, &version.model, version.version).await?
         }
-        WeightSource::Peer(peer) => {
+        ManifestSource::Peer(peer) => {
             let address = format!("{peer}:{}", context.config.stock.port);
             list_at(context, version, &address).await?
         }
-        WeightSource::Relay(address) => list_at(context, version, &address.to_string()).await?,
+        ManifestSource::Relay(address) => list_at(context, version, &address.to_string()).await?,
     };
     if list.model != version.model || list.version != version.version {
         return Err(format!("the list is of {}:{}", list.model, list.version).into());
@@ -140,15 +142,15 @@
 ) {
     tokio::spawn(async move {
         let drawing = draw_and_stage(&context, &list, &order);
-        let patience = order.draw.patience.to_std();
+        let patience = order.draw.timeout.to_std();
         let outcome = tokio::select! {
-            outcome = tokio::time::timeout(patience, drawing) => outcome.unwrap_or(DrawOutcome::Failed),
+            outcome = tokio::time::timeout(patience, drawing) => outcome.unwrap_or(FetchOutcome::Failed),
             () = token.cancelled() => return,
         };
         let name = outcome_name(&outcome);
         let _ = context.metrics.count(&format!("chunk_draws.{name}"), 1);
-        let ChunkDraw { index, source, .. } = order.draw;
-        let event = StockEvent::DrawEnded(order.version, index, source, outcome);
+        let ChunkFetch { index, source, .. } = order.draw;
+        let event = ProvisioningEvent::FetchEnded(order.version, index, source, outcome);
         let _ = actor.tell(Event(event)).await;
     });
 }
@@ -157,7 +159,7 @@
     context: &StockContext,
     list: &ChunkList,
     order: &ChunkOrder,
-) -> DrawOutcome {
+) -> FetchOutcome {
     let ChunkOrder { version, draw, address } = order;
     let bytes = match &draw.source {
         ChunkSource::Origin => {
@@ -165,7 +167,7 @@
             let chunk = origin.chunk(*address, &version.model, version.version, draw.index);
             chunk.await.map_err(|reason| {
                 log::info!("chunk version={version} index={} source=origin outcome=failed reason=\"{reason}\"", draw.index);
-                DrawOutcome::Failed
+                FetchOutcome::Failed
             })
         }
         ChunkSource::Peer(_) | ChunkSource::Relay(_) => chunk_from_peer(context, order).await,
@@ -175,14 +177,14 @@
         Err(outcome) => return outcome,
     };
     if !context.borders.origin.verifies(list, draw.index, &bytes) {
-        return DrawOutcome::Corrupt;
+        return FetchOutcome::Corrupt;
     }
     let length = bytes.len() as i64;
     let is_kept = context.shelf.keep(version, draw.index, &bytes);
     if !is_kept && !context.borders.engine.stage(&version.model, draw.index, bytes).await {
         log::warn!("chunk version={version} index={} outcome=not-staged", draw.index);
         // No fault of whoever gave it.
-        return DrawOutcome::Busy(Vec::new());
+        return FetchOutcome::Busy(Vec::new());
     }
     let source = match &draw.source {
         ChunkSource::Origin => "origin",
@@ -190,21 +192,24 @@
         ChunkSource::Peer(_) => "peer",
     };
     let _ = context.metrics.count(&format!("chunk_bytes.{source}"), length);
-    DrawOutcome::Verified
+    FetchOutcome::Verified
 }
 
 /// The outcome as a label of a metric.
-fn outcome_name(outcome: &DrawOutcome) -> &'static str {
+fn outcome_name(outcome: &FetchOutcome) -> &'static str {
     match outcome {
-        DrawOutcome::Verified => "whole",
-        DrawOutcome::Corrupt => "corrupt",
-        DrawOutcome::Busy(_) => "busy",
-        DrawOutcome::Missing => "missing",
-        DrawOutcome::Failed => "failed",
+        FetchOutcome::Verified => "whole",
+        FetchOutcome::Corrupt => "corrupt",
+        FetchOutcome::Busy(_) => "busy",
+        FetchOutcome::Missing => "missing",
+        FetchOutcome::Failed => "failed",
     }
 }
 
-async fn chunk_from_peer(context: &StockContext, order: &ChunkOrder) -> Result<Bytes, DrawOutcome> {
+async fn chunk_from_peer(
+    context: &StockContext,
+    order: &ChunkOrder,
+) -> Result<Bytes, FetchOutcome> {
     let uri = format!(
         "http://{}{}",
         order.address,
@@ -212,20 +217,20 @@
     );
     for _ in 0..PENDING_ASKS {
         let call = request("GET", &uri, Bytes::new());
-        let answer = context.client.call(call, order.draw.patience.to_std(), PEER_LIMIT).await;
+        let answer = context.client.call(call, order.draw.timeout.to_std(), PEER_LIMIT).await;
         let answer = answer.map_err(|error| {
             log::debug!("chunk call={uri} outcome=failed reason=\"{error}\"");
-            DrawOutcome::Failed
+            FetchOutcome::Failed
         })?;
         match answer.status {
             StatusCode::OK => return Ok(answer.body),
             // It is being drawn.
             StatusCode::ACCEPTED => {}
-            StatusCode::SERVICE_UNAVAILABLE => return Err(DrawOutcome::Busy(Vec::new())),
-            _ => return Err(DrawOutcome::Missing),
+            StatusCode::SERVICE_UNAVAILABLE => return Err(FetchOutcome::Busy(Vec::new())),
+            _ => return Err(FetchOutcome::Missing),
         }
     }
-    Err(DrawOutcome::Busy(Vec::new()))
+    Err(FetchOutcome::Busy(Vec::new()))
 }
 
 /// Reads all staged chunks back and says which are whole.
@@ -245,7 +250,7 @@
                 whole.insert(index);
             }
         }
-        let _ = actor.tell(Event(StockEvent::ReadBack(version, whole))).await;
+        let _ = actor.tell(Event(ProvisioningEvent::StagedVerified(version, whole))).await;
     });
 }
 
@@ -262,11 +267,11 @@
             log::warn!("order version={version} sequence={sequence} outcome=\"{answer}\"");
         }
         let fate = match answer {
-            OrderAnswer::Taken => OrderFate::Taken,
-            OrderAnswer::Conflict => OrderFate::Refused,
-            OrderAnswer::Unknown(_) => OrderFate::Unknown,
+            OrderAnswer::Taken => LoadOrderOutcome::Accepted,
+            OrderAnswer::Conflict => LoadOrderOutcome::Rejected,
+            OrderAnswer::Unknown(_) => LoadOrderOutcome::Unknown,
         };
-        let _ = actor.tell(Event(StockEvent::Ordered(version, fate))).await;
+        let _ = actor.tell(Event(ProvisioningEvent::LoadOrderEnded(version, fate))).await;
     });
 }
 
@@ -284,7 +289,7 @@
         let addresses =
             |entries: &[PeerRecord]| entries.iter().map(|entry| entry.address).collect::<Vec<_>>();
         // Who is known is told at once: reading them anew may take as long as the store is away.
-        let known = addresses(context.entries.lock().await.known());
+        let known = addresses(context.entries.lock().await.entries());
         peers::send(context.clone(), datagram.clone(), known.clone());
         let fresh = fleet::entries(&context).await.map(|entries| addresses(&entries));
         let fresh = fresh.unwrap_or_else(|error| {
--- a/mustardrill_agent/src/stock/fleet.rs
+++ b/mustardrill_agent/src/stock/fleet.rs
@@ -54,7 +54,7 @@
 
 /// What one of the entries known from before tells of the fleet; nothing where none can.
 pub(crate) async fn ask_known(context: &StockContext) -> Option<FleetUpdate> {
-    let known = context.entries.lock().await.known().to_vec();
+    let known = context.entries.lock().await.entries().to_vec();
     let page = ask_entry(context, known, 0).await?;
     note_entries(context, &page).await;
     Some(page)
@@ -74,7 +74,7 @@
 /// so that a word to those that are known does not wait for the store.
 pub(crate) async fn stored_entries(context: &StockContext) -> Result<Vec<PeerRecord>, StoreError> {
     if !is_due(context).await {
-        return Ok(context.entries.lock().await.known().to_vec());
+        return Ok(context.entries.lock().await.entries().to_vec());
     }
     let page = context.borders.source.read_part(FleetPart::Entries).await?;
     note_entries(context, &page).await;
@@ -83,12 +83,12 @@
 
 async fn is_due(context: &StockContext) -> bool {
     let now = context.clock.now();
-    context.entries.lock().await.is_due(now)
+    context.entries.lock().await.is_refresh_due(now)
 }
 
 async fn note_entries(context: &StockContext, page: &FleetUpdate) {
     let now = context.clock.now();
-    context.entries.lock().await.note(now, entries_of(page));
+    context.entries.lock().await.update(now, entries_of(page));
 }
 
 fn entries_of(page: &FleetUpdate) -> Vec<PeerRecord> {
--- a/mustardrill_agent/src/stock/peers.rs
+++ b/mustardrill_agent/src/stock/peers.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, Response, StatusCode};
 use kameo::prelude::*;
 use mustardrill_core::manifest::ChunkBitmap;
-use mustardrill_core::provisioning::{HoldingNews, StockEvent, VersionId};
+use mustardrill_core::provisioning::{HoldingsReport, ProvisioningEvent, VersionId};
 use mustardrill_runtime::datagram::{DATAGRAM_LIMIT, Datagram, HoldingRow};
 use mustardrill_runtime::http::{AnyResponse, HttpHandler, text_response, whole_body};
 use mustardrill_runtime::peer_call::PeerCall;
@@ -59,7 +59,7 @@
         return Response::new(whole_body(list.published.clone()));
     }
     // Whoever asks does so again in a moment, when the list may be here.
-    let _ = actor.tell(Event(StockEvent::ListWanted(version))).await;
+    let _ = actor.tell(Event(ProvisioningEvent::ManifestRequested(version))).await;
     text_response(StatusCode::NOT_FOUND, "not here\n")
 }
 
@@ -139,22 +139,22 @@
     }
 }
 
-fn event_of(datagram: Datagram) -> Option<StockEvent> {
+fn event_of(datagram: Datagram) -> Option<ProvisioningEvent> {
     if let Some(named) = datagram.named {
         let version = WeightVersion(named.version);
-        return Some(StockEvent::VersionHeard(named.model.parse().ok()?, version));
+        return Some(ProvisioningEvent::VersionReported(named.model.parse().ok()?, version));
     }
-    news_of(datagram).map(StockEvent::HoldingSeen)
+    news_of(datagram).map(ProvisioningEvent::HoldingsReceived)
 }
 
-fn news_of(datagram: Datagram) -> Option<HoldingNews> {
+fn news_of(datagram: Datagram) -> Option<HoldingsReport> {
     let row = datagram.holding?;
     let version = VersionId { model: row.model.parse().ok()?, version: WeightVersion(row.version) };
-    Some(HoldingNews {
+    Some(HoldingsReport {
         from: datagram.from.parse().ok()?,
         version,
         bitmap: row.bitmap.into(),
         queue: row.queue,
-        asks: row.asks,
+        wants_reply: row.asks,
     })
 }
--- a/mustardrill_agent/src/stock/watch.rs
+++ b/mustardrill_agent/src/stock/watch.rs
@@ -6,7 +6,7 @@
 use kameo::prelude::*;
 use log::{info, warn};
 use mustardrill_core::direct::{CursorVerdict, FleetChange, StoreCursor, WatchTiming};
-use mustardrill_core::provisioning::{EngineView, StockEvent};
+use mustardrill_core::provisioning::{EngineView, ProvisioningEvent};
 use mustardrill_runtime::backoff::RetryBackoff;
 use mustardrill_runtime::border::{EngineState, FleetPart, FleetScope, StoreError};
 use mustardrill_types::Millis;
@@ -76,7 +76,7 @@
                 if page.changes.iter().any(|change| matches!(change, FleetChange::Configured(_))) {
                     scope = FleetScope::Versions;
                 }
-                let _ = actor.tell(Event(StockEvent::Fleet(page))).await;
+                let _ = actor.tell(Event(ProvisioningEvent::FleetUpdated(page))).await;
             }
             Err(error @ (StoreError::HistoryGone | StoreError::EraChanged)) => {
                 info!(
@@ -101,7 +101,7 @@
         if state.is_some() {
             stage_kept(&context).await;
         }
-        let _ = actor.tell(Event(StockEvent::EngineSeen(state))).await;
+        let _ = actor.tell(Event(ProvisioningEvent::EnginePolled(state))).await;
         let asked = context.clock.now();
         loop {
             let busy = actor.ask(BusyQuery).await.unwrap_or(false);
@@ -114,7 +114,7 @@
             if context.clock.now().since(asked) >= look {
                 break;
             }
-            let _ = actor.tell(Event(StockEvent::Woke)).await;
+            let _ = actor.tell(Event(ProvisioningEvent::Tick)).await;
         }
     }
 }
--- a/mustardrill_agent/tests/words.rs
+++ b/mustardrill_agent/tests/words.rs
@@ -13,7 +13,7 @@
     CallerLimits, EngineProfile, EngineWord, FleetChange, FleetUpdate, ModelProfile, PeerRecord,
     RouteDocument, ServedWeights, ServiceProfile, WatchTiming,
 };
-use mustardrill_core::provisioning::{StockSettings, TurnSettings};
+use mustardrill_core::provisioning::{ProvisioningSettings, RolloutSettings};
 use mustardrill_core::transfer::TransferSettings;
 use mustardrill_runtime::border::{
     ChunkList, ChunkOrigin, EngineControl, EngineState, FleetPart, FleetScope, FleetSource,
@@ -190,7 +190,8 @@
 }
 
 fn config(listen: SocketAddr) -> StockConfig {
-    let turns = TurnSettings { first: Millis(2_400), last: Millis(7_100), switch: Millis(2_000) };
+    let rollout =
+        RolloutSettings { first: Millis(2_400), last: Millis(7_100), load_duration: Millis(2_000) };
     StockConfig {
         instance: "agent-1".into(),
         listen,
@@ -200,15 +201,15 @@
         watch: Millis(4_000),
         look_every: Millis(25),
         link_mbps: 1_000.0,
-        stock: StockSettings {
+        stock: ProvisioningSettings {
             own: listen.ip().to_string().parse().unwrap(),
             data_centre: "hall-a".parse().unwrap(),
             service: "pool".parse().unwrap(),
             engine: SocketAddr::from(([127, 0, 0, 1], 1)),
             port: listen.port(),
             transfer: TransferSettings::default(),
-            turns,
-            tell_every: Millis(35),
+            rollout,
+            holdings_interval: Millis(35),
         },
     }
 }
--- a/mustardrill_core/examples/burst.rs
+++ b/mustardrill_core/examples/burst.rs
@@ -12,7 +12,7 @@
 
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::transfer::{
-    ChunkSource, DrawOutcome, TransferPeer, TransferPlan, TransferSettings,
+    ChunkSource, FetchOutcome, TransferPeer, TransferPlan, TransferSettings,
 };
 use mustardrill_types::{
     ByteSize, ChunkIndex, FastMap, InstanceId, ManifestDigest, Millis, Moment,
@@ -78,7 +78,7 @@
         options.chunks,
         options.seed,
         options.settings.origin_copies,
-        options.settings.drawers,
+        options.settings.max_seeders,
         options.kill_percent
     );
     println!(
@@ -107,7 +107,7 @@
         kill_percent: 0,
         settings: TransferSettings {
             stall_after: Millis(15 * CHUNK_MS),
-            chunk_patience: Millis(100 * CHUNK_MS),
+            chunk_timeout: Millis(100 * CHUNK_MS),
             ..TransferSettings::default()
         },
     };
@@ -122,7 +122,7 @@
             "--chunks" => options.chunks = number() as u32,
             "--seed" => options.seed = number() as u64,
             "--copies" => options.settings.origin_copies = number(),
-            "--drawers" => options.settings.drawers = number(),
+            "--drawers" => options.settings.max_seeders = number(),
             "--window" => options.settings.window = number(),
             "--origin-window" => options.settings.origin_window = number(),
             "--partners" => options.settings.partners = number(),
@@ -215,13 +215,13 @@
         }
         let now = Moment(self.now);
         self.timed(agent, |plan| {
-            plan.overdue(now);
+            plan.expire_fetches(now);
         });
         let stale = self.machines[agent].plan.partners().stale_partners(now, Millis(CHUNK_MS));
         for id in stale {
             let holder = self.places[&id];
             if self.machines[holder].is_dead {
-                self.machines[agent].plan.shun(now, &id);
+                self.machines[agent].plan.record_peer_failure(now, &id);
             } else {
                 self.hear(agent, holder);
                 self.hear(holder, agent);
@@ -237,13 +237,13 @@
         let queue = self.machines[holder].uploads as u32;
         let id = self.peers[holder].id.clone();
         let now = Moment(self.now);
-        self.timed(agent, |plan| plan.heard(now, &id, held, queue));
+        self.timed(agent, |plan| plan.record_holdings(now, &id, held, queue));
     }
 
     fn draw(&mut self, agent: usize) {
         let now = Moment(self.now);
         let mut draws = Vec::new();
-        self.timed(agent, |plan| draws = plan.next_draws(now));
+        self.timed(agent, |plan| draws = plan.next_fetches(now));
         for draw in draws {
             let index = draw.index.0;
             match draw.source {
@@ -304,24 +304,24 @@
             }
             None => ChunkSource::Origin,
         };
-        self.finish(agent, index, &source, &DrawOutcome::Verified);
+        self.finish(agent, index, &source, &FetchOutcome::Verified);
     }
 
     fn turned(&mut self, agent: usize, holder: usize, index: u32, busy: bool) {
         self.hear(agent, holder);
         let others = self.machines[holder].plan.partners().holders(ChunkIndex(index), 4);
-        let outcome = if busy { DrawOutcome::Busy(others) } else { DrawOutcome::Missing };
+        let outcome = if busy { FetchOutcome::Busy(others) } else { FetchOutcome::Missing };
         let source = ChunkSource::Peer(self.peers[holder].id.clone());
         self.finish(agent, index, &source, &outcome);
     }
 
-    fn finish(&mut self, agent: usize, index: u32, source: &ChunkSource, outcome: &DrawOutcome) {
+    fn finish(&mut self, agent: usize, index: u32, source: &ChunkSource, outcome: &FetchOutcome) {
         if self.machines[agent].is_dead {
             return;
         }
         let now = Moment(self.now);
         self.timed(agent, |plan| {
-            plan.finished(now, ChunkIndex(index), source, outcome);
+            plan.record_outcome(now, ChunkIndex(index), source, outcome);
         });
         let machine = &mut self.machines[agent];
         if machine.plan.is_complete() {
--- a/mustardrill_core/src/agent/event.rs
+++ b/mustardrill_core/src/agent/event.rs
@@ -16,21 +16,21 @@
 use crate::ownership::{OwnerAnswer, OwnerCall, OwnerSettings};
 use crate::quarantine::CrashReport;
 use crate::refusal::AttemptRefusal;
-use crate::transfer::{ChunkDraw, ChunkSource, DrawOutcome, TransferPeer, TransferSettings};
+use crate::transfer::{ChunkFetch, ChunkSource, FetchOutcome, TransferPeer, TransferSettings};
 
 /// An input of the agent's reducer.
 #[derive(Debug, Clone)]
 pub enum AgentEvent {
     /// An entry or the platform's service sent a catalogue.
-    CatalogueSeen(Arc<CatalogueDocument>),
+    CatalogueReceived(Arc<CatalogueDocument>),
     /// The platform's instance list was read.
-    InstancesSeen(Vec<InstanceRecord>),
+    InstancesRead(Vec<InstanceRecord>),
     /// A manifest was fetched and has the pinned digest.
     ManifestLoaded(Arc<Manifest>, ManifestDigest),
     /// A manifest could not be fetched; the reason.
     ManifestFailed(ManifestDigest, Box<str>),
     /// A peer reported the chunks that it holds.
-    HoldingSeen {
+    HoldingsReceived {
         /// The version.
         digest: ManifestDigest,
         /// The peer.
@@ -45,7 +45,7 @@
     /// A peer did not respond.
     PeerFailed(InstanceId),
     /// A chunk fetch ended.
-    DrawFinished {
+    FetchEnded {
         /// The version.
         digest: ManifestDigest,
         /// The chunk.
@@ -53,10 +53,10 @@
         /// Where it was fetched from.
         source: ChunkSource,
         /// The outcome of the fetch.
-        outcome: DrawOutcome,
+        outcome: FetchOutcome,
     },
     /// The upstream reported what it serves; `None` if it could not be reached.
-    EngineSeen(Option<EngineReport>),
+    EnginePolled(Option<EngineReport>),
     /// The upstream responded to a load order; the reason if it refused.
     LoadAnswered(ManifestDigest, Result<(), Box<str>>),
     /// The platform's service responded to a call about the lease.
@@ -77,12 +77,12 @@
     /// The upstream completed a dispatched attempt, or its connection is closed.
     RequestFinished(AttemptId),
     /// An entry reported its recent customer demand.
-    DemandSeen(InstanceId, Vec<DemandRow>),
+    DemandReported(InstanceId, Vec<DemandRow>),
     /// An entry reported requests whose upstream crashed.
-    CrashesHeard(Vec<CrashReport>),
+    CrashesReported(Vec<CrashReport>),
     /// An entry requests a claim. The wall clock, in seconds, is only used for the claim's
     /// retention.
-    ClaimAsked(RequestKey, AttemptId, u64),
+    ClaimRequested(RequestKey, AttemptId, u64),
     /// An entry releases a claim, as the request was not run.
     ClaimReleased(RequestKey, AttemptId, u64),
     /// The platform's service responded to a read or write of a claim shard.
@@ -110,9 +110,9 @@
         sources: Vec<ChunkSource>,
     },
     /// Fetch a chunk.
-    DrawChunk(ManifestDigest, ChunkDraw),
+    FetchChunk(ManifestDigest, ChunkFetch),
     /// Cancel a fetch whose result is no longer needed.
-    CancelDraw(ManifestDigest, ChunkIndex, ChunkSource),
+    CancelFetch(ManifestDigest, ChunkIndex, ChunkSource),
     /// Exchange holdings with a peer.
     Exchange(ManifestDigest, InstanceId),
     /// Order the upstream to load staged weights.
@@ -204,7 +204,7 @@
     /// Interval after which a partner that has not reported its holdings is asked for them.
     pub exchange_every: Millis,
     /// Maximum time that a switch waits for the instance before it in the wave order.
-    pub wave_patience: Millis,
+    pub wave_timeout: Millis,
     /// Delay before a failed manifest fetch, load order or engine read is retried.
     pub retry_every: Millis,
     /// Whether the upstream is a model engine; a plain service receives no load orders.
--- a/mustardrill_core/src/agent/load_wave.rs
+++ b/mustardrill_core/src/agent/load_wave.rs
@@ -79,7 +79,7 @@
             return None;
         }
         let since = *state.wave_wait_since.get_or_insert(now);
-        if now.since(since) >= self.settings.wave_patience {
+        if now.since(since) >= self.settings.wave_timeout {
             warn!("load manifest={} decision=skip-wait instance={id}", digest.short());
             return None;
         }
--- a/mustardrill_core/src/agent/reducer.rs
+++ b/mustardrill_core/src/agent/reducer.rs
@@ -85,8 +85,8 @@
     /// Handles one event and returns the effects to carry out.
     pub fn reduce(&mut self, now: Moment, event: AgentEvent) -> Vec<AgentEffect> {
         match event {
-            AgentEvent::CatalogueSeen(document) => self.apply_catalogue(now, document),
-            AgentEvent::InstancesSeen(list) => self.apply_instances(now, list),
+            AgentEvent::CatalogueReceived(document) => self.apply_catalogue(now, document),
+            AgentEvent::InstancesRead(list) => self.apply_instances(now, list),
             AgentEvent::ManifestLoaded(manifest, digest) => {
                 self.weights.manifest_loaded(now, manifest, digest, &self.members)
             }
@@ -94,7 +94,7 @@
                 self.weights.manifest_failed(now, digest, &reason);
                 Vec::new()
             }
-            AgentEvent::HoldingSeen { digest, id, bitmap, queue, serving } => {
+            AgentEvent::HoldingsReceived { digest, id, bitmap, queue, serving } => {
                 self.members.record_success(&id);
                 self.weights.holdings_received(now, digest, &id, bitmap, queue, serving)
             }
@@ -103,10 +103,10 @@
                 self.weights.peer_failed(now, &id);
                 Vec::new()
             }
-            AgentEvent::DrawFinished { digest, index, source, outcome } => {
+            AgentEvent::FetchEnded { digest, index, source, outcome } => {
                 self.weights.chunk_fetch_ended(now, digest, index, &source, &outcome)
             }
-            AgentEvent::EngineSeen(report) => {
+            AgentEvent::EnginePolled(report) => {
                 let mut effects = self.weights.engine_observed(now, report, &self.members);
                 effects.extend(self.advance_weights(now));
                 effects
@@ -120,15 +120,15 @@
             }
             AgentEvent::RequestWithdrawn(attempt) => self.request_withdrawn(now, attempt),
             AgentEvent::RequestFinished(attempt) => self.request_finished(now, attempt),
-            AgentEvent::DemandSeen(entry, rows) => {
+            AgentEvent::DemandReported(entry, rows) => {
                 self.demand.record_report(now, entry, rows);
                 Vec::new()
             }
-            AgentEvent::CrashesHeard(reports) => {
+            AgentEvent::CrashesReported(reports) => {
                 reports.into_iter().for_each(|report| self.crashes.record(now, report));
                 Vec::new()
             }
-            AgentEvent::ClaimAsked(key, attempt, wall_s) => {
+            AgentEvent::ClaimRequested(key, attempt, wall_s) => {
                 self.claim_wall_clock = Some((now, wall_s));
                 claim_effects(self.claims.claim(now, wall_s, key, attempt))
             }
--- a/mustardrill_core/src/agent/weights_table.rs
+++ b/mustardrill_core/src/agent/weights_table.rs
@@ -18,7 +18,7 @@
 use crate::membership::MemberTable;
 use crate::placement::assign_instances;
 use crate::rendezvous;
-use crate::transfer::{ChunkSource, DrawOutcome, TransferPeer, TransferPlan};
+use crate::transfer::{ChunkSource, FetchOutcome, TransferPeer, TransferPlan};
 
 /// All versions of weights that one agent should serve.
 #[derive(Debug)]
@@ -175,7 +175,7 @@
             None => {}
         }
         if let Some(plan) = self.plan(digest) {
-            plan.heard(now, id, bitmap, queue);
+            plan.record_holdings(now, id, bitmap, queue);
         }
         self.start_fetches(now, digest)
     }
@@ -185,7 +185,7 @@
             if let VersionStage::FetchingChunks(plan) | VersionStage::Staged(plan) =
                 &mut state.stage
             {
-                plan.shun(now, id);
+                plan.record_peer_failure(now, id);
             }
         }
     }
@@ -196,13 +196,13 @@
         digest: ManifestDigest,
         index: ChunkIndex,
         source: &ChunkSource,
-        outcome: &DrawOutcome,
+        outcome: &FetchOutcome,
     ) -> Vec<AgentEffect> {
         let Some(state) = self.versions.get_mut(&digest) else { return Vec::new() };
         let VersionStage::FetchingChunks(plan) = &mut state.stage else { return Vec::new() };
-        plan.finished(now, index, source, outcome);
+        plan.record_outcome(now, index, source, outcome);
         state.transfer_rate.add_sample(now, plan.held().count());
-        if *outcome == DrawOutcome::Corrupt {
+        if *outcome == FetchOutcome::Corrupt {
             warn!(
                 "chunk manifest={} index={index} source={source} decision=drop reason=corrupt",
                 digest.short()
@@ -211,7 +211,7 @@
                 state.trouble = format!("the origin sent chunk {index} with another digest").into();
             }
         }
-        if *outcome == DrawOutcome::Verified && *source == ChunkSource::Origin {
+        if *outcome == FetchOutcome::Verified && *source == ChunkSource::Origin {
             state.trouble = "".into();
         }
         self.start_fetches(now, digest)
@@ -400,11 +400,11 @@
     fn continue_fetching(&mut self, now: Moment, digest: ManifestDigest) -> Vec<AgentEffect> {
         let interval = self.settings.exchange_every;
         let Some(plan) = self.plan(digest) else { return Vec::new() };
-        let overdue = plan.overdue(now);
+        let overdue = plan.expire_fetches(now);
         let stale = plan.partners().stale_partners(now, interval);
         let mut effects: Vec<_> = overdue
             .into_iter()
-            .map(|(index, source)| AgentEffect::CancelDraw(digest, index, source))
+            .map(|(index, source)| AgentEffect::CancelFetch(digest, index, source))
             .collect();
         effects.extend(stale.into_iter().map(|id| AgentEffect::Exchange(digest, id)));
         effects.extend(self.start_fetches(now, digest));
@@ -430,17 +430,17 @@
             state.trouble = "".into();
             return Vec::new();
         }
-        let draws = plan.next_draws(now);
-        draws
+        let fetches = plan.next_fetches(now);
+        fetches
             .into_iter()
-            .map(|draw| {
+            .map(|fetch| {
                 log::debug!(
                     "chunk manifest={} index={} source={} decision=draw",
                     digest.short(),
-                    draw.index,
-                    draw.source
+                    fetch.index,
+                    fetch.source
                 );
-                AgentEffect::DrawChunk(digest, draw)
+                AgentEffect::FetchChunk(digest, fetch)
             })
             .collect()
     }
--- a/mustardrill_core/src/provisioning/engine.rs
+++ b/mustardrill_core/src/provisioning/engine.rs
@@ -4,15 +4,15 @@
 use mustardrill_types::Moment;
 
 use crate::direct::{AnnouncementTime, EngineWord};
-use crate::provisioning::event::{EngineView, StockEffect};
-use crate::provisioning::reducer::{StockReducer, StockStage, version_id_of};
+use crate::provisioning::event::{EngineView, ProvisioningEffect};
+use crate::provisioning::reducer::{ProvisioningReducer, ProvisioningStage, version_id_of};
 
-impl StockReducer {
+impl ProvisioningReducer {
     pub(super) fn engine_observed(
         &mut self,
         now: Moment,
         view: Option<EngineView>,
-    ) -> Vec<StockEffect> {
+    ) -> Vec<ProvisioningEffect> {
         let before = self.engine.take();
         self.engine_polled = true;
         let Some(view) = view else { return Vec::new() };
@@ -40,7 +40,7 @@
             let version = version_id_of(now_served);
             info!("engine serving={version} sequence={} outcome=changed", view.sequence);
             let word = EngineWord::Serving(version.version);
-            effects.push(StockEffect::TellEntries(version.model, word));
+            effects.push(ProvisioningEffect::NotifyEntries(version.model, word));
         }
         self.engine = Some(view);
         effects
@@ -67,7 +67,7 @@
     fn first_response(&mut self, now: Moment, view: &EngineView) {
         let is_new = view.serving.is_empty() && view.sequence == 0;
         if !is_new {
-            self.stage = Some(StockStage::FetchingManifest { next_try: now, tries: 0 });
+            self.stage = Some(ProvisioningStage::FetchingManifest { next_try: now, tries: 0 });
         }
         self.inspects_staged = !is_new;
     }
@@ -76,8 +76,8 @@
     /// holds no weights and knows of no order.
     fn discard_load_order(&mut self) {
         self.stage = match self.stage.take() {
-            Some(StockStage::Loading(plan, order)) => {
-                Some(StockStage::AwaitingSlot(plan, order.since))
+            Some(ProvisioningStage::Loading(plan, order)) => {
+                Some(ProvisioningStage::AwaitingSlot(plan, order.since))
             }
             other => other,
         };
--- a/mustardrill_core/src/provisioning/event.rs
+++ b/mustardrill_core/src/provisioning/event.rs
@@ -9,8 +9,8 @@
 
 use crate::direct::{EngineWord, FleetUpdate, PeerRecord, ServedWeights};
 use crate::manifest::{ChunkBitmap, Manifest};
-use crate::provisioning::rollout::TurnSettings;
-use crate::transfer::{ChunkDraw, ChunkSource, DrawOutcome, TransferSettings};
+use crate::provisioning::rollout::RolloutSettings;
+use crate::transfer::{ChunkFetch, ChunkSource, FetchOutcome, TransferSettings};
 
 /// A model and one of its versions, written as `model:version`.
 #[derive(Debug, derive_more::Display, Clone, PartialEq, Eq, Hash)]
@@ -24,7 +24,7 @@
 
 /// A place from which a version's manifest can be fetched.
 #[derive(Debug, derive_more::Display, Clone, PartialEq, Eq)]
-pub enum WeightSource {
+pub enum ManifestSource {
     /// The origin.
     #[display("origin")]
     Origin(SocketAddr),
@@ -38,7 +38,7 @@
 
 /// What another agent reports about the chunks that it holds of a version.
 #[derive(Debug, Clone)]
-pub struct HoldingNews {
+pub struct HoldingsReport {
     /// The agent.
     pub from: InstanceId,
     /// The version.
@@ -48,45 +48,45 @@
     /// Number of its uploads that are queued.
     pub queue: u32,
     /// Whether it expects the receiver's holdings in return.
-    pub asks: bool,
+    pub wants_reply: bool,
 }
 
 /// An input of the reducer.
 #[derive(Debug, Clone)]
-pub enum StockEvent {
+pub enum ProvisioningEvent {
     /// Changes, or a snapshot, read from the store.
-    Fleet(FleetUpdate),
+    FleetUpdated(FleetUpdate),
     /// An entry reported that a version was announced.
-    VersionHeard(ModelName, WeightVersion),
+    VersionReported(ModelName, WeightVersion),
     /// The complete list of entries was read again.
-    RelaysSeen(Vec<PeerRecord>),
+    EntriesRead(Vec<PeerRecord>),
     /// The engine reported its state; `None` if it did not respond.
-    EngineSeen(Option<EngineView>),
+    EnginePolled(Option<EngineView>),
     /// A manifest was fetched; `None` if no source had it.
-    ListSeen(VersionId, Option<Arc<Manifest>>),
+    ManifestFetched(VersionId, Option<Arc<Manifest>>),
     /// Another agent asked for a manifest that is not available here.
-    ListWanted(VersionId),
+    ManifestRequested(VersionId),
     /// Another agent reported its holdings.
-    HoldingSeen(HoldingNews),
+    HoldingsReceived(HoldingsReport),
     /// A chunk fetch ended; a verified chunk is staged already.
-    DrawEnded(VersionId, ChunkIndex, ChunkSource, DrawOutcome),
+    FetchEnded(VersionId, ChunkIndex, ChunkSource, FetchOutcome),
     /// The staged chunks were read back and verified; these are intact.
-    ReadBack(VersionId, ChunkBitmap),
+    StagedVerified(VersionId, ChunkBitmap),
     /// A load order ended, with a response or without one.
-    Ordered(VersionId, OrderFate),
+    LoadOrderEnded(VersionId, LoadOrderOutcome),
     /// Timer tick.
-    Woke,
+    Tick,
 }
 
 /// Outcome of a load order, as far as it is known from the engine.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq)]
-pub enum OrderFate {
+pub enum LoadOrderOutcome {
     /// The engine has accepted the order.
     #[display("taken")]
-    Taken,
+    Accepted,
     /// The engine has rejected the order and will never run it.
     #[display("refused")]
-    Refused,
+    Rejected,
     /// No response: the engine may have accepted the order, or may still do so.
     #[display("unknown")]
     Unknown,
@@ -114,17 +114,17 @@
 
 /// An output of the reducer, to be carried out by the agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum StockEffect {
+pub enum ProvisioningEffect {
     /// Read the registrations of upstreams and entries again.
     ReadPeers,
     /// Fetch a manifest from the first source that has it.
-    FetchList(VersionId, Vec<WeightSource>),
+    FetchManifest(VersionId, Vec<ManifestSource>),
     /// Fetch a chunk from the address, verify it and stage it.
-    Draw(VersionId, ChunkDraw, SocketAddr),
+    FetchChunk(VersionId, ChunkFetch, SocketAddr),
     /// Cancel a fetch whose result is no longer needed.
-    CancelDraw(ChunkIndex, ChunkSource),
+    CancelFetch(ChunkIndex, ChunkSource),
     /// Send this agent's holdings to other agents.
-    TellHolding {
+    SendHoldings {
         /// The version.
         version: VersionId,
         /// The receivers.
@@ -132,22 +132,22 @@
         /// The chunks held here.
         bitmap: ChunkBitmap,
         /// Whether the receivers are asked for their holdings in return.
-        asks: bool,
+        wants_reply: bool,
     },
     /// Read all staged chunks back and verify them.
-    ReadBack(VersionId),
+    VerifyStaged(VersionId),
     /// Order the engine to load the staged version, provided that it has accepted this many orders
     /// so far.
-    Order(VersionId, u64),
+    OrderLoad(VersionId, u64),
     /// Send the entries a notice about the engine.
-    TellEntries(ModelName, EngineWord),
+    NotifyEntries(ModelName, EngineWord),
     /// Drop the manifest of a version that is no longer wanted.
-    DropList(VersionId),
+    DropManifest(VersionId),
 }
 
 /// Identity of an agent and parameters of its decisions.
 #[derive(Debug, Clone)]
-pub struct StockSettings {
+pub struct ProvisioningSettings {
     /// This agent's id among its peers: the IP address of its machine.
     pub own: InstanceId,
     /// Its data centre.
@@ -161,15 +161,15 @@
     /// How chunks are fetched.
     pub transfer: TransferSettings,
     /// The rollout schedule, which gives each engine its slot to load newer weights.
-    pub turns: TurnSettings,
+    pub rollout: RolloutSettings,
     /// Interval between reports of holdings while chunks are fetched; longer while no awaited chunk
     /// was added.
-    pub tell_every: Millis,
+    pub holdings_interval: Millis,
 }
 
 /// Progress of provisioning, shown to operators.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct StockStatus {
+pub struct ProvisioningStatus {
     /// The version being provisioned or served.
     pub wanted: Option<VersionId>,
     /// Number of its chunks held.
--- a/mustardrill_core/src/provisioning/load_order.rs
+++ b/mustardrill_core/src/provisioning/load_order.rs
@@ -5,9 +5,11 @@
 
 use crate::direct::{EngineWord, ServedWeights};
 use crate::manifest::ChunkBitmap;
-use crate::provisioning::event::{EngineView, OrderFate, StockEffect, VersionId};
-use crate::provisioning::reducer::{LOAD_ORDER_TIMEOUT, LoadOrder, StockReducer, StockStage};
-use crate::provisioning::rollout::TurnSpan;
+use crate::provisioning::event::{EngineView, LoadOrderOutcome, ProvisioningEffect, VersionId};
+use crate::provisioning::reducer::{
+    LOAD_ORDER_TIMEOUT, LoadOrder, ProvisioningReducer, ProvisioningStage,
+};
+use crate::provisioning::rollout::RolloutWindow;
 use crate::transfer::TransferPlan;
 
 /// How long before an engine's load slot the entries are notified of it; most answers complete
@@ -17,7 +19,7 @@
 /// A load slot that has moved by less than this is not reported again.
 const MIN_SLOT_CHANGE: Millis = Millis(100);
 
-impl StockReducer {
+impl ProvisioningReducer {
     /// Whether provisioning continues with the current version although a newer one was announced.
     ///
     /// Versions may be announced a few seconds apart, and the newer one may be slow to arrive. Once
@@ -32,17 +34,19 @@
             return false;
         }
         match stage {
-            StockStage::FetchingManifest { .. } => return false,
+            ProvisioningStage::FetchingManifest { .. } => return false,
             // The staged copy must stay unchanged until the engine has accepted the order.
-            StockStage::Loading(_, order) => return !order.taken,
+            ProvisioningStage::Loading(_, order) => return !order.taken,
             _ => {}
         }
         let pending = self.newer_manifest.as_ref().filter(|pending| pending.version == *newer);
         let Some((_, manifest_at)) = pending.and_then(|pending| pending.manifest.as_ref()) else {
             return true;
         };
-        let is_staged =
-            matches!(stage, StockStage::AwaitingSlot(..) | StockStage::VerifyingStaged(_));
+        let is_staged = matches!(
+            stage,
+            ProvisioningStage::AwaitingSlot(..) | ProvisioningStage::VerifyingStaged(_)
+        );
         is_staged && self.scheduled_slot(wanted).is_some_and(|slot| slot < *manifest_at)
     }
 
@@ -54,7 +58,8 @@
         }
         // This engine missed its slot, as others may have done: the rest of the window is divided
         // anew.
-        self.rollout_window(wanted).map_or(slot, |window| self.slot_in(wanted, window.from(staged)))
+        self.rollout_window(wanted)
+            .map_or(slot, |window| self.slot_in(wanted, window.remaining_from(staged)))
     }
 
     /// This engine's slot by its rank among its peers; none if it serves nothing.
@@ -63,21 +68,21 @@
     }
 
     /// The rollout window of the engines that serve the same version as this one.
-    fn rollout_window(&self, wanted: &VersionId) -> Option<TurnSpan> {
+    fn rollout_window(&self, wanted: &VersionId) -> Option<RolloutWindow> {
         let served = self.engine.as_ref()?.serving.first()?;
         let superseded = self.versions.superseded_at(&wanted.model, served.version);
         let superseded =
             superseded.or(self.versions.announced_at(&wanted.model, wanted.version))?;
-        let window = self.settings.turns.span(superseded);
+        let window = self.settings.rollout.window(superseded);
         // Engines that skipped the version served here have less time left, so they load first.
         let before = self.versions.announced_at(&wanted.model, served.version);
-        let peers_done = before.map(|announced| self.settings.turns.done(announced));
-        Some(peers_done.map_or(window, |done| window.from(done.min(window.last))))
+        let peers_done = before.map(|announced| self.settings.rollout.completed_at(announced));
+        Some(peers_done.map_or(window, |done| window.remaining_from(done.min(window.last))))
     }
 
-    fn slot_in(&self, wanted: &VersionId, window: TurnSpan) -> Moment {
+    fn slot_in(&self, wanted: &VersionId, window: RolloutWindow) -> Moment {
         let ids: Vec<_> = self.transfer_peers().into_iter().map(|peer| peer.id).collect();
-        window.turn(wanted.model.as_str().as_bytes(), &ids, &self.settings.own)
+        window.slot(wanted.model.as_str().as_bytes(), &ids, &self.settings.own)
     }
 
     /// Starts the load once this engine's slot is reached, and notifies the entries beforehand.
@@ -87,17 +92,23 @@
         wanted: &VersionId,
         plan: Box<TransferPlan>,
         staged: Moment,
-    ) -> (Option<StockStage>, Vec<StockEffect>) {
+    ) -> (Option<ProvisioningStage>, Vec<ProvisioningEffect>) {
         // If the engine is not reachable, its staged chunks cannot be read and would all count as
         // lost.
         if self.engine.is_none() {
-            return (Some(StockStage::AwaitingSlot(plan, staged)), Vec::new());
+            return (Some(ProvisioningStage::AwaitingSlot(plan, staged)), Vec::new());
         }
         let slot = self.load_slot(wanted, staged);
         if slot <= now {
-            return (Some(StockStage::VerifyingStaged(plan)), self.start_verification(wanted));
+            return (
+                Some(ProvisioningStage::VerifyingStaged(plan)),
+                self.start_verification(wanted),
+            );
         }
-        (Some(StockStage::AwaitingSlot(plan, staged)), self.report_closing(now, wanted, slot))
+        (
+            Some(ProvisioningStage::AwaitingSlot(plan, staged)),
+            self.report_closing(now, wanted, slot),
+        )
     }
 
     /// Notifies the entries of this engine's slot shortly before it, and again if it has moved.
@@ -106,14 +117,14 @@
         now: Moment,
         wanted: &VersionId,
         slot: Moment,
-    ) -> Vec<StockEffect> {
+    ) -> Vec<ProvisioningEffect> {
         let left = slot.since(now);
         let is_reported = |reported: Moment| slot.0.abs_diff(reported.0) < MIN_SLOT_CHANGE.0;
         if left > CLOSING_NOTICE || self.closing_reported.is_some_and(is_reported) {
             return Vec::new();
         }
         self.closing_reported = Some(slot);
-        vec![StockEffect::TellEntries(wanted.model.clone(), EngineWord::Closing(left))]
+        vec![ProvisioningEffect::NotifyEntries(wanted.model.clone(), EngineWord::Closing(left))]
     }
 
     pub(super) fn staged_verified(
@@ -121,19 +132,21 @@
         now: Moment,
         version: &VersionId,
         intact: &ChunkBitmap,
-    ) -> Vec<StockEffect> {
+    ) -> Vec<ProvisioningEffect> {
         if self.wanted.as_ref() != Some(version) {
             return Vec::new();
         }
         match self.stage.take() {
-            Some(StockStage::InspectingStaged(mut plan)) => {
-                intact.held().into_iter().for_each(|index| plan.found(now, index));
+            Some(ProvisioningStage::InspectingStaged(mut plan)) => {
+                intact.held().into_iter().for_each(|index| plan.record_intact(now, index));
                 info!("weights version={version} outcome=inspected whole={}", intact.count());
                 self.staged = None;
-                self.stage = Some(StockStage::FetchingChunks(plan));
+                self.stage = Some(ProvisioningStage::FetchingChunks(plan));
                 Vec::new()
             }
-            Some(StockStage::VerifyingStaged(plan)) => self.order_load(now, version, intact, plan),
+            Some(ProvisioningStage::VerifyingStaged(plan)) => {
+                self.order_load(now, version, intact, plan)
+            }
             other => {
                 self.stage = other;
                 Vec::new()
@@ -147,24 +160,26 @@
         version: &VersionId,
         intact: &ChunkBitmap,
         mut plan: Box<TransferPlan>,
-    ) -> Vec<StockEffect> {
+    ) -> Vec<ProvisioningEffect> {
         let damaged: Vec<_> = intact.added_in(plan.held());
         if !damaged.is_empty() {
             warn!("weights version={version} outcome=spoilt chunks={}", damaged.len());
-            damaged.into_iter().for_each(|index| plan.lost(index));
+            damaged.into_iter().for_each(|index| plan.record_damaged(index));
             self.staged = None;
-            self.stage = Some(StockStage::FetchingChunks(plan));
+            self.stage = Some(ProvisioningStage::FetchingChunks(plan));
             return self.cancel_pause();
         }
         let Some(engine) = &self.engine else {
-            self.stage = Some(StockStage::AwaitingSlot(plan, now));
+            self.stage = Some(ProvisioningStage::AwaitingSlot(plan, now));
             return Vec::new();
         };
         let sequence = engine.sequence;
         info!("order version={version} sequence={sequence} decision=load");
-        self.stage =
-            Some(StockStage::Loading(plan, LoadOrder { since: now, sequence, taken: false }));
-        vec![StockEffect::Order(version.clone(), sequence)]
+        self.stage = Some(ProvisioningStage::Loading(
+            plan,
+            LoadOrder { since: now, sequence, taken: false },
+        ));
+        vec![ProvisioningEffect::OrderLoad(version.clone(), sequence)]
     }
 
     /// Starts verifying the staged chunks before the order, and notifies the entries that the
@@ -173,26 +188,26 @@
     /// If the entries were notified only at the order, the engine would reject the requests on
     /// their way to it, and one that waits for a slot would wait for the whole pause. Reading the
     /// chunks back takes long enough for the notice to arrive and for a slot to become free.
-    fn start_verification(&self, version: &VersionId) -> Vec<StockEffect> {
+    fn start_verification(&self, version: &VersionId) -> Vec<ProvisioningEffect> {
         vec![
-            StockEffect::TellEntries(version.model.clone(), EngineWord::Pausing),
-            StockEffect::ReadBack(version.clone()),
+            ProvisioningEffect::NotifyEntries(version.model.clone(), EngineWord::Pausing),
+            ProvisioningEffect::VerifyStaged(version.clone()),
         ]
     }
 
     /// Notifies the entries that the engine continues with the version that it serves.
-    fn cancel_pause(&self) -> Vec<StockEffect> {
+    fn cancel_pause(&self) -> Vec<ProvisioningEffect> {
         let served = self.engine.as_ref().and_then(|engine| engine.serving.first());
         let notify = |served: &ServedWeights| {
             let word = EngineWord::Serving(served.version);
-            StockEffect::TellEntries(served.model.clone(), word)
+            ProvisioningEffect::NotifyEntries(served.model.clone(), word)
         };
         served.map(notify).into_iter().collect()
     }
 
     /// Recognises from the engine's order count that it accepted an order whose response was lost.
     pub(super) fn confirm_load_order(&mut self, view: &EngineView) {
-        if let Some(StockStage::Loading(_, order)) = &mut self.stage {
+        if let Some(ProvisioningStage::Loading(_, order)) = &mut self.stage {
             order.taken |= view.sequence > order.sequence;
         }
     }
@@ -201,20 +216,20 @@
         &mut self,
         now: Moment,
         version: &VersionId,
-        outcome: OrderFate,
-    ) -> Vec<StockEffect> {
+        outcome: LoadOrderOutcome,
+    ) -> Vec<ProvisioningEffect> {
         info!("order version={version} outcome={outcome}");
         if self.wanted.as_ref() != Some(version) {
             return Vec::new();
         }
-        if let Some(StockStage::Loading(_, order)) = &mut self.stage {
+        if let Some(ProvisioningStage::Loading(_, order)) = &mut self.stage {
             match outcome {
-                OrderFate::Taken => order.taken = true,
+                LoadOrderOutcome::Accepted => order.taken = true,
                 // The engine accepted another order or restarted: read its state again, then repeat
                 // the order.
-                OrderFate::Refused => order.since = now - LOAD_ORDER_TIMEOUT,
+                LoadOrderOutcome::Rejected => order.since = now - LOAD_ORDER_TIMEOUT,
                 // The order may still be accepted, with whatever is staged at that moment.
-                OrderFate::Unknown => {}
+                LoadOrderOutcome::Unknown => {}
             }
         }
         Vec::new()
--- a/mustardrill_core/src/provisioning/mod.rs
+++ b/mustardrill_core/src/provisioning/mod.rs
@@ -1,8 +1,8 @@
 //! Provisions the engine beside an agent with the weights that the operator announced.
 //!
-//! Chunks are staged beside the engine, not in the agent's memory. [`StockReducer`] decides which
-//! chunks are fetched from where, when the staged copy is verified, and when the engine is ordered
-//! to load it. Nothing here does I/O or reads a clock.
+//! Chunks are staged beside the engine, not in the agent's memory. [`ProvisioningReducer`] decides
+//! which chunks are fetched from where, when the staged copy is verified, and when the engine is
+//! ordered to load it. Nothing here does I/O or reads a clock.
 
 mod engine;
 mod entry_directory;
@@ -15,10 +15,10 @@
 mod rollout;
 mod sources;
 
-pub use entry_directory::EntryBook;
+pub use entry_directory::EntryDirectory;
 pub use event::{
-    EngineView, HoldingNews, OrderFate, StockEffect, StockEvent, StockSettings, StockStatus,
-    VersionId, WeightSource,
+    EngineView, HoldingsReport, LoadOrderOutcome, ManifestSource, ProvisioningEffect,
+    ProvisioningEvent, ProvisioningSettings, ProvisioningStatus, VersionId,
 };
-pub use reducer::StockReducer;
-pub use rollout::{TurnSettings, TurnSpan};
+pub use reducer::ProvisioningReducer;
+pub use rollout::{RolloutSettings, RolloutWindow};
--- a/mustardrill_core/src/provisioning/pending_manifest.rs
+++ b/mustardrill_core/src/provisioning/pending_manifest.rs
@@ -6,8 +6,8 @@
 use mustardrill_types::Moment;
 
 use crate::manifest::Manifest;
-use crate::provisioning::event::{StockEffect, VersionId};
-use crate::provisioning::reducer::StockReducer;
+use crate::provisioning::event::{ProvisioningEffect, VersionId};
+use crate::provisioning::reducer::ProvisioningReducer;
 
 /// Manifest of a newer version, or the state of the tries to fetch it.
 #[derive(Debug)]
@@ -19,13 +19,13 @@
     tries: u32,
 }
 
-impl StockReducer {
+impl ProvisioningReducer {
     /// Requests the manifest of the newer version until it is available.
     pub(super) fn request_newer_manifest(
         &mut self,
         now: Moment,
         target: VersionId,
-    ) -> Vec<StockEffect> {
+    ) -> Vec<ProvisioningEffect> {
         let existing = self.newer_manifest.take().filter(|newer| newer.version == target);
         let mut newer = existing.unwrap_or_else(|| {
             info!("weights version={target} decision=await-list");
@@ -36,7 +36,7 @@
             let sources = self.manifest_sources(now, &target, newer.tries);
             newer.next_try = now + self.manifest_retry_delay(newer.tries);
             newer.tries += 1;
-            effects.push(StockEffect::FetchList(target, sources));
+            effects.push(ProvisioningEffect::FetchManifest(target, sources));
         }
         self.newer_manifest = Some(newer);
         effects
--- a/mustardrill_core/src/provisioning/reducer.rs
+++ b/mustardrill_core/src/provisioning/reducer.rs
@@ -16,7 +16,8 @@
 };
 use crate::manifest::Manifest;
 use crate::provisioning::event::{
-    EngineView, StockEffect, StockEvent, StockSettings, StockStatus, VersionId,
+    EngineView, ProvisioningEffect, ProvisioningEvent, ProvisioningSettings, ProvisioningStatus,
+    VersionId,
 };
 use crate::provisioning::pending_manifest::PendingManifest;
 use crate::relays::RelayTable;
@@ -30,7 +31,7 @@
 
 /// Provisioning stage of the wanted version.
 #[derive(Debug)]
-pub(super) enum StockStage {
+pub(super) enum ProvisioningStage {
     /// Its manifest is being fetched.
     FetchingManifest { next_try: Moment, tries: u32 },
     /// A copy staged by an earlier run is being read to find the chunks that can be kept.
@@ -57,8 +58,8 @@
 
 /// The provisioning state of one agent.
 #[derive(Debug)]
-pub struct StockReducer {
-    pub(super) settings: StockSettings,
+pub struct ProvisioningReducer {
+    pub(super) settings: ProvisioningSettings,
     pub(super) document: Option<Arc<RouteDocument>>,
     /// The agents of this service by id, which is the IP address of their machine.
     pub(super) peers: FastMap<InstanceId, TransferPeer>,
@@ -74,7 +75,7 @@
     /// restart.
     pub(super) last_engine_view: Option<EngineView>,
     pub(super) wanted: Option<VersionId>,
-    pub(super) stage: Option<StockStage>,
+    pub(super) stage: Option<ProvisioningStage>,
     /// The version of which all chunks are staged, and their number.
     pub(super) staged: Option<(VersionId, u32)>,
     pub(super) holdings_sent_at: Moment,
@@ -93,10 +94,10 @@
     pub(super) random: SmallRng,
 }
 
-impl StockReducer {
+impl ProvisioningReducer {
     /// Creates a reducer without any state. `seed` drives the random choices between equal
     /// candidates.
-    pub fn new(settings: StockSettings, seed: u64) -> Self {
+    pub fn new(settings: ProvisioningSettings, seed: u64) -> Self {
         Self {
             settings,
             document: None,
@@ -122,30 +123,34 @@
     }
 
     /// Handles an event at `now` and returns the effects to carry out.
-    pub fn reduce(&mut self, now: Moment, event: StockEvent) -> Vec<StockEffect> {
+    pub fn reduce(&mut self, now: Moment, event: ProvisioningEvent) -> Vec<ProvisioningEffect> {
         let mut effects = match event {
-            StockEvent::Fleet(update) => self.apply_fleet_update(now, update),
-            StockEvent::VersionHeard(model, version) => {
+            ProvisioningEvent::FleetUpdated(update) => self.apply_fleet_update(now, update),
+            ProvisioningEvent::VersionReported(model, version) => {
                 self.record_announcement(now, &model, version)
             }
-            StockEvent::RelaysSeen(relays) => {
+            ProvisioningEvent::EntriesRead(relays) => {
                 self.relays.set_relays(relays);
                 self.update_plan_members();
                 Vec::new()
             }
-            StockEvent::EngineSeen(view) => self.engine_observed(now, view),
-            StockEvent::ListSeen(version, manifest) => {
+            ProvisioningEvent::EnginePolled(view) => self.engine_observed(now, view),
+            ProvisioningEvent::ManifestFetched(version, manifest) => {
                 self.manifest_received(now, version, manifest)
             }
-            StockEvent::ListWanted(version) => self.manifest_requested(now, &version),
-            StockEvent::HoldingSeen(report) => self.holdings_received(now, &report),
-            StockEvent::DrawEnded(version, index, source, outcome) => {
+            ProvisioningEvent::ManifestRequested(version) => self.manifest_requested(now, &version),
+            ProvisioningEvent::HoldingsReceived(report) => self.holdings_received(now, &report),
+            ProvisioningEvent::FetchEnded(version, index, source, outcome) => {
                 self.chunk_fetch_ended(now, &version, index, &source, &outcome);
                 Vec::new()
             }
-            StockEvent::ReadBack(version, intact) => self.staged_verified(now, &version, &intact),
-            StockEvent::Ordered(version, outcome) => self.load_answered(now, &version, outcome),
-            StockEvent::Woke => Vec::new(),
+            ProvisioningEvent::StagedVerified(version, intact) => {
+                self.staged_verified(now, &version, &intact)
+            }
+            ProvisioningEvent::LoadOrderEnded(version, outcome) => {
+                self.load_answered(now, &version, outcome)
+            }
+            ProvisioningEvent::Tick => Vec::new(),
         };
         effects.extend(self.advance(now));
         effects
@@ -166,8 +171,8 @@
     }
 
     /// The progress of provisioning, for operators.
-    pub fn status(&self) -> StockStatus {
-        StockStatus {
+    pub fn status(&self) -> ProvisioningStatus {
+        ProvisioningStatus {
             wanted: self.wanted.clone(),
             held: self.plan().map_or(0, |plan| plan.held().count()),
             total: self.plan().map_or(0, |plan| plan.manifest().chunk_count()),
@@ -177,27 +182,27 @@
 
     fn plan(&self) -> Option<&TransferPlan> {
         match self.stage.as_ref()? {
-            StockStage::FetchingManifest { .. } => None,
-            StockStage::InspectingStaged(plan)
-            | StockStage::FetchingChunks(plan)
-            | StockStage::AwaitingSlot(plan, _)
-            | StockStage::VerifyingStaged(plan)
-            | StockStage::Loading(plan, _) => Some(plan),
+            ProvisioningStage::FetchingManifest { .. } => None,
+            ProvisioningStage::InspectingStaged(plan)
+            | ProvisioningStage::FetchingChunks(plan)
+            | ProvisioningStage::AwaitingSlot(plan, _)
+            | ProvisioningStage::VerifyingStaged(plan)
+            | ProvisioningStage::Loading(plan, _) => Some(plan),
         }
     }
 
     pub(super) fn plan_mut(&mut self) -> Option<&mut TransferPlan> {
         match self.stage.as_mut()? {
-            StockStage::FetchingManifest { .. } => None,
-            StockStage::InspectingStaged(plan)
-            | StockStage::FetchingChunks(plan)
-            | StockStage::AwaitingSlot(plan, _)
-            | StockStage::VerifyingStaged(plan)
-            | StockStage::Loading(plan, _) => Some(plan),
+            ProvisioningStage::FetchingManifest { .. } => None,
+            ProvisioningStage::InspectingStaged(plan)
+            | ProvisioningStage::FetchingChunks(plan)
+            | ProvisioningStage::AwaitingSlot(plan, _)
+            | ProvisioningStage::VerifyingStaged(plan)
+            | ProvisioningStage::Loading(plan, _) => Some(plan),
         }
     }
 
-    fn apply_fleet_update(&mut self, now: Moment, update: FleetUpdate) -> Vec<StockEffect> {
+    fn apply_fleet_update(&mut self, now: Moment, update: FleetUpdate) -> Vec<ProvisioningEffect> {
         let mut effects = Vec::new();
         // The announcement time of a version found at the agent's start is unknown.
         let is_first_snapshot = update.is_snapshot && self.document.is_none();
@@ -246,12 +251,12 @@
         since: Moment,
         model: &ModelName,
         version: WeightVersion,
-    ) -> Vec<StockEffect> {
+    ) -> Vec<ProvisioningEffect> {
         if !self.versions.announce(model, version, AnnouncementTime::observed(since, since)) {
             return Vec::new();
         }
         info!("weights model={model} version={version} outcome=named");
-        vec![StockEffect::ReadPeers]
+        vec![ProvisioningEffect::ReadPeers]
     }
 
     /// Passes the current peers and entries to the transfer in progress.
@@ -315,7 +320,7 @@
     }
 
     /// Advances the current stage and collects the effects.
-    fn advance(&mut self, now: Moment) -> Vec<StockEffect> {
+    fn advance(&mut self, now: Moment) -> Vec<ProvisioningEffect> {
         let mut effects = self.select_version(now);
         self.assume_staged();
         let Some(stage) = self.stage.take() else { return effects };
@@ -328,7 +333,7 @@
     }
 
     /// Starts provisioning a newly wanted version, or finishes where the engine serves it.
-    fn select_version(&mut self, now: Moment) -> Vec<StockEffect> {
+    fn select_version(&mut self, now: Moment) -> Vec<ProvisioningEffect> {
         let Some(target) = self.target_version() else { return Vec::new() };
         // An engine that has never responded is still starting; its weights are fetched meanwhile.
         let engine_is_starting = self.engine_polled && self.last_engine_view.is_none();
@@ -347,7 +352,7 @@
             self.inspects_staged = false;
             info!("weights version={target} outcome=served");
             let word = EngineWord::Serving(target.version);
-            return vec![StockEffect::TellEntries(target.model, word)];
+            return vec![ProvisioningEffect::NotifyEntries(target.model, word)];
         }
         if serves {
             self.wanted = Some(target);
@@ -356,19 +361,20 @@
         if self.keeps_older_version(&target) {
             return self.request_newer_manifest(now, target);
         }
-        let cancelled = self.plan().map(TransferPlan::flights).unwrap_or_default().into_iter();
-        let cancel = |(index, source)| StockEffect::CancelDraw(index, source);
+        let cancelled =
+            self.plan().map(TransferPlan::pending_fetches).unwrap_or_default().into_iter();
+        let cancel = |(index, source)| ProvisioningEffect::CancelFetch(index, source);
         let mut effects: Vec<_> = cancelled.map(cancel).collect();
         if let Some(previous) =
             self.wanted.replace(target.clone()).filter(|previous| *previous != target)
         {
-            effects.push(StockEffect::DropList(previous));
+            effects.push(ProvisioningEffect::DropManifest(previous));
         }
         info!(
             "weights version={target} decision=stock serving={served} inspect={}",
             self.inspects_staged
         );
-        self.stage = Some(StockStage::FetchingManifest { next_try: now, tries: 0 });
+        self.stage = Some(ProvisioningStage::FetchingManifest { next_try: now, tries: 0 });
         let newer = self.newer_manifest.take().filter(|newer| newer.version == target);
         if let Some((manifest, _)) = newer.and_then(|newer| newer.manifest) {
             effects.extend(self.start_transfer(now, target, manifest));
@@ -381,22 +387,24 @@
         &mut self,
         now: Moment,
         wanted: &VersionId,
-        stage: StockStage,
-    ) -> (Option<StockStage>, Vec<StockEffect>) {
+        stage: ProvisioningStage,
+    ) -> (Option<ProvisioningStage>, Vec<ProvisioningEffect>) {
         match stage {
-            StockStage::FetchingManifest { next_try, tries } if next_try <= now => {
+            ProvisioningStage::FetchingManifest { next_try, tries } if next_try <= now => {
                 let sources = self.manifest_sources(now, wanted, tries);
                 let next_try = now + self.manifest_retry_delay(tries);
-                let stage = StockStage::FetchingManifest { next_try, tries: tries + 1 };
-                (Some(stage), vec![StockEffect::FetchList(wanted.clone(), sources)])
+                let stage = ProvisioningStage::FetchingManifest { next_try, tries: tries + 1 };
+                (Some(stage), vec![ProvisioningEffect::FetchManifest(wanted.clone(), sources)])
             }
-            StockStage::FetchingChunks(plan) => self.fetch_chunks(now, wanted, plan),
-            StockStage::AwaitingSlot(plan, staged) => {
+            ProvisioningStage::FetchingChunks(plan) => self.fetch_chunks(now, wanted, plan),
+            ProvisioningStage::AwaitingSlot(plan, staged) => {
                 self.await_load_slot(now, wanted, plan, staged)
             }
-            StockStage::Loading(plan, order) if now.since(order.since) > LOAD_ORDER_TIMEOUT => {
+            ProvisioningStage::Loading(plan, order)
+                if now.since(order.since) > LOAD_ORDER_TIMEOUT =>
+            {
                 warn!("order version={wanted} outcome=overdue");
-                (Some(StockStage::AwaitingSlot(plan, now)), Vec::new())
+                (Some(ProvisioningStage::AwaitingSlot(plan, now)), Vec::new())
             }
             stage => (Some(stage), Vec::new()),
         }
@@ -407,7 +415,7 @@
         now: Moment,
         version: VersionId,
         manifest: Option<Arc<Manifest>>,
-    ) -> Vec<StockEffect> {
+    ) -> Vec<ProvisioningEffect> {
         let Some(manifest) = manifest else { return Vec::new() };
         if let Some(newer) = &mut self.newer_manifest
             && newer.version == version
@@ -415,7 +423,9 @@
             newer.manifest.get_or_insert((manifest, now));
             return Vec::new();
         }
-        let Some(StockStage::FetchingManifest { .. }) = &self.stage else { return Vec::new() };
+        let Some(ProvisioningStage::FetchingManifest { .. }) = &self.stage else {
+            return Vec::new();
+        };
         if self.wanted.as_ref() != Some(&version) {
             return Vec::new();
         }
@@ -428,28 +438,28 @@
         now: Moment,
         version: VersionId,
         manifest: Arc<Manifest>,
-    ) -> Vec<StockEffect> {
+    ) -> Vec<ProvisioningEffect> {
         let peers = self.transfer_peers();
         let own = TransferPeer {
             id: self.settings.own.clone(),
             data_centre: self.settings.data_centre.clone(),
         };
         let mut transfer = self.settings.transfer.clone();
-        transfer.origin_pace = self.origin_pace();
-        transfer.drawers = self.origin_seeders();
+        transfer.origin_chunk_ms = self.origin_chunk_ms();
+        transfer.max_seeders = self.origin_seeders();
         let announced = self.versions.announced_at(&version.model, version.version);
-        transfer.relays_first = announced.is_some_and(|announced_at| announced_at > Moment(0));
+        transfer.prefers_relays = announced.is_some_and(|announced_at| announced_at > Moment(0));
         let mut plan = TransferPlan::new(now, own, manifest, transfer, self.random.random());
         plan.set_peers(&peers);
         plan.set_relays(self.relays.all().to_vec());
         self.holdings_sent_at = Moment(0);
         if self.engine.is_some() && std::mem::take(&mut self.inspects_staged) {
-            self.stage = Some(StockStage::InspectingStaged(Box::new(plan)));
-            return vec![StockEffect::ReadBack(version)];
+            self.stage = Some(ProvisioningStage::InspectingStaged(Box::new(plan)));
+            return vec![ProvisioningEffect::VerifyStaged(version)];
         }
         // From the first chunk on, the staged copy no longer is the earlier version.
         self.staged = None;
-        self.stage = Some(StockStage::FetchingChunks(Box::new(plan)));
+        self.stage = Some(ProvisioningStage::FetchingChunks(Box::new(plan)));
         Vec::new()
     }
 }
--- a/mustardrill_core/src/provisioning/sources.rs
+++ b/mustardrill_core/src/provisioning/sources.rs
@@ -6,8 +6,8 @@
 use rand::Rng;
 
 use crate::direct::OriginProfile;
-use crate::provisioning::event::{StockEffect, VersionId, WeightSource};
-use crate::provisioning::reducer::{StockReducer, version_id_of};
+use crate::provisioning::event::{ManifestSource, ProvisioningEffect, VersionId};
+use crate::provisioning::reducer::{ProvisioningReducer, version_id_of};
 use crate::relays::RelayItem;
 use crate::rendezvous;
 
@@ -34,7 +34,7 @@
 /// the last agents are to start within a small part of the time that a copy takes.
 const MAX_BACKOFF_DOUBLINGS: u32 = 1;
 
-impl StockReducer {
+impl ProvisioningReducer {
     /// Delay until a manifest is requested again: doubled for later tries up to the limit, with
     /// random jitter.
     pub(super) fn manifest_retry_delay(&mut self, tries: u32) -> Millis {
@@ -49,25 +49,25 @@
         now: Moment,
         wanted: &VersionId,
         tries: u32,
-    ) -> Vec<WeightSource> {
+    ) -> Vec<ManifestSource> {
         let data_centre = &self.settings.data_centre;
         let relay = self.relays.nearest(now, &wanted.to_string(), RelayItem::List, data_centre);
         let asks_entry = tries < ENTRY_ONLY_TRIES || tries.is_multiple_of(2);
         if let (Some(relay), true) = (relay, asks_entry) {
-            return vec![WeightSource::Relay(relay.address)];
+            return vec![ManifestSource::Relay(relay.address)];
         }
         let tries = tries.saturating_sub(ENTRY_ONLY_TRIES);
-        let origin = self.origin().map(WeightSource::Origin);
+        let origin = self.origin().map(ManifestSource::Origin);
         let ids: Vec<_> = self.transfer_peers().into_iter().map(|peer| peer.id).collect();
         let subject = wanted.to_string();
         let ranked = rendezvous::ranked(subject.as_bytes(), &ids, |id| id.as_str());
         let own_rank = ranked.iter().position(|id| **id == self.settings.own).unwrap_or(0);
         let others = ranked.iter().filter(|id| ***id != self.settings.own);
         let mut peers: Vec<_> =
-            others.take(MANIFEST_SEEDERS).map(|id| WeightSource::Peer((*id).clone())).collect();
+            others.take(MANIFEST_SEEDERS).map(|id| ManifestSource::Peer((*id).clone())).collect();
         if !ids.is_empty() && tries > 0 {
             let any = &ids[self.random.random_range(0..ids.len())];
-            peers.push(WeightSource::Peer(any.clone()));
+            peers.push(ManifestSource::Peer(any.clone()));
         }
         // Each try allows a few more agents to ask the origin. If a whole fleet asked at once after
         // a power failure, it would take all of the origin's connections again and again, and no
@@ -87,7 +87,7 @@
         &mut self,
         now: Moment,
         version: &VersionId,
-    ) -> Vec<StockEffect> {
+    ) -> Vec<ProvisioningEffect> {
         let mut serving = self.engine.iter().flat_map(|engine| &engine.serving);
         let serves = serving.any(|served| version_id_of(served) == *version);
         let is_recent = self.peer_manifest_fetched_at.0 > 0
@@ -97,7 +97,10 @@
         }
         let Some(origin) = self.origin() else { return Vec::new() };
         self.peer_manifest_fetched_at = now;
-        vec![StockEffect::FetchList(version.clone(), vec![WeightSource::Origin(origin)])]
+        vec![ProvisioningEffect::FetchManifest(
+            version.clone(),
+            vec![ManifestSource::Origin(origin)],
+        )]
     }
 
     pub(super) fn origin(&self) -> Option<SocketAddr> {
@@ -111,7 +114,7 @@
     /// Maximum number of agents that fetch from the origin, limited by the connections that it
     /// accepts.
     pub(super) fn origin_seeders(&self) -> usize {
-        let limit = self.settings.transfer.drawers;
+        let limit = self.settings.transfer.max_seeders;
         let connections = self.origin_profile().map_or(0, |origin| origin.connections) as usize;
         if connections == 0 {
             limit
@@ -122,7 +125,7 @@
 
     /// Time that the origin's link takes per chunk, in milliseconds; zero if its rate is not
     /// configured.
-    pub(super) fn origin_pace(&self) -> f64 {
+    pub(super) fn origin_chunk_ms(&self) -> f64 {
         const BITS_PER_MS: f64 = 1_000.0;
         let Some(link_mbps) = self.origin_profile().map(|origin| origin.link_mbps) else {
             return 0.0;
--- a/mustardrill_core/src/transfer/chunk_selection.rs
+++ b/mustardrill_core/src/transfer/chunk_selection.rs
@@ -52,7 +52,7 @@
         if free.is_empty() {
             return None;
         }
-        let chunk_ms = self.settings.origin_pace;
+        let chunk_ms = self.settings.origin_chunk_ms;
         if chunk_ms > 0.0 {
             let due_chunks =
                 (now.since(self.started_at).0 + ORIGIN_REQUEST_LEAD.0) as f64 / chunk_ms;
@@ -70,7 +70,7 @@
             self.partners.copies(*index) == 0 && !self.pending.contains_key(index)
         };
         let rank = |index: &ChunkIndex| {
-            if self.settings.homes {
+            if self.settings.uses_primary_holders {
                 return self.assignment.origin_rank(*index);
             }
             rank_of(&self.successors, &self.own.id, *index)
@@ -89,7 +89,7 @@
     pub(super) fn overdue_seeders(&self, now: Moment, index: ChunkIndex) -> u64 {
         let stall = self.settings.stall_after.0.max(1);
         let stalls = now.since(self.last_observed_at).0 / stall;
-        let chunk_ms = self.settings.origin_pace;
+        let chunk_ms = self.settings.origin_chunk_ms;
         if chunk_ms <= 0.0 {
             return stalls;
         }
@@ -107,7 +107,7 @@
     /// Whether this instance is among those of its data centre that fetch a chunk from another one;
     /// for each interval without the chunk, one more instance is.
     pub(super) fn may_fetch_remotely(&self, now: Moment, index: ChunkIndex) -> bool {
-        let limit = self.settings.far_drawers;
+        let limit = self.settings.remote_fetchers;
         if limit == 0 {
             return true;
         }
@@ -119,7 +119,7 @@
 
     /// The instance of this data centre that the other instances here ask first for a chunk.
     pub(super) fn primary_holder(&self, index: ChunkIndex) -> Option<&InstanceId> {
-        if !self.settings.homes {
+        if !self.settings.uses_primary_holders {
             return None;
         }
         self.assignment.primary_holder(index)
@@ -136,7 +136,10 @@
             let mut copies = self.partners.copies(index);
             // The other instances here wait for the chunks of which this one is primary holder, so
             // these count as rare.
-            if copies > 0 && self.settings.homes && self.assignment.holder_rank(index) == 0 {
+            if copies > 0
+                && self.settings.uses_primary_holders
+                && self.assignment.holder_rank(index) == 0
+            {
                 copies = 1;
             }
             let is_rarer = best.as_ref().is_none_or(|(least, _, _)| copies < *least);
--- a/mustardrill_core/src/transfer/data.rs
+++ b/mustardrill_core/src/transfer/data.rs
@@ -11,7 +11,7 @@
     pub origin_copies: usize,
     /// Number of instances (seeders) that share the fetches from the origin; with primary holders,
     /// an upper limit.
-    pub drawers: usize,
+    pub max_seeders: usize,
     /// Maximum number of concurrent fetches from peers.
     pub window: usize,
     /// Maximum number of concurrent fetches from the origin.
@@ -22,7 +22,7 @@
     /// as a seeder, too.
     pub stall_after: Millis,
     /// Minimum timeout of a fetch before the chunk is fetched from another source.
-    pub chunk_patience: Millis,
+    pub chunk_timeout: Millis,
     /// Number of corrupt chunks after which a peer is ejected.
     pub corrupt_limit: u32,
     /// Number of missing chunks that are compared for each fetch.
@@ -30,22 +30,22 @@
     /// Number of instances of a data centre that fetch a chunk from another data centre; the rest
     /// wait for these. Zero: all may. Traffic between data centres is billed, and its links are
     /// shared.
-    pub far_drawers: usize,
+    pub remote_fetchers: usize,
     /// Whether each chunk has a primary holder in each data centre that the other instances there
     /// ask first, so that all uplinks are loaded evenly; otherwise the least loaded holder is
     /// asked.
-    pub homes: bool,
+    pub uses_primary_holders: bool,
     /// Time that the origin's link takes per chunk, in milliseconds. Seeders request each chunk
     /// when the link is due to send it, so that the first chunks arrive one after the other and not
     /// all at the end. Zero: they do not wait.
-    pub origin_pace: f64,
+    pub origin_chunk_ms: f64,
     /// Maximum number of concurrent fetches from entries that relay chunks; zero: entries are not
     /// used.
     pub relay_window: usize,
     /// Whether entries are asked before peers. They are for a version that has just been announced,
     /// as all instances want the same chunks then; an instance that starts later finds them at its
     /// peers.
-    pub relays_first: bool,
+    pub prefers_relays: bool,
 }
 
 /// The source of a chunk.
@@ -64,18 +64,18 @@
 
 /// A request to fetch one chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ChunkDraw {
+pub struct ChunkFetch {
     /// The chunk.
     pub index: ChunkIndex,
     /// Where to fetch it from.
     pub source: ChunkSource,
     /// Timeout for the complete chunk.
-    pub patience: Millis,
+    pub timeout: Millis,
 }
 
 /// The outcome of a fetch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum DrawOutcome {
+pub enum FetchOutcome {
     /// The chunk was received and its digest matches.
     Verified,
     /// The chunk was received with a different digest.
@@ -117,19 +117,19 @@
     fn default() -> Self {
         Self {
             origin_copies: 1,
-            drawers: 4,
+            max_seeders: 4,
             window: 4,
             origin_window: 2,
             partners: 16,
             stall_after: Millis(1_500),
-            chunk_patience: Millis(1_000),
+            chunk_timeout: Millis(1_000),
             corrupt_limit: 2,
             sample: 48,
-            far_drawers: 0,
-            homes: false,
-            origin_pace: 0.0,
+            remote_fetchers: 0,
+            uses_primary_holders: false,
+            origin_chunk_ms: 0.0,
             relay_window: 0,
-            relays_first: false,
+            prefers_relays: false,
         }
     }
 }
--- a/mustardrill_core/src/transfer/mod.rs
+++ b/mustardrill_core/src/transfer/mod.rs
@@ -20,7 +20,7 @@
 use crate::relays::RelayTable;
 use crate::rendezvous;
 pub use crate::transfer::data::{
-    ChunkDraw, ChunkSource, DrawOutcome, TransferCounts, TransferPeer, TransferSettings,
+    ChunkFetch, ChunkSource, FetchOutcome, TransferCounts, TransferPeer, TransferSettings,
 };
 use crate::transfer::missing::MissingSet;
 use crate::transfer::relay_fetch::RelayUse;
@@ -85,7 +85,7 @@
             relays: RelayTable::default(),
             own_seed_chunks: Vec::new(),
             pending: FastMap::default(),
-            mean_fetch_time: Millis(settings.chunk_patience.0 / TIMEOUT_FACTOR),
+            mean_fetch_time: Millis(settings.chunk_timeout.0 / TIMEOUT_FACTOR),
             last_observed_at: now,
             origin_retry_at: now,
             relay_retry_at: now,
@@ -125,7 +125,7 @@
     /// Sets the live instances that want the version, including this one, and chooses partners and
     /// seeders among them.
     pub fn set_peers(&mut self, peers: &[TransferPeer]) {
-        let (total, max_seeders) = (self.manifest.chunk_count(), self.settings.drawers);
+        let (total, max_seeders) = (self.manifest.chunk_count(), self.settings.max_seeders);
         self.assignment = ChunkAssignment::new(self.digest, total, peers, &self.own, max_seeders);
         self.choose_seeders(peers);
         let chosen = self.choose_partners(peers);
@@ -135,7 +135,7 @@
     }
 
     /// Records that a chunk of an earlier transfer was found intact beside the upstream.
-    pub fn found(&mut self, now: Moment, index: ChunkIndex) {
+    pub fn record_intact(&mut self, now: Moment, index: ChunkIndex) {
         if self.held.insert(index) {
             self.missing.remove(index);
         }
@@ -143,26 +143,32 @@
     }
 
     /// Records that a held chunk turned out damaged, so that it is fetched again.
-    pub fn lost(&mut self, index: ChunkIndex) {
+    pub fn record_damaged(&mut self, index: ChunkIndex) {
         if self.held.remove(index) {
             self.missing.add(index);
         }
     }
 
     /// Records a partner's holdings and the number of uploads that it has queued.
-    pub fn heard(&mut self, now: Moment, id: &InstanceId, bitmap: ChunkBitmap, queue: u32) {
+    pub fn record_holdings(
+        &mut self,
+        now: Moment,
+        id: &InstanceId,
+        bitmap: ChunkBitmap,
+        queue: u32,
+    ) {
         for index in self.partners.record_holding(now, id, bitmap, queue) {
             self.record_observed(now, index);
         }
     }
 
     /// Records the outcome of a fetch; returns whether that fetch was still pending.
-    pub fn finished(
+    pub fn record_outcome(
         &mut self,
         now: Moment,
         index: ChunkIndex,
         source: &ChunkSource,
-        outcome: &DrawOutcome,
+        outcome: &FetchOutcome,
     ) -> bool {
         let is_current = self.pending.get(&index).is_some_and(|fetch| fetch.source == *source);
         let fetch = if is_current { self.pending.remove(&index) } else { None };
@@ -170,7 +176,7 @@
             self.partners.record_fetch_end(id);
         }
         match source {
-            _ if *outcome == DrawOutcome::Verified => {
+            _ if *outcome == FetchOutcome::Verified => {
                 self.record_verified(now, index, source, fetch)
             }
             ChunkSource::Origin => self.origin_failed(now, outcome),
@@ -181,7 +187,7 @@
     }
 
     /// Fails the fetches that have timed out and returns them, so that their I/O can be cancelled.
-    pub fn overdue(&mut self, now: Moment) -> Vec<(ChunkIndex, ChunkSource)> {
+    pub fn expire_fetches(&mut self, now: Moment) -> Vec<(ChunkIndex, ChunkSource)> {
         let overdue: Vec<_> = self
             .pending
             .iter()
@@ -189,34 +195,34 @@
             .map(|(index, fetch)| (*index, fetch.source.clone()))
             .collect();
         for (index, source) in &overdue {
-            self.finished(now, *index, source, &DrawOutcome::Failed);
+            self.record_outcome(now, *index, source, &FetchOutcome::Failed);
         }
         overdue
     }
 
     /// The fetches to start now.
-    pub fn next_draws(&mut self, now: Moment) -> Vec<ChunkDraw> {
-        let mut draws = Vec::new();
+    pub fn next_fetches(&mut self, now: Moment) -> Vec<ChunkFetch> {
+        let mut fetches = Vec::new();
         let relay_use = self.relay_use(now);
         if relay_use == RelayUse::None {
             while self.origin_fetches() < self.settings.origin_window {
                 let Some(index) = self.next_origin_chunk(now) else { break };
-                draws.push(self.start_fetch(now, index, ChunkSource::Origin));
+                fetches.push(self.start_fetch(now, index, ChunkSource::Origin));
             }
         }
         while relay_use != RelayUse::All && self.peer_fetches() < self.settings.window {
             let Some((index, id)) = self.next_peer_chunk(now) else { break };
-            draws.push(self.start_fetch(now, index, ChunkSource::Peer(id)));
+            fetches.push(self.start_fetch(now, index, ChunkSource::Peer(id)));
         }
         while self.relay_fetches() < self.relay_window() {
             let Some((index, id)) = self.next_relay_chunk(now, relay_use) else { break };
-            draws.push(self.start_fetch(now, index, ChunkSource::Relay(id)));
+            fetches.push(self.start_fetch(now, index, ChunkSource::Relay(id)));
         }
-        draws
+        fetches
     }
 
     /// Backs off from a partner that did not respond.
-    pub fn shun(&mut self, now: Moment, id: &InstanceId) {
+    pub fn record_peer_failure(&mut self, now: Moment, id: &InstanceId) {
         self.partners.record_failure(now, id);
     }
 
@@ -226,12 +232,12 @@
         if ids == self.successors {
             return;
         }
-        let count = self.settings.drawers.max(self.settings.origin_copies).min(ids.len());
+        let count = self.settings.max_seeders.max(self.settings.origin_copies).min(ids.len());
         self.seeders = ids[..count].to_vec();
         self.successors = ids;
         let copies = self.settings.origin_copies;
         let is_own = |index: &ChunkIndex| {
-            if self.settings.homes {
+            if self.settings.uses_primary_holders {
                 return self.assignment.origin_rank(*index) < copies;
             }
             rank_of(&self.seeders, &self.own.id, *index) < copies
@@ -288,9 +294,9 @@
         self.record_observed(now, index);
     }
 
-    fn origin_failed(&mut self, now: Moment, outcome: &DrawOutcome) {
+    fn origin_failed(&mut self, now: Moment, outcome: &FetchOutcome) {
         const ORIGIN_RETRY_DELAY: Millis = Millis(500);
-        if *outcome == DrawOutcome::Corrupt {
+        if *outcome == FetchOutcome::Corrupt {
             self.counts.corrupt_chunks += 1;
             self.counts.corrupt_from_origin += 1;
         }
@@ -302,42 +308,42 @@
         now: Moment,
         index: ChunkIndex,
         id: &InstanceId,
-        outcome: &DrawOutcome,
+        outcome: &FetchOutcome,
     ) {
         match outcome {
-            DrawOutcome::Corrupt => {
+            FetchOutcome::Corrupt => {
                 self.counts.corrupt_chunks += 1;
                 self.partners.record_corrupt_chunk(now, id, self.settings.corrupt_limit);
                 self.partners.retract(id, index);
             }
-            DrawOutcome::Busy(holders) => {
+            FetchOutcome::Busy(holders) => {
                 self.partners.back_off(now, id, self.busy_backoff());
                 for holder in holders {
                     self.partners.record_hint(holder, index);
                     self.record_observed(now, index);
                 }
             }
-            DrawOutcome::Missing => self.partners.retract(id, index),
-            DrawOutcome::Failed | DrawOutcome::Verified => self.partners.record_failure(now, id),
+            FetchOutcome::Missing => self.partners.retract(id, index),
+            FetchOutcome::Failed | FetchOutcome::Verified => self.partners.record_failure(now, id),
         }
     }
 
     /// Backoff for a busy partner: about until its link has sent a chunk.
     fn busy_backoff(&self) -> Millis {
-        let chunk_ms = self.settings.origin_pace;
-        if self.settings.homes && chunk_ms > 0.0 {
+        let chunk_ms = self.settings.origin_chunk_ms;
+        if self.settings.uses_primary_holders && chunk_ms > 0.0 {
             return Millis((chunk_ms * BUSY_BACKOFF_CHUNKS) as u64 + 1);
         }
         Millis(self.mean_fetch_time.0 / 2 + 1)
     }
 
-    fn start_fetch(&mut self, now: Moment, index: ChunkIndex, source: ChunkSource) -> ChunkDraw {
+    fn start_fetch(&mut self, now: Moment, index: ChunkIndex, source: ChunkSource) -> ChunkFetch {
         if let ChunkSource::Peer(id) = &source {
             self.partners.record_fetch_start(id);
         }
         self.pending.insert(index, PendingFetch { source: source.clone(), started_at: now });
-        let patience = self.fetch_timeout(&source);
-        ChunkDraw { index, source, patience }
+        let timeout = self.fetch_timeout(&source);
+        ChunkFetch { index, source, timeout }
     }
 
     fn drop_fetches_from(&mut self, id: &InstanceId) {
@@ -348,9 +354,9 @@
     /// Timeout of a fetch. The origin's link is shared by all instances that fetch from it: a chunk
     /// given up there was sent in vain, which slows all others down.
     fn fetch_timeout(&self, source: &ChunkSource) -> Millis {
-        let usual_ms = self.settings.chunk_patience.0.max(self.mean_fetch_time.0 * TIMEOUT_FACTOR);
+        let usual_ms = self.settings.chunk_timeout.0.max(self.mean_fetch_time.0 * TIMEOUT_FACTOR);
         if *source == ChunkSource::Origin {
-            let shared_ms = self.settings.origin_pace * self.settings.drawers as f64;
+            let shared_ms = self.settings.origin_chunk_ms * self.settings.max_seeders as f64;
             return Millis(
                 usual_ms.max((shared_ms * ORIGIN_TIMEOUT_FACTOR) as u64).min(MAX_ORIGIN_TIMEOUT.0),
             );
@@ -360,7 +366,7 @@
 
     /// Number of held chunks that other instances fetch from here first: those of which this
     /// instance is primary holder or first seeder.
-    pub fn awaited_here(&self) -> usize {
+    pub fn awaited_chunk_count(&self) -> usize {
         let is_awaited = |index: &ChunkIndex| {
             self.assignment.holder_rank(*index) == 0 || self.assignment.origin_rank(*index) == 0
         };
@@ -368,7 +374,7 @@
     }
 
     /// The pending fetches, so that their I/O can be cancelled when the plan is dropped.
-    pub fn flights(&self) -> Vec<(ChunkIndex, ChunkSource)> {
+    pub fn pending_fetches(&self) -> Vec<(ChunkIndex, ChunkSource)> {
         let pending = self.pending.iter();
         pending.map(|(index, fetch)| (*index, fetch.source.clone())).collect()
     }
--- a/mustardrill_core/src/transfer/relay_fetch.rs
+++ b/mustardrill_core/src/transfer/relay_fetch.rs
@@ -4,7 +4,7 @@
 
 use crate::direct::PeerRecord;
 use crate::relays::RelayItem;
-use crate::transfer::{ChunkSource, DrawOutcome, PendingFetch, TransferPlan};
+use crate::transfer::{ChunkSource, FetchOutcome, PendingFetch, TransferPlan};
 
 /// How long an instance that starts after a version was announced waits for its peers' holdings
 /// before it asks entries: a few round trips.
@@ -69,7 +69,7 @@
         if relay.data_centre != self.own.data_centre {
             return RelayUse::PrimaryHeld;
         }
-        if self.settings.relays_first { RelayUse::All } else { RelayUse::Unheld }
+        if self.settings.prefers_relays { RelayUse::All } else { RelayUse::Unheld }
     }
 
     /// The next chunk to request from an entry. All instances request chunks in the same order, so
@@ -100,11 +100,11 @@
         Some((index, relay.id.clone()))
     }
 
-    pub(super) fn relay_failed(&mut self, now: Moment, id: &InstanceId, outcome: &DrawOutcome) {
+    pub(super) fn relay_failed(&mut self, now: Moment, id: &InstanceId, outcome: &FetchOutcome) {
         match outcome {
             // The entry works; no process has the chunk yet.
-            DrawOutcome::Busy(_) => self.relay_retry_at = now + RELAY_RETRY_DELAY,
-            DrawOutcome::Corrupt => {
+            FetchOutcome::Busy(_) => self.relay_retry_at = now + RELAY_RETRY_DELAY,
+            FetchOutcome::Corrupt => {
                 self.counts.corrupt_chunks += 1;
                 self.relays.record_failure(now, id);
             }
--- a/mustardrill_core/tests/agents.rs
+++ b/mustardrill_core/tests/agents.rs
@@ -19,7 +19,7 @@
 use mustardrill_core::membership::{InstanceRecord, MemberSettings};
 use mustardrill_core::ownership::{LeaseId, OwnerAnswer, OwnerSettings};
 use mustardrill_core::refusal::AttemptRefusal;
-use mustardrill_core::transfer::{ChunkSource, DrawOutcome, TransferPeer, TransferSettings};
+use mustardrill_core::transfer::{ChunkSource, FetchOutcome, TransferPeer, TransferSettings};
 use mustardrill_types::{
     AttemptId, ByteSize, FencingNumber, Generation, ManifestDigest, Millis, Moment, ResultCode,
 };
@@ -85,7 +85,7 @@
         staging_limit: ByteSize(1_000),
         floor_percent: 75,
         exchange_every: Millis(10),
-        wave_patience: Millis(60_000),
+        wave_timeout: Millis(60_000),
         retry_every: Millis(20),
         is_engine: true,
     }
@@ -132,7 +132,7 @@
         };
         let list: Vec<_> = (0..AGENTS).map(record).collect();
         for agent_index in 0..AGENTS {
-            simulation.dispatch(agent_index, AgentEvent::InstancesSeen(list.clone()));
+            simulation.dispatch(agent_index, AgentEvent::InstancesRead(list.clone()));
         }
         simulation
     }
@@ -140,12 +140,12 @@
     fn apply_catalogue(&mut self, document: CatalogueDocument) {
         let document = Arc::new(document);
         for agent_index in 0..AGENTS {
-            self.dispatch(agent_index, AgentEvent::CatalogueSeen(document.clone()));
+            self.dispatch(agent_index, AgentEvent::CatalogueReceived(document.clone()));
         }
     }
 
     fn dispatch(&mut self, agent_index: usize, event: AgentEvent) {
-        if let AgentEvent::DrawFinished { digest, outcome: DrawOutcome::Verified, .. } = &event {
+        if let AgentEvent::FetchEnded { digest, outcome: FetchOutcome::Verified, .. } = &event {
             *self.agents[agent_index].staged.entry(*digest).or_default() += 1;
         }
         let effects = self.agents[agent_index].reducer.reduce(Moment(self.now), event);
@@ -166,14 +166,15 @@
                     AgentEvent::ManifestLoaded(manifest(version.as_str()), digest),
                 );
             }
-            AgentEffect::DrawChunk(digest, draw) => {
+            AgentEffect::FetchChunk(digest, draw) => {
                 let is_corrupt =
                     draw.source == ChunkSource::Origin && self.now < self.corrupt_until;
-                let outcome = if is_corrupt { DrawOutcome::Corrupt } else { DrawOutcome::Verified };
+                let outcome =
+                    if is_corrupt { FetchOutcome::Corrupt } else { FetchOutcome::Verified };
                 let (index, source) = (draw.index, draw.source);
                 self.schedule(
                     agent_index,
-                    AgentEvent::DrawFinished { digest, index, source, outcome },
+                    AgentEvent::FetchEnded { digest, index, source, outcome },
                 );
             }
             AgentEffect::Exchange(digest, id) => {
@@ -185,13 +186,16 @@
                 let serving = Some(self.agents[other].reducer.serving().contains(&digest));
                 self.schedule(
                     agent_index,
-                    AgentEvent::HoldingSeen { digest, id, bitmap, queue: 0, serving },
+                    AgentEvent::HoldingsReceived { digest, id, bitmap, queue: 0, serving },
                 );
             }
             AgentEffect::OrderLoad(order) => self.start_load(agent_index, order),
             AgentEffect::ReadEngine => {
                 let serving = self.agents[agent_index].serving.into_iter().collect();
-                self.schedule(agent_index, AgentEvent::EngineSeen(Some(EngineReport { serving })));
+                self.schedule(
+                    agent_index,
+                    AgentEvent::EnginePolled(Some(EngineReport { serving })),
+                );
             }
             AgentEffect::CallOwner(_) => {
                 let (lease, fence) = (LeaseId(1), FencingNumber(1));
@@ -202,7 +206,7 @@
                 self.agents[agent_index].staged.remove(&digest);
             }
             AgentEffect::Wake(_)
-            | AgentEffect::CancelDraw(..)
+            | AgentEffect::CancelFetch(..)
             | AgentEffect::Claim(_)
             | AgentEffect::Dispatch(_)
             | AgentEffect::Refuse(..) => {}
@@ -217,7 +221,10 @@
         if self.agents[agent_index].reducer.serving().contains(&digest) {
             self.notices_to_successors += 1;
             let (id, serving) = (record(agent_index).id, Some(true));
-            self.schedule(other, AgentEvent::HoldingSeen { digest, id, bitmap, queue: 0, serving });
+            self.schedule(
+                other,
+                AgentEvent::HoldingsReceived { digest, id, bitmap, queue: 0, serving },
+            );
         } else if self.agents[agent_index].staged.get(&digest) >= Some(&total) {
             let before = self.last_queries.insert(agent_index, self.now).unwrap_or(0);
             assert!(self.now - before >= 20, "the wave predecessor is queried at every tick");
@@ -307,7 +314,7 @@
 fn serving(version: &str) -> AgentReducer {
     let mut reducer = AgentReducer::new(Moment(1), settings(0), 1);
     let serving = vec![manifest(version).digest()];
-    reducer.reduce(Moment(1), AgentEvent::EngineSeen(Some(EngineReport { serving })));
+    reducer.reduce(Moment(1), AgentEvent::EnginePolled(Some(EngineReport { serving })));
     reducer
 }
 
@@ -333,7 +340,7 @@
     let other = AttemptRefusal::other_weights(Millis(100), vec![manifest("v1").digest()]);
     assert_eq!(refused, [AgentEffect::Refuse(AttemptId(3), other)]);
     let serving = vec![manifest("v2").digest()];
-    agent.reduce(Moment(20), AgentEvent::EngineSeen(Some(EngineReport { serving })));
+    agent.reduce(Moment(20), AgentEvent::EnginePolled(Some(EngineReport { serving })));
     let effects = agent.reduce(Moment(30), AgentEvent::RequestFinished(AttemptId(1)));
     let other = AttemptRefusal::other_weights(Millis(1), vec![manifest("v2").digest()]);
     assert!(effects.contains(&AgentEffect::Refuse(AttemptId(2), other)), "{effects:?}");
@@ -367,13 +374,13 @@
 fn no_lower_generation_is_applied() {
     let mut agent = serving("v1");
     let newer = Arc::new(catalogue(&["v1", "v2"]));
-    agent.reduce(Moment(2), AgentEvent::CatalogueSeen(newer));
+    agent.reduce(Moment(2), AgentEvent::CatalogueReceived(newer));
     assert_eq!(agent.generation(), Generation(2));
     let older = Arc::new(catalogue(&["v1"]));
-    agent.reduce(Moment(3), AgentEvent::CatalogueSeen(older));
+    agent.reduce(Moment(3), AgentEvent::CatalogueReceived(older));
     assert_eq!(agent.generation(), Generation(2));
     let mut broken = catalogue(&["v1", "v2", "v3"]);
     broken.entries.values_mut().for_each(|entry| entry.limits.in_flight = 0);
-    agent.reduce(Moment(4), AgentEvent::CatalogueSeen(Arc::new(broken)));
+    agent.reduce(Moment(4), AgentEvent::CatalogueReceived(Arc::new(broken)));
     assert_eq!(agent.generation(), Generation(2), "an invalid document is not applied");
 }
--- a/mustardrill_core/tests/common/mod.rs
+++ b/mustardrill_core/tests/common/mod.rs
@@ -13,7 +13,7 @@
 };
 use mustardrill_core::document::CatalogueDocument;
 use mustardrill_core::edit::{EditChange, EditRequest, FleetFacts, VersionFact, apply_edit};
-use mustardrill_core::provisioning::{StockSettings, TurnSettings};
+use mustardrill_core::provisioning::{ProvisioningSettings, RolloutSettings};
 use mustardrill_core::transfer::TransferSettings;
 use mustardrill_types::{
     ByteSize, EditId, FastMap, Generation, InstanceId, Millis, Moment, RequestDigest, StartStamp,
@@ -76,8 +76,8 @@
 }
 
 /// When the engines of these tests load.
-pub const TURNS: TurnSettings =
-    TurnSettings { first: Millis(3_600), last: Millis(6_500), switch: Millis(2_000) };
+pub const TURNS: RolloutSettings =
+    RolloutSettings { first: Millis(3_600), last: Millis(6_500), load_duration: Millis(2_000) };
 
 /// How the entry of these tests decides.
 pub fn direct_settings() -> DirectSettings {
@@ -101,16 +101,20 @@
 }
 
 /// How the agent of these tests decides.
-pub fn stock_settings() -> StockSettings {
-    StockSettings {
+pub fn stock_settings() -> ProvisioningSettings {
+    ProvisioningSettings {
         own: "10.0.0.1".parse().unwrap(),
         data_centre: "hall-a".parse().unwrap(),
         service: "pool".parse().unwrap(),
         engine: SocketAddr::from(([10, 0, 0, 1], 8001)),
         port: 7701,
-        transfer: TransferSettings { homes: true, far_drawers: 1, ..TransferSettings::default() },
-        turns: TURNS,
-        tell_every: Millis(35),
+        transfer: TransferSettings {
+            uses_primary_holders: true,
+            remote_fetchers: 1,
+            ..TransferSettings::default()
+        },
+        rollout: TURNS,
+        holdings_interval: Millis(35),
     }
 }
 
--- a/mustardrill_core/tests/rebirth.rs
+++ b/mustardrill_core/tests/rebirth.rs
@@ -11,9 +11,10 @@
 };
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::provisioning::{
-    EngineView, OrderFate, StockEffect, StockEvent, StockReducer, VersionId, WeightSource,
+    EngineView, LoadOrderOutcome, ManifestSource, ProvisioningEffect, ProvisioningEvent,
+    ProvisioningReducer, VersionId,
 };
-use mustardrill_core::transfer::DrawOutcome;
+use mustardrill_core::transfer::FetchOutcome;
 use mustardrill_types::{
     ByteSize, FastMap, Generation, ManifestDigest, Millis, Moment, StartStamp, StoreRevision,
     WeightVersion,
@@ -155,8 +156,8 @@
 }
 
 /// An agent whose engine has accepted the order to load version 2.
-fn agent_with_accepted_order() -> (StockReducer, Moment) {
-    let mut reducer = StockReducer::new(common::stock_settings(), 3);
+fn agent_with_accepted_order() -> (ProvisioningReducer, Moment) {
+    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
     let changes = vec![FleetChange::Configured(document())];
     let snapshot = FleetUpdate {
         changes,
@@ -164,33 +165,40 @@
         is_snapshot: true,
         ..FleetUpdate::default()
     };
-    reducer.reduce(START, StockEvent::Fleet(snapshot));
+    reducer.reduce(START, ProvisioningEvent::FleetUpdated(snapshot));
     reducer.reduce(START, engine(5, 1, 0));
     let model: mustardrill_types::ModelName = "m".parse().unwrap();
     let named = FleetChange::VersionAnnounced(model.clone(), WeightVersion(2));
-    reducer.reduce(START, StockEvent::Fleet(fleet_update(vec![named])));
-    let mut effects = reducer.reduce(START, StockEvent::ListSeen(version(), Some(manifest())));
+    reducer.reduce(START, ProvisioningEvent::FleetUpdated(fleet_update(vec![named])));
+    let mut effects =
+        reducer.reduce(START, ProvisioningEvent::ManifestFetched(version(), Some(manifest())));
     let mut now = START;
     for _ in 0..200 {
         now = now + Millis(100);
         let mut next = Vec::new();
         for effect in std::mem::take(&mut effects) {
             let event = match effect {
-                StockEffect::Draw(version, draw, _) => {
-                    StockEvent::DrawEnded(version, draw.index, draw.source, DrawOutcome::Verified)
+                ProvisioningEffect::FetchChunk(version, draw, _) => ProvisioningEvent::FetchEnded(
+                    version,
+                    draw.index,
+                    draw.source,
+                    FetchOutcome::Verified,
+                ),
+                ProvisioningEffect::VerifyStaged(version) => {
+                    ProvisioningEvent::StagedVerified(version, ChunkBitmap::full(2))
                 }
-                StockEffect::ReadBack(version) => {
-                    StockEvent::ReadBack(version, ChunkBitmap::full(2))
-                }
-                StockEffect::Order(version, _) => {
-                    reducer.reduce(now, StockEvent::Ordered(version, OrderFate::Taken));
+                ProvisioningEffect::OrderLoad(version, _) => {
+                    reducer.reduce(
+                        now,
+                        ProvisioningEvent::LoadOrderEnded(version, LoadOrderOutcome::Accepted),
+                    );
                     return (reducer, now);
                 }
                 _ => continue,
             };
             next.extend(reducer.reduce(now, event));
         }
-        next.extend(reducer.reduce(now, StockEvent::Woke));
+        next.extend(reducer.reduce(now, ProvisioningEvent::Tick));
         effects = next;
     }
     panic!("no order was sent within 20 s");
@@ -210,29 +218,29 @@
     })
 }
 
-fn engine(start: u64, version: u64, sequence: u64) -> StockEvent {
+fn engine(start: u64, version: u64, sequence: u64) -> ProvisioningEvent {
     let served = ServedWeights { model: "m".parse().unwrap(), version: WeightVersion(version) };
     let serving = if version > 0 { vec![served] } else { Vec::new() };
     let start = StartStamp(start);
-    StockEvent::EngineSeen(Some(EngineView { start, busy: false, sequence, serving }))
+    ProvisioningEvent::EnginePolled(Some(EngineView { start, busy: false, sequence, serving }))
 }
 
 #[test]
 fn an_engine_that_restarts_while_it_loads_gets_a_new_order_at_once() {
     let (mut reducer, now) = agent_with_accepted_order();
-    reducer.reduce(now + Millis(50), StockEvent::EngineSeen(None));
+    reducer.reduce(now + Millis(50), ProvisioningEvent::EnginePolled(None));
     // Its sequence of orders is unchanged; only its start stamp shows that it has no order.
     let effects = reducer.reduce(now + Millis(100), engine(9, 0, 0));
     assert!(
-        effects.iter().any(|effect| matches!(effect, StockEffect::ReadBack(_))),
+        effects.iter().any(|effect| matches!(effect, ProvisioningEffect::VerifyStaged(_))),
         "the staged chunks are read back for a new order: {effects:?}"
     );
 }
 
 /// An agent that has just started and has fetched version 1, while its engine does not answer yet.
-fn agent_without_engine() -> StockReducer {
-    let mut reducer = StockReducer::new(common::stock_settings(), 3);
-    reducer.reduce(START, StockEvent::EngineSeen(None));
+fn agent_without_engine() -> ProvisioningReducer {
+    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
+    reducer.reduce(START, ProvisioningEvent::EnginePolled(None));
     let changes = vec![FleetChange::Configured(document())];
     let snapshot = FleetUpdate {
         changes,
@@ -240,20 +248,25 @@
         is_snapshot: true,
         ..FleetUpdate::default()
     };
-    reducer.reduce(START, StockEvent::Fleet(snapshot));
+    reducer.reduce(START, ProvisioningEvent::FleetUpdated(snapshot));
     let first = VersionId { version: WeightVersion(1), ..version() };
-    let mut effects = reducer.reduce(START, StockEvent::ListSeen(first, Some(manifest())));
+    let mut effects =
+        reducer.reduce(START, ProvisioningEvent::ManifestFetched(first, Some(manifest())));
     for step in 1..100 {
         let now = START + Millis(step * 10);
         for effect in std::mem::take(&mut effects) {
-            let StockEffect::Draw(version, draw, _) = effect else { continue };
-            let ended =
-                StockEvent::DrawEnded(version, draw.index, draw.source, DrawOutcome::Verified);
+            let ProvisioningEffect::FetchChunk(version, draw, _) = effect else { continue };
+            let ended = ProvisioningEvent::FetchEnded(
+                version,
+                draw.index,
+                draw.source,
+                FetchOutcome::Verified,
+            );
             effects.extend(reducer.reduce(now, ended));
         }
-        let wake_effects = reducer.reduce(now, StockEvent::Woke);
+        let wake_effects = reducer.reduce(now, ProvisioningEvent::Tick);
         assert!(
-            !wake_effects.iter().any(|it| matches!(it, StockEffect::ReadBack(_))),
+            !wake_effects.iter().any(|it| matches!(it, ProvisioningEffect::VerifyStaged(_))),
             "{wake_effects:?}"
         );
         effects.extend(wake_effects);
@@ -268,7 +281,7 @@
     let mut reducer = agent_without_engine();
     let effects = reducer.reduce(START + Millis(1_000), engine(5, 0, 0));
     assert!(
-        effects.iter().any(|it| matches!(it, StockEffect::ReadBack(_))),
+        effects.iter().any(|it| matches!(it, ProvisioningEffect::VerifyStaged(_))),
         "the staged chunks are read back for the order: {effects:?}"
     );
 }
@@ -277,13 +290,16 @@
 fn an_engine_that_was_running_before_its_agent_gets_no_order_for_weights_that_it_serves() {
     let mut reducer = agent_without_engine();
     let effects = reducer.reduce(START + Millis(1_000), engine(5, 1, 3));
-    assert!(!effects.iter().any(|it| matches!(it, StockEffect::ReadBack(_))), "{effects:?}");
+    assert!(
+        !effects.iter().any(|it| matches!(it, ProvisioningEffect::VerifyStaged(_))),
+        "{effects:?}"
+    );
     assert!(reducer.status().serving, "it already serves the fetched version");
 }
 
 #[test]
 fn a_restarted_peer_stays_when_its_former_registration_ends() {
-    let mut reducer = StockReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
     let peer = |id| UpstreamRecord {
         address: SocketAddr::from(([10, 0, 0, 7], 8_001)),
         ..record(id, 1, 1)
@@ -294,16 +310,16 @@
         FleetChange::Upstream(peer("new")),
         FleetChange::UpstreamGone("old".parse().unwrap()),
     ];
-    reducer.reduce(START, StockEvent::Fleet(fleet_update(changes)));
+    reducer.reduce(START, ProvisioningEvent::FleetUpdated(fleet_update(changes)));
     reducer.reduce(START, engine(5, 1, 0));
     let named = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
-    let effects = reducer.reduce(START, StockEvent::Fleet(fleet_update(vec![named])));
+    let effects = reducer.reduce(START, ProvisioningEvent::FleetUpdated(fleet_update(vec![named])));
     let sources = effects.iter().find_map(|effect| match effect {
-        StockEffect::FetchList(_, sources) => Some(sources.clone()),
+        ProvisioningEffect::FetchManifest(_, sources) => Some(sources.clone()),
         _ => None,
     });
     let sources = sources.expect("a manifest is requested");
-    assert!(sources.contains(&WeightSource::Peer("10.0.0.7".parse().unwrap())), "{sources:?}");
+    assert!(sources.contains(&ManifestSource::Peer("10.0.0.7".parse().unwrap())), "{sources:?}");
 }
 
 /// Registrations of one upstream as start stamp, version and whether the registration is invalid.
--- a/mustardrill_core/tests/relays.rs
+++ b/mustardrill_core/tests/relays.rs
@@ -7,7 +7,7 @@
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::relays::{OriginBreaker, RelayItem, RelayTable};
 use mustardrill_core::transfer::{
-    ChunkDraw, ChunkSource, DrawOutcome, TransferPeer, TransferPlan, TransferSettings,
+    ChunkFetch, ChunkSource, FetchOutcome, TransferPeer, TransferPlan, TransferSettings,
 };
 use mustardrill_types::{
     ByteSize, ChunkIndex, DataCentre, FastSet, InstanceId, ManifestDigest, Millis, Moment,
@@ -108,21 +108,21 @@
     plan
 }
 
-fn settings(relays_first: bool) -> TransferSettings {
+fn settings(prefers_relays: bool) -> TransferSettings {
     TransferSettings {
-        homes: true,
-        far_drawers: 1,
-        drawers: 40,
+        uses_primary_holders: true,
+        remote_fetchers: 1,
+        max_seeders: 40,
         stall_after: Millis(500),
-        origin_pace: 10.0,
+        origin_chunk_ms: 10.0,
         relay_window: 3,
-        relays_first,
+        prefers_relays,
         ..TransferSettings::default()
     }
 }
 
-fn relayed_indexes(draws: &[ChunkDraw]) -> Vec<u32> {
-    let is_relay = |draw: &&ChunkDraw| matches!(draw.source, ChunkSource::Relay(_));
+fn relayed_indexes(draws: &[ChunkFetch]) -> Vec<u32> {
+    let is_relay = |draw: &&ChunkFetch| matches!(draw.source, ChunkSource::Relay(_));
     draws.iter().filter(is_relay).map(|draw| draw.index.0).collect()
 }
 
@@ -131,15 +131,15 @@
     let mut plan = plan("10.0.0.1", settings(true), &[relay("e-1", "hall-a", 100)]);
     // A peer holds all chunks, but its link is left to answers.
     let id: InstanceId = "10.0.0.2".parse().unwrap();
-    plan.heard(START, &id, ChunkBitmap::full(TOTAL), 0);
+    plan.record_holdings(START, &id, ChunkBitmap::full(TOTAL), 0);
     let mut fetched = Vec::new();
     while !plan.is_complete() {
-        let draws = plan.next_draws(START);
+        let draws = plan.next_fetches(START);
         assert_eq!(relayed_indexes(&draws).len(), draws.len(), "{draws:?}");
         assert!(!draws.is_empty() && draws.len() <= 3);
         for draw in draws {
             fetched.push(draw.index.0);
-            plan.finished(START, draw.index, &draw.source, &DrawOutcome::Verified);
+            plan.record_outcome(START, draw.index, &draw.source, &FetchOutcome::Verified);
         }
     }
     assert_eq!(fetched, (0..TOTAL).collect::<Vec<_>>());
@@ -148,17 +148,20 @@
 #[test]
 fn an_instance_that_joins_later_fetches_from_its_peers_first() {
     let mut plan = plan("10.0.0.1", settings(false), &[relay("e-1", "hall-a", 100)]);
-    assert!(plan.next_draws(START).is_empty(), "it first waits for peers to report what they hold");
+    assert!(
+        plan.next_fetches(START).is_empty(),
+        "it first waits for peers to report what they hold"
+    );
     let mut all_but_one = ChunkBitmap::full(TOTAL);
     all_but_one.remove(ChunkIndex(7));
-    plan.heard(START, &"10.0.0.2".parse().unwrap(), all_but_one, 0);
+    plan.record_holdings(START, &"10.0.0.2".parse().unwrap(), all_but_one, 0);
     let later = START + Millis(400);
     let mut from_entries = Vec::new();
     for step in 0..TOTAL {
         let now = later + Millis(u64::from(step));
-        for draw in plan.next_draws(now) {
+        for draw in plan.next_fetches(now) {
             from_entries.extend(relayed_indexes(std::slice::from_ref(&draw)));
-            plan.finished(now, draw.index, &draw.source, &DrawOutcome::Verified);
+            plan.record_outcome(now, draw.index, &draw.source, &FetchOutcome::Verified);
         }
     }
     assert!(plan.is_complete());
@@ -173,9 +176,9 @@
         let mut plan = plan(own, settings(true), &relays);
         let now = START + Millis(400);
         for _ in 0..TOTAL {
-            for draw in plan.next_draws(now) {
+            for draw in plan.next_fetches(now) {
                 relayed.extend(relayed_indexes(std::slice::from_ref(&draw)));
-                plan.finished(now, draw.index, &draw.source, &DrawOutcome::Verified);
+                plan.record_outcome(now, draw.index, &draw.source, &FetchOutcome::Verified);
             }
         }
     }
@@ -186,10 +189,10 @@
 #[test]
 fn after_entries_fail_chunks_are_fetched_from_the_origin() {
     let mut plan = plan("10.0.0.1", settings(true), &[relay("e-1", "hall-a", 100)]);
-    for draw in plan.next_draws(START) {
-        plan.finished(START, draw.index, &draw.source, &DrawOutcome::Failed);
+    for draw in plan.next_fetches(START) {
+        plan.record_outcome(START, draw.index, &draw.source, &FetchOutcome::Failed);
     }
-    let draws = plan.next_draws(START + Millis(300));
+    let draws = plan.next_fetches(START + Millis(300));
     assert!(draws.iter().any(|draw| draw.source == ChunkSource::Origin), "{draws:?}");
     assert!(relayed_indexes(&draws).is_empty());
 }
@@ -202,15 +205,15 @@
     let mut call_count = 0;
     for step in 0..60 {
         let now = START + Millis(step * 100);
-        for draw in plan.next_draws(now) {
+        for draw in plan.next_fetches(now) {
             assert!(matches!(draw.source, ChunkSource::Relay(_)), "{draw:?}");
             call_count += 1;
-            plan.finished(now, draw.index, &draw.source, &DrawOutcome::Busy(Vec::new()));
+            plan.record_outcome(now, draw.index, &draw.source, &FetchOutcome::Busy(Vec::new()));
         }
     }
     assert!((30..=100).contains(&call_count), "{call_count} calls in 6 s");
     let now = START + Millis(6_200);
-    let draws = plan.next_draws(now);
+    let draws = plan.next_fetches(now);
     assert_eq!(relayed_indexes(&draws), [0, 1, 2], "the window of chunks is requested again");
 }
 
@@ -238,20 +241,20 @@
     let (mut now, mut in_flight) = (START, Vec::new());
     let mut in_flight_counts = Vec::new();
     for _ in 0..TOTAL {
-        in_flight.extend(plan.next_draws(now));
+        in_flight.extend(plan.next_fetches(now));
         in_flight_counts.push(in_flight.len());
         now = now + Millis(645);
         let draw = in_flight.remove(0);
-        plan.finished(now, draw.index, &draw.source, &DrawOutcome::Verified);
+        plan.record_outcome(now, draw.index, &draw.source, &FetchOutcome::Verified);
     }
     assert_eq!(in_flight_counts[0], 3);
     assert!(in_flight_counts[6..].iter().all(|count| *count == 1), "{in_flight_counts:?}");
     // Chunks arrive quickly again, as before.
     while !plan.is_complete() {
-        in_flight.extend(plan.next_draws(now));
+        in_flight.extend(plan.next_fetches(now));
         now = now + Millis(30);
         let Some(draw) = in_flight.pop() else { break };
-        plan.finished(now, draw.index, &draw.source, &DrawOutcome::Verified);
+        plan.record_outcome(now, draw.index, &draw.source, &FetchOutcome::Verified);
     }
     assert!(plan.is_complete());
 }
--- a/mustardrill_core/tests/requests.rs
+++ b/mustardrill_core/tests/requests.rs
@@ -182,13 +182,13 @@
         staging_limit: ByteSize(1_000),
         floor_percent: 75,
         exchange_every: Millis(100),
-        wave_patience: Millis(1_000),
+        wave_timeout: Millis(1_000),
         retry_every: Millis(100),
         is_engine: place < AGENTS - 1,
     };
     let mut reducer = AgentReducer::new(Moment(now), settings, place as u64);
     let serving = vec![V1.parse().unwrap()];
-    reducer.reduce(Moment(now), AgentEvent::EngineSeen(Some(EngineReport { serving })));
+    reducer.reduce(Moment(now), AgentEvent::EnginePolled(Some(EngineReport { serving })));
     reducer
 }
 
@@ -302,7 +302,7 @@
             Happening::Asks { entry, order, place, life } => self.ask(entry, order, place, life),
             Happening::AskArrives { agent, order, life } => {
                 if self.agents[agent].life == life {
-                    self.act(agent, AgentEvent::ClaimAsked(order.key, order.attempt, WALL_S));
+                    self.act(agent, AgentEvent::ClaimRequested(order.key, order.attempt, WALL_S));
                 }
             }
             Happening::AskTimesOut { order, place } => {
--- a/mustardrill_core/tests/stock.rs
+++ b/mustardrill_core/tests/stock.rs
@@ -11,10 +11,11 @@
 };
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::provisioning::{
-    EngineView, EntryBook, HoldingNews, OrderFate, StockEffect, StockEvent, StockReducer,
-    StockSettings, TurnSpan, VersionId, WeightSource,
+    EngineView, EntryDirectory, HoldingsReport, LoadOrderOutcome, ManifestSource,
+    ProvisioningEffect, ProvisioningEvent, ProvisioningReducer, ProvisioningSettings,
+    RolloutWindow, VersionId,
 };
-use mustardrill_core::transfer::{ChunkSource, DrawOutcome, TransferSettings};
+use mustardrill_core::transfer::{ChunkSource, FetchOutcome, TransferSettings};
 use mustardrill_types::{
     ByteSize, ChunkIndex, FastMap, Generation, InstanceId, ManifestDigest, Millis, Moment,
     ServiceName, StartStamp, StoreRevision, WeightVersion,
@@ -68,8 +69,8 @@
     })
 }
 
-fn fleet(changes: Vec<FleetChange>, is_snapshot: bool) -> StockEvent {
-    StockEvent::Fleet(FleetUpdate {
+fn fleet(changes: Vec<FleetChange>, is_snapshot: bool) -> ProvisioningEvent {
+    ProvisioningEvent::FleetUpdated(FleetUpdate {
         changes,
         revision: StoreRevision(1),
         is_snapshot,
@@ -77,11 +78,11 @@
     })
 }
 
-fn engine_state(version: u64, sequence: u64) -> StockEvent {
+fn engine_state(version: u64, sequence: u64) -> ProvisioningEvent {
     let model = "m".parse().unwrap();
     let served = ServedWeights { model, version: WeightVersion(version) };
     let serving = if version > 0 { vec![served] } else { Vec::new() };
-    StockEvent::EngineSeen(Some(EngineView {
+    ProvisioningEvent::EnginePolled(Some(EngineView {
         busy: false,
         sequence,
         serving,
@@ -97,7 +98,7 @@
     FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(number))
 }
 
-fn manifest_received(number: u64) -> StockEvent {
+fn manifest_received(number: u64) -> ProvisioningEvent {
     let chunks = (0..TOTAL).map(|index| ManifestDigest([index as u8 + number as u8; 32]));
     let manifest = Manifest {
         model: "m".parse().unwrap(),
@@ -106,29 +107,29 @@
         chunk_size: ByteSize(1),
         chunks: chunks.collect(),
     };
-    StockEvent::ListSeen(version(number), Some(Arc::new(manifest)))
+    ProvisioningEvent::ManifestFetched(version(number), Some(Arc::new(manifest)))
 }
 
-fn started_fetches(effects: &[StockEffect]) -> Vec<(ChunkIndex, ChunkSource)> {
+fn started_fetches(effects: &[ProvisioningEffect]) -> Vec<(ChunkIndex, ChunkSource)> {
     let fetches = effects.iter().filter_map(|effect| match effect {
-        StockEffect::Draw(_, draw, _) => Some((draw.index, draw.source.clone())),
+        ProvisioningEffect::FetchChunk(_, draw, _) => Some((draw.index, draw.source.clone())),
         _ => None,
     });
     fetches.collect()
 }
 
 /// The versions whose manifests are requested.
-fn manifests_requested(effects: &[StockEffect]) -> Vec<VersionId> {
+fn manifests_requested(effects: &[ProvisioningEffect]) -> Vec<VersionId> {
     let requests = effects.iter().filter_map(|effect| match effect {
-        StockEffect::FetchList(wanted, _) => Some(wanted.clone()),
+        ProvisioningEffect::FetchManifest(wanted, _) => Some(wanted.clone()),
         _ => None,
     });
     requests.collect()
 }
 
 /// An agent alone in its service, whose engine serves version 1.
-fn agent() -> StockReducer {
-    let mut reducer = StockReducer::new(common::stock_settings(), 3);
+fn agent() -> ProvisioningReducer {
+    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
     let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
     reducer.reduce(START, fleet(changes, true));
     reducer.reduce(START, engine_state(1, 0));
@@ -137,10 +138,10 @@
 
 /// Completes every fetch that the reducer starts, at `now`, until it starts no more.
 fn complete_fetches(
-    reducer: &mut StockReducer,
+    reducer: &mut ProvisioningReducer,
     now: Moment,
     number: u64,
-    mut effects: Vec<StockEffect>,
+    mut effects: Vec<ProvisioningEffect>,
 ) {
     for _ in 0..10 * TOTAL {
         let Some((index, source)) = started_fetches(&effects).first().cloned() else { return };
@@ -148,8 +149,12 @@
         effects.clear();
         rest.insert(0, (index, source));
         for (index, source) in rest {
-            let ended =
-                StockEvent::DrawEnded(version(number), index, source, DrawOutcome::Verified);
+            let ended = ProvisioningEvent::FetchEnded(
+                version(number),
+                index,
+                source,
+                FetchOutcome::Verified,
+            );
             effects.extend(reducer.reduce(now, ended));
         }
     }
@@ -164,7 +169,7 @@
     let mut reducer = agent();
     assert!(!reducer.is_busy());
     assert!(reducer.holds(&version(1), ChunkIndex(0)), "the served version counts as staged");
-    assert_eq!(reducer.reduce(START, StockEvent::Woke), Vec::new());
+    assert_eq!(reducer.reduce(START, ProvisioningEvent::Tick), Vec::new());
 }
 
 /// An agent starts beside a running engine, while its entry has been cut off from the store since
@@ -172,7 +177,7 @@
 #[test]
 fn an_agent_that_starts_with_outdated_announcements_keeps_newer_weights() {
     for announcements in [vec![announced(2)], Vec::new()] {
-        let mut reducer = StockReducer::new(common::stock_settings(), 3);
+        let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
         let mut changes = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
         changes.extend(announcements);
         reducer.reduce(START, fleet(changes, true));
@@ -181,45 +186,46 @@
         reducer.reduce(START + Millis(500), fleet(vec![announced(3)], false));
         assert!(!reducer.is_busy());
         // After a restart the engine holds nothing and must not get an older version than before.
-        reducer.reduce(START + Millis(900), StockEvent::EngineSeen(None));
+        reducer.reduce(START + Millis(900), ProvisioningEvent::EnginePolled(None));
         let effects = reducer.reduce(START + Millis(1_000), engine_state(0, 0));
         assert_eq!(manifests_requested(&effects), [version(3)]);
         let effects = reducer.reduce(START + Millis(2_000), fleet(vec![announced(4)], false));
-        assert!(effects.contains(&StockEffect::ReadPeers));
+        assert!(effects.contains(&ProvisioningEffect::ReadPeers));
     }
 }
 
 /// As above, but the newer version is never announced here: the engine's own report is sufficient.
 #[test]
 fn a_restarted_engine_gets_no_older_version_than_it_served() {
-    let mut reducer = StockReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
     let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1), announced(2)];
     reducer.reduce(START, fleet(changes, true));
     reducer.reduce(START, engine_state(3, 1));
-    reducer.reduce(START + Millis(900), StockEvent::EngineSeen(None));
+    reducer.reduce(START + Millis(900), ProvisioningEvent::EnginePolled(None));
     let effects = reducer.reduce(START + Millis(1_000), engine_state(0, 0));
     assert_eq!(manifests_requested(&effects), [version(3)]);
 }
 
 #[test]
 fn an_empty_engine_loads_without_waiting_for_a_slot() {
-    let mut reducer = StockReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
     let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
     reducer.reduce(START, fleet(changes, true));
     let effects = reducer.reduce(START, engine_state(0, 0));
-    assert_matches!(effects[..], [StockEffect::FetchList(..)]);
+    assert_matches!(effects[..], [ProvisioningEffect::FetchManifest(..)]);
     let effects = reducer.reduce(START, manifest_received(1));
     // After the agent's start, the copy staged by an earlier run is inspected first.
-    assert_matches!(effects[..], [StockEffect::ReadBack(_), ..]);
+    assert_matches!(effects[..], [ProvisioningEffect::VerifyStaged(_), ..]);
     let mut found = ChunkBitmap::empty(TOTAL);
     found.insert(ChunkIndex(2));
-    let effects = reducer.reduce(START, StockEvent::ReadBack(version(1), found));
+    let effects = reducer.reduce(START, ProvisioningEvent::StagedVerified(version(1), found));
     assert!(started_fetches(&effects).iter().all(|(index, _)| *index != ChunkIndex(2)));
     complete_fetches(&mut reducer, START, 1, effects);
-    let effects = reducer.reduce(START, StockEvent::Woke);
-    assert!(effects.contains(&StockEffect::ReadBack(version(1))), "{effects:?}");
-    let effects = reducer.reduce(START, StockEvent::ReadBack(version(1), all_chunks()));
-    assert!(effects.contains(&StockEffect::Order(version(1), 0)), "{effects:?}");
+    let effects = reducer.reduce(START, ProvisioningEvent::Tick);
+    assert!(effects.contains(&ProvisioningEffect::VerifyStaged(version(1))), "{effects:?}");
+    let effects =
+        reducer.reduce(START, ProvisioningEvent::StagedVerified(version(1), all_chunks()));
+    assert!(effects.contains(&ProvisioningEffect::OrderLoad(version(1), 0)), "{effects:?}");
 }
 
 /// An agent reads the peers that need an announced version from an entry, which may have been cut
@@ -234,44 +240,45 @@
     reducer.reduce(START, fleet(reported, true));
     let effects = reducer.reduce(START, fleet(vec![announced(2)], false));
     let sources = effects.iter().find_map(|effect| match effect {
-        StockEffect::FetchList(_, sources) => Some(sources.clone()),
+        ProvisioningEffect::FetchManifest(_, sources) => Some(sources.clone()),
         _ => None,
     });
-    assert_eq!(sources, Some(vec![WeightSource::Origin(origin)]));
+    assert_eq!(sources, Some(vec![ManifestSource::Origin(origin)]));
 }
 
 /// An agent that has version 2 staged.
-fn agent_with_staged_version() -> StockReducer {
+fn agent_with_staged_version() -> ProvisioningReducer {
     let mut reducer = agent();
     let effects = reducer.reduce(START, fleet(vec![announced(2)], false));
-    assert!(effects.contains(&StockEffect::ReadPeers));
-    reducer.reduce(START, StockEvent::ListSeen(version(2), None));
+    assert!(effects.contains(&ProvisioningEffect::ReadPeers));
+    reducer.reduce(START, ProvisioningEvent::ManifestFetched(version(2), None));
     // An agent that has just started inspects the staged copy.
     reducer.reduce(START, manifest_received(2));
     let empty = ChunkBitmap::empty(TOTAL);
-    let effects = reducer.reduce(START, StockEvent::ReadBack(version(2), empty));
+    let effects = reducer.reduce(START, ProvisioningEvent::StagedVerified(version(2), empty));
     complete_fetches(&mut reducer, START, 2, effects);
     reducer
 }
 
 /// An agent that has ordered the load of version 2 in its slot after verification, and the time of
 /// that slot.
-fn agent_with_load_order() -> (StockReducer, Moment) {
+fn agent_with_load_order() -> (ProvisioningReducer, Moment) {
     let mut reducer = agent_with_staged_version();
     let slot = START + common::TURNS.first;
-    reducer.reduce(slot, StockEvent::Woke);
-    reducer.reduce(slot, StockEvent::ReadBack(version(2), all_chunks()));
+    reducer.reduce(slot, ProvisioningEvent::Tick);
+    reducer.reduce(slot, ProvisioningEvent::StagedVerified(version(2), all_chunks()));
     (reducer, slot)
 }
 
 #[test]
 fn newer_weights_load_in_their_slot_after_verification() {
     let mut reducer = agent_with_staged_version();
-    let before = reducer.reduce(START + Millis(3_000), StockEvent::Woke);
-    let is_report = |effect: &StockEffect| {
+    let before = reducer.reduce(START + Millis(3_000), ProvisioningEvent::Tick);
+    let is_report = |effect: &ProvisioningEffect| {
         matches!(
             effect,
-            StockEffect::TellHolding { .. } | StockEffect::TellEntries(_, EngineWord::Closing(_))
+            ProvisioningEffect::SendHoldings { .. }
+                | ProvisioningEffect::NotifyEntries(_, EngineWord::Closing(_))
         )
     };
     assert!(
@@ -279,20 +286,26 @@
         "only reports are sent: {before:?}"
     );
     let slot = START + common::TURNS.first;
-    let effects = reducer.reduce(slot, StockEvent::Woke);
-    assert!(effects.contains(&StockEffect::ReadBack(version(2))), "{effects:?}");
-    let pause = StockEffect::TellEntries("m".parse().unwrap(), EngineWord::Pausing);
+    let effects = reducer.reduce(slot, ProvisioningEvent::Tick);
+    assert!(effects.contains(&ProvisioningEffect::VerifyStaged(version(2))), "{effects:?}");
+    let pause = ProvisioningEffect::NotifyEntries("m".parse().unwrap(), EngineWord::Pausing);
     assert!(
         effects.contains(&pause),
         "entries are notified before the engine stops accepting requests"
     );
-    assert!(!effects.iter().any(|it| matches!(it, StockEffect::Order(..))), "{effects:?}");
-    let effects = reducer.reduce(slot, StockEvent::ReadBack(version(2), all_chunks()));
-    assert!(effects.iter().any(|it| matches!(it, StockEffect::Order(..))), "{effects:?}");
-    reducer.reduce(slot, StockEvent::Ordered(version(2), OrderFate::Taken));
+    assert!(
+        !effects.iter().any(|it| matches!(it, ProvisioningEffect::OrderLoad(..))),
+        "{effects:?}"
+    );
+    let effects = reducer.reduce(slot, ProvisioningEvent::StagedVerified(version(2), all_chunks()));
+    assert!(
+        effects.iter().any(|it| matches!(it, ProvisioningEffect::OrderLoad(..))),
+        "{effects:?}"
+    );
+    reducer.reduce(slot, ProvisioningEvent::LoadOrderEnded(version(2), LoadOrderOutcome::Accepted));
     let effects = reducer.reduce(slot + Millis(900), engine_state(2, 1));
     let word = EngineWord::Serving(WeightVersion(2));
-    assert!(effects.contains(&StockEffect::TellEntries("m".parse().unwrap(), word)));
+    assert!(effects.contains(&ProvisioningEffect::NotifyEntries("m".parse().unwrap(), word)));
     assert!(!reducer.is_busy());
 }
 
@@ -302,18 +315,18 @@
 fn entries_are_notified_of_a_load_slot_only_shortly_before_it() {
     let mut reducer = agent_with_staged_version();
     let slot = START + common::TURNS.first;
-    let closing = |effects: &[StockEffect]| {
+    let closing = |effects: &[ProvisioningEffect]| {
         effects.iter().find_map(|effect| match effect {
-            StockEffect::TellEntries(_, EngineWord::Closing(after)) => Some(*after),
+            ProvisioningEffect::NotifyEntries(_, EngineWord::Closing(after)) => Some(*after),
             _ => None,
         })
     };
-    let early = reducer.reduce(slot - Millis(2_000), StockEvent::Woke);
+    let early = reducer.reduce(slot - Millis(2_000), ProvisioningEvent::Tick);
     assert_eq!(closing(&early), None, "most answers complete by then");
-    let near = reducer.reduce(slot - Millis(1_000), StockEvent::Woke);
+    let near = reducer.reduce(slot - Millis(1_000), ProvisioningEvent::Tick);
     assert_eq!(closing(&near), Some(Millis(1_000)));
     assert_eq!(
-        closing(&reducer.reduce(slot - Millis(900), StockEvent::Woke)),
+        closing(&reducer.reduce(slot - Millis(900), ProvisioningEvent::Tick)),
         None,
         "notified once"
     );
@@ -323,16 +336,17 @@
 fn a_damaged_staged_chunk_is_fetched_again_before_any_order() {
     let mut reducer = agent_with_staged_version();
     let slot = START + common::TURNS.first;
-    reducer.reduce(slot, StockEvent::Woke);
+    reducer.reduce(slot, ProvisioningEvent::Tick);
     let mut with_damaged_chunk = all_chunks();
     with_damaged_chunk.remove(ChunkIndex(5));
-    let mut effects = reducer.reduce(slot, StockEvent::ReadBack(version(2), with_damaged_chunk));
-    assert!(!effects.iter().any(|effect| matches!(effect, StockEffect::Order(..))));
+    let mut effects =
+        reducer.reduce(slot, ProvisioningEvent::StagedVerified(version(2), with_damaged_chunk));
+    assert!(!effects.iter().any(|effect| matches!(effect, ProvisioningEffect::OrderLoad(..))));
     let resumed = EngineWord::Serving(WeightVersion(1));
-    let resumed = StockEffect::TellEntries("m".parse().unwrap(), resumed);
+    let resumed = ProvisioningEffect::NotifyEntries("m".parse().unwrap(), resumed);
     assert!(effects.contains(&resumed), "entries were notified of a pause that does not come");
     for step in 1..60 {
-        effects.extend(reducer.reduce(slot + Millis(step * 100), StockEvent::Woke));
+        effects.extend(reducer.reduce(slot + Millis(step * 100), ProvisioningEvent::Tick));
     }
     assert!(started_fetches(&effects).iter().all(|(index, _)| *index == ChunkIndex(5)));
     assert!(!started_fetches(&effects).is_empty(), "the damaged chunk is not fetched");
@@ -341,12 +355,13 @@
 #[test]
 fn a_rejected_load_order_is_repeated() {
     let (mut reducer, slot) = agent_with_load_order();
-    reducer.reduce(slot, StockEvent::Ordered(version(2), OrderFate::Refused));
+    reducer.reduce(slot, ProvisioningEvent::LoadOrderEnded(version(2), LoadOrderOutcome::Rejected));
     let mut effects = reducer.reduce(slot + Millis(50), engine_state(1, 3));
-    effects.extend(reducer.reduce(slot + Millis(75), StockEvent::Woke));
-    assert!(effects.contains(&StockEffect::ReadBack(version(2))), "{effects:?}");
-    let effects = reducer.reduce(slot + Millis(80), StockEvent::ReadBack(version(2), all_chunks()));
-    assert!(effects.contains(&StockEffect::Order(version(2), 3)), "{effects:?}");
+    effects.extend(reducer.reduce(slot + Millis(75), ProvisioningEvent::Tick));
+    assert!(effects.contains(&ProvisioningEffect::VerifyStaged(version(2))), "{effects:?}");
+    let effects = reducer
+        .reduce(slot + Millis(80), ProvisioningEvent::StagedVerified(version(2), all_chunks()));
+    assert!(effects.contains(&ProvisioningEffect::OrderLoad(version(2), 3)), "{effects:?}");
 }
 
 #[test]
@@ -358,8 +373,9 @@
         started_fetches(&effects).is_empty(),
         "a fetched chunk would overwrite a staged one: {effects:?}"
     );
-    let mut effects = reducer.reduce(slot, StockEvent::Ordered(version(2), OrderFate::Taken));
-    effects.extend(reducer.reduce(slot, StockEvent::Woke));
+    let mut effects = reducer
+        .reduce(slot, ProvisioningEvent::LoadOrderEnded(version(2), LoadOrderOutcome::Accepted));
+    effects.extend(reducer.reduce(slot, ProvisioningEvent::Tick));
     assert!(!started_fetches(&effects).is_empty(), "{effects:?}");
 }
 
@@ -371,16 +387,19 @@
     let mut effects = reducer.reduce(slot, fleet(vec![announced(3)], false));
     effects.extend(reducer.reduce(slot, manifest_received(3)));
     let late = slot + Millis(400);
-    effects.extend(reducer.reduce(late, StockEvent::Ordered(version(2), OrderFate::Unknown)));
+    effects.extend(
+        reducer
+            .reduce(late, ProvisioningEvent::LoadOrderEnded(version(2), LoadOrderOutcome::Unknown)),
+    );
     effects.extend(reducer.reduce(late + Millis(25), engine_state(1, 0)));
-    effects.extend(reducer.reduce(late + Millis(50), StockEvent::Woke));
+    effects.extend(reducer.reduce(late + Millis(50), ProvisioningEvent::Tick));
     assert!(
         started_fetches(&effects).is_empty(),
         "a fetched chunk would overwrite a staged one: {effects:?}"
     );
     // The engine's order count shows that it accepted the order, and with it the staged copy.
     let mut effects = reducer.reduce(late + Millis(100), engine_state(1, 1));
-    effects.extend(reducer.reduce(late + Millis(125), StockEvent::Woke));
+    effects.extend(reducer.reduce(late + Millis(125), ProvisioningEvent::Tick));
     assert!(!started_fetches(&effects).is_empty(), "{effects:?}");
 }
 
@@ -390,16 +409,19 @@
     let (mut reducer, slot) = agent_with_load_order();
     reducer.reduce(slot + Millis(20), fleet(vec![announced(3)], false));
     reducer.reduce(slot + Millis(60), manifest_received(3));
-    reducer.reduce(slot + Millis(400), StockEvent::Ordered(version(2), OrderFate::Unknown));
+    reducer.reduce(
+        slot + Millis(400),
+        ProvisioningEvent::LoadOrderEnded(version(2), LoadOrderOutcome::Unknown),
+    );
     let mut effects = Vec::new();
     for step in 0..50 {
         effects.extend(reducer.reduce(slot + Millis(400 + step * 100), engine_state(1, 0)));
     }
     assert!(started_fetches(&effects).is_empty(), "{effects:?}");
-    assert!(effects.contains(&StockEffect::ReadBack(version(2))), "{effects:?}");
+    assert!(effects.contains(&ProvisioningEffect::VerifyStaged(version(2))), "{effects:?}");
     let now = slot + Millis(5_500);
-    let effects = reducer.reduce(now, StockEvent::ReadBack(version(2), all_chunks()));
-    assert!(effects.contains(&StockEffect::Order(version(2), 0)), "{effects:?}");
+    let effects = reducer.reduce(now, ProvisioningEvent::StagedVerified(version(2), all_chunks()));
+    assert!(effects.contains(&ProvisioningEffect::OrderLoad(version(2), 0)), "{effects:?}");
 }
 
 /// Saving a load is worth more than spreading loads over the window.
@@ -408,7 +430,7 @@
     let mut reducer = agent_with_staged_version();
     reducer.reduce(START + Millis(2_000), fleet(vec![announced(3)], false));
     let effects = reducer.reduce(START + Millis(2_100), manifest_received(3));
-    assert!(effects.contains(&StockEffect::DropList(version(2))), "{effects:?}");
+    assert!(effects.contains(&ProvisioningEffect::DropManifest(version(2))), "{effects:?}");
 }
 
 /// A version announced after an engine's slot has to wait until the engine has accepted the order.
@@ -416,11 +438,12 @@
 fn a_version_whose_slot_has_come_is_loaded_although_a_newer_one_can_be_fetched() {
     let slot = START + common::TURNS.first;
     let mut reducer = agent_with_staged_version();
-    reducer.reduce(slot, StockEvent::Woke);
+    reducer.reduce(slot, ProvisioningEvent::Tick);
     reducer.reduce(slot + Millis(20), fleet(vec![announced(3)], false));
     reducer.reduce(slot + Millis(60), manifest_received(3));
-    let effects = reducer.reduce(slot + Millis(90), StockEvent::ReadBack(version(2), all_chunks()));
-    assert!(effects.contains(&StockEffect::Order(version(2), 0)), "{effects:?}");
+    let effects = reducer
+        .reduce(slot + Millis(90), ProvisioningEvent::StagedVerified(version(2), all_chunks()));
+    assert!(effects.contains(&ProvisioningEffect::OrderLoad(version(2), 0)), "{effects:?}");
 }
 
 /// Three of four engines skipped version 2, so they have less time to load version 3 than the one
@@ -428,18 +451,18 @@
 #[test]
 fn engines_with_the_newer_of_two_superseded_versions_load_last() {
     let (mut reducer, slot) = agent_with_load_order();
-    reducer.reduce(slot, StockEvent::Ordered(version(2), OrderFate::Taken));
+    reducer.reduce(slot, ProvisioningEvent::LoadOrderEnded(version(2), LoadOrderOutcome::Accepted));
     reducer.reduce(slot + Millis(900), engine_state(2, 1));
     let second = START + Millis(4_000);
-    reducer.reduce(slot + Millis(900), StockEvent::Woke);
+    reducer.reduce(slot + Millis(900), ProvisioningEvent::Tick);
     reducer.reduce(second.max(slot + Millis(901)), fleet(vec![announced(3)], false));
     let effects = reducer.reduce(slot + Millis(950), manifest_received(3));
     complete_fetches(&mut reducer, slot + Millis(1_000), 3, effects);
-    let peers_done = START + common::TURNS.last + common::TURNS.switch;
-    let early = reducer.reduce(peers_done - Millis(50), StockEvent::Woke);
-    assert!(!early.contains(&StockEffect::ReadBack(version(3))), "{early:?}");
-    let due = reducer.reduce(peers_done + Millis(50), StockEvent::Woke);
-    assert!(due.contains(&StockEffect::ReadBack(version(3))), "{due:?}");
+    let peers_done = START + common::TURNS.last + common::TURNS.load_duration;
+    let early = reducer.reduce(peers_done - Millis(50), ProvisioningEvent::Tick);
+    assert!(!early.contains(&ProvisioningEffect::VerifyStaged(version(3))), "{early:?}");
+    let due = reducer.reduce(peers_done + Millis(50), ProvisioningEvent::Tick);
+    assert!(due.contains(&ProvisioningEffect::VerifyStaged(version(3))), "{due:?}");
 }
 
 /// The origin became unavailable between two announcements: the newer manifest could not be fetched
@@ -448,17 +471,18 @@
 fn a_version_is_loaded_in_its_slot_while_the_next_manifest_is_unavailable() {
     let mut reducer = agent_with_staged_version();
     let mut effects = reducer.reduce(START + Millis(3_000), fleet(vec![announced(3)], false));
-    let requested = StockEffect::FetchList(version(3), Vec::new());
-    let is_manifest_fetch =
-        |effect: &StockEffect| std::mem::discriminant(effect) == std::mem::discriminant(&requested);
+    let requested = ProvisioningEffect::FetchManifest(version(3), Vec::new());
+    let is_manifest_fetch = |effect: &ProvisioningEffect| {
+        std::mem::discriminant(effect) == std::mem::discriminant(&requested)
+    };
     assert!(effects.iter().any(is_manifest_fetch), "{effects:?}");
     for step in 0..40 {
         let now = START + Millis(3_000 + step * 25);
-        effects.extend(reducer.reduce(now, StockEvent::Woke));
-        effects.extend(reducer.reduce(now, StockEvent::ListSeen(version(3), None)));
+        effects.extend(reducer.reduce(now, ProvisioningEvent::Tick));
+        effects.extend(reducer.reduce(now, ProvisioningEvent::ManifestFetched(version(3), None)));
     }
-    assert!(effects.contains(&StockEffect::ReadBack(version(2))), "{effects:?}");
-    assert!(!effects.contains(&StockEffect::DropList(version(2))));
+    assert!(effects.contains(&ProvisioningEffect::VerifyStaged(version(2))), "{effects:?}");
+    assert!(!effects.contains(&ProvisioningEffect::DropManifest(version(2))));
     let requests = effects.iter().filter(|effect| is_manifest_fetch(effect)).count();
     assert!((2..=8).contains(&requests), "{requests} manifest requests in a second");
 }
@@ -470,9 +494,11 @@
     reducer.reduce(START, fleet(vec![announced(2)], false));
     reducer.reduce(START, manifest_received(2));
     let empty = ChunkBitmap::empty(TOTAL);
-    let mut effects = reducer.reduce(START, StockEvent::ReadBack(version(2), empty));
+    let mut effects = reducer.reduce(START, ProvisioningEvent::StagedVerified(version(2), empty));
     let later_effects = reducer.reduce(START + Millis(100), fleet(vec![announced(3)], false));
-    assert!(!later_effects.iter().any(|effect| matches!(effect, StockEffect::CancelDraw(..))));
+    assert!(
+        !later_effects.iter().any(|effect| matches!(effect, ProvisioningEffect::CancelFetch(..)))
+    );
     effects.extend(later_effects);
     complete_fetches(&mut reducer, START + Millis(200), 2, effects);
     assert_eq!(reducer.status().held, TOTAL);
@@ -481,29 +507,29 @@
 #[test]
 fn load_slots_are_spread_over_the_whole_window() {
     let ids: Vec<InstanceId> = (1..=20).map(|at| format!("10.0.0.{at}").parse().unwrap()).collect();
-    let span = TurnSpan { first: Moment(1_000), last: Moment(3_000) };
-    let mut turns: Vec<_> = ids.iter().map(|own| span.turn(b"m", &ids, own)).collect();
-    turns.sort_unstable();
+    let window = RolloutWindow { first: Moment(1_000), last: Moment(3_000) };
+    let mut slots: Vec<_> = ids.iter().map(|own| window.slot(b"m", &ids, own)).collect();
+    slots.sort_unstable();
     let expected: Vec<_> = (0..20).map(|place| Moment(1_000 + place * 100)).collect();
-    assert_eq!(turns, expected);
+    assert_eq!(slots, expected);
 }
 
 #[test]
 fn a_peer_that_asks_receives_the_staged_chunks_of_this_agent() {
     let mut reducer = agent();
-    let report = HoldingNews {
+    let report = HoldingsReport {
         from: "10.0.0.2".parse().unwrap(),
         version: version(1),
         bitmap: ChunkBitmap::empty(TOTAL).to_bytes().into(),
         queue: 0,
-        asks: true,
+        wants_reply: true,
     };
-    let effects = reducer.reduce(START, StockEvent::HoldingSeen(report));
-    let expected = StockEffect::TellHolding {
+    let effects = reducer.reduce(START, ProvisioningEvent::HoldingsReceived(report));
+    let expected = ProvisioningEffect::SendHoldings {
         version: version(1),
         to: vec![SocketAddr::from(([10, 0, 0, 2], 7701))],
         bitmap: all_chunks(),
-        asks: false,
+        wants_reply: false,
     };
     assert_eq!(effects, [expected]);
 }
@@ -511,11 +537,11 @@
 /// A dead seeder delays its chunks by one timeout in total, not by one timeout each.
 #[test]
 fn all_chunks_of_a_dead_seeder_are_fetched_by_the_next_one_at_once() {
-    let mut reducer = StockReducer::new(
-        StockSettings {
+    let mut reducer = ProvisioningReducer::new(
+        ProvisioningSettings {
             transfer: TransferSettings {
-                homes: true,
-                far_drawers: 1,
+                uses_primary_holders: true,
+                remote_fetchers: 1,
                 origin_window: 8,
                 stall_after: Millis(500),
                 ..TransferSettings::default()
@@ -554,18 +580,19 @@
     reducer.reduce(START, engine_state(1, 0));
     reducer.reduce(START, manifest_received(2));
     let empty = ChunkBitmap::empty(TOTAL);
-    let effects = reducer.reduce(START, StockEvent::ReadBack(version(2), empty));
+    let effects = reducer.reduce(START, ProvisioningEvent::StagedVerified(version(2), empty));
     complete_fetches(&mut reducer, START, 2, effects);
     let mut all = FastMap::default();
     // The agent's own chunks arrive at their due times; those of the dead seeder are overdue after
     // twice the stall interval.
     for step in 0..=56 {
         let now = START + Millis(step * 25);
-        let mut fetches = started_fetches(&reducer.reduce(now, StockEvent::Woke));
+        let mut fetches = started_fetches(&reducer.reduce(now, ProvisioningEvent::Tick));
         // The end of a fetch may start another.
         while let Some((index, source)) = fetches.pop() {
             all.insert(index, now);
-            let ended = StockEvent::DrawEnded(version(2), index, source, DrawOutcome::Verified);
+            let ended =
+                ProvisioningEvent::FetchEnded(version(2), index, source, FetchOutcome::Verified);
             fetches.extend(started_fetches(&reducer.reduce(now, ended)));
         }
     }
@@ -590,16 +617,18 @@
     let mut asking = 0;
     for host in 1..=FLEET {
         let own = format!("10.0.0.{host}").parse().unwrap();
-        let mut reducer =
-            StockReducer::new(StockSettings { own, ..common::stock_settings() }, u64::from(host));
+        let mut reducer = ProvisioningReducer::new(
+            ProvisioningSettings { own, ..common::stock_settings() },
+            u64::from(host),
+        );
         reducer.reduce(START, fleet(changes.clone(), true));
         let mut effects = reducer.reduce(START, engine_state(0, 0));
         for step in 1..=18 {
-            effects.extend(reducer.reduce(START + Millis(step * 50), StockEvent::Woke));
+            effects.extend(reducer.reduce(START + Millis(step * 50), ProvisioningEvent::Tick));
         }
-        let asks = |effect: &StockEffect| {
-            let StockEffect::FetchList(_, sources) = effect else { return false };
-            sources.iter().any(|source| matches!(source, WeightSource::Origin(_)))
+        let asks = |effect: &ProvisioningEffect| {
+            let ProvisioningEffect::FetchManifest(_, sources) = effect else { return false };
+            sources.iter().any(|source| matches!(source, ManifestSource::Origin(_)))
         };
         asking += usize::from(effects.iter().any(asks));
     }
@@ -611,18 +640,19 @@
 /// delay it.
 #[test]
 fn a_version_announced_before_the_agent_started_is_loaded_without_a_slot() {
-    let mut reducer = StockReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
     let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1), announced(2)];
     reducer.reduce(START, fleet(changes, true));
     reducer.reduce(START, engine_state(1, 0));
     reducer.reduce(START, manifest_received(2));
     let empty = ChunkBitmap::empty(TOTAL);
-    let effects = reducer.reduce(START, StockEvent::ReadBack(version(2), empty));
+    let effects = reducer.reduce(START, ProvisioningEvent::StagedVerified(version(2), empty));
     complete_fetches(&mut reducer, START, 2, effects);
     let after_fetch = START + Millis(100);
-    reducer.reduce(after_fetch, StockEvent::Woke);
-    let effects = reducer.reduce(after_fetch, StockEvent::ReadBack(version(2), all_chunks()));
-    assert!(effects.contains(&StockEffect::Order(version(2), 0)), "{effects:?}");
+    reducer.reduce(after_fetch, ProvisioningEvent::Tick);
+    let effects =
+        reducer.reduce(after_fetch, ProvisioningEvent::StagedVerified(version(2), all_chunks()));
+    assert!(effects.contains(&ProvisioningEffect::OrderLoad(version(2), 0)), "{effects:?}");
 }
 
 /// Engines added long after an announcement request the manifest from agents that loaded the
@@ -630,25 +660,26 @@
 #[test]
 fn the_manifest_of_the_served_version_is_fetched_once_for_peers() {
     let mut reducer = agent();
-    let fetches = |effects: &[StockEffect]| {
-        let is_fetch = |effect: &&StockEffect| matches!(effect, StockEffect::FetchList(..));
+    let fetches = |effects: &[ProvisioningEffect]| {
+        let is_fetch =
+            |effect: &&ProvisioningEffect| matches!(effect, ProvisioningEffect::FetchManifest(..));
         effects.iter().filter(is_fetch).count()
     };
-    let wanted = |number| StockEvent::ListWanted(version(number));
+    let wanted = |number| ProvisioningEvent::ManifestRequested(version(number));
     assert_eq!(
         fetches(&reducer.reduce(START, wanted(2))),
         0,
         "the engine does not serve version 2"
     );
     let effects = reducer.reduce(START, wanted(1));
-    assert_matches!(&effects[..], [StockEffect::FetchList(_, sources)]
-        if matches!(sources[..], [WeightSource::Origin(_)]));
+    assert_matches!(&effects[..], [ProvisioningEffect::FetchManifest(_, sources)]
+        if matches!(sources[..], [ManifestSource::Origin(_)]));
     assert_eq!(
         fetches(&reducer.reduce(START + Millis(40), wanted(1))),
         0,
         "a fetch is in progress"
     );
-    reducer.reduce(START + Millis(50), StockEvent::ListSeen(version(1), None));
+    reducer.reduce(START + Millis(50), ProvisioningEvent::ManifestFetched(version(1), None));
     assert_eq!(
         fetches(&reducer.reduce(START + Millis(600), wanted(1))),
         1,
@@ -694,7 +725,7 @@
 /// Agents that fetch from one origin, which serves one request at a time, and from each other
 /// without delay.
 struct SharedOrigin {
-    agents: Vec<(InstanceId, StockReducer)>,
+    agents: Vec<(InstanceId, ProvisioningReducer)>,
     requested: VecDeque<(usize, ChunkIndex)>,
     held: Vec<ChunkBitmap>,
     sent: u32,
@@ -709,26 +740,28 @@
             let own: InstanceId = format!("10.0.0.{host}").parse().unwrap();
             let transfer = TransferSettings {
                 stall_after: Millis(500),
-                chunk_patience: Millis(10_000),
+                chunk_timeout: Millis(10_000),
                 // As many as the chunks of which each agent is primary holder, so that all are
                 // requested at their due times.
                 origin_window: 2,
                 ..common::stock_settings().transfer
             };
-            let settings = StockSettings { own: own.clone(), transfer, ..common::stock_settings() };
-            let mut reducer = StockReducer::new(settings, u64::from(host));
+            let settings =
+                ProvisioningSettings { own: own.clone(), transfer, ..common::stock_settings() };
+            let mut reducer = ProvisioningReducer::new(settings, u64::from(host));
             reducer.reduce(START, fleet(changes.to_vec(), true));
             reducer.reduce(START, engine_state(1, 0));
             reducer.reduce(START, manifest_received(2));
             let empty = ChunkBitmap::empty(TOTAL);
-            let effects = reducer.reduce(START, StockEvent::ReadBack(version(2), empty));
+            let effects =
+                reducer.reduce(START, ProvisioningEvent::StagedVerified(version(2), empty));
             all.agents.push((own, reducer));
             all.carry_out(START, all.agents.len() - 1, &effects);
         }
         all
     }
 
-    fn carry_out(&mut self, now: Moment, place: usize, effects: &[StockEffect]) {
+    fn carry_out(&mut self, now: Moment, place: usize, effects: &[ProvisioningEffect]) {
         for (index, source) in started_fetches(effects) {
             match source {
                 ChunkSource::Origin => self.requested.push_back((place, index)),
@@ -741,14 +774,15 @@
 
     fn ended(&mut self, now: Moment, place: usize, index: ChunkIndex, source: ChunkSource) {
         self.held[place].insert(index);
-        let ended = StockEvent::DrawEnded(version(2), index, source, DrawOutcome::Verified);
+        let ended =
+            ProvisioningEvent::FetchEnded(version(2), index, source, FetchOutcome::Verified);
         let effects = self.agents[place].1.reduce(now, ended);
         self.carry_out(now, place, &effects);
     }
 
     fn wake(&mut self, now: Moment) {
         for place in 0..self.agents.len() {
-            let effects = self.agents[place].1.reduce(now, StockEvent::Woke);
+            let effects = self.agents[place].1.reduce(now, ProvisioningEvent::Tick);
             self.carry_out(now, place, &effects);
         }
     }
@@ -761,15 +795,15 @@
 
     fn exchange_holdings(&mut self, now: Moment) {
         for sender in 0..self.agents.len() {
-            let report = HoldingNews {
+            let report = HoldingsReport {
                 from: self.agents[sender].0.clone(),
                 version: version(2),
                 bitmap: self.held[sender].to_bytes().into(),
                 queue: 0,
-                asks: false,
+                wants_reply: false,
             };
             for place in (0..self.agents.len()).filter(|place| *place != sender) {
-                let event = StockEvent::HoldingSeen(report.clone());
+                let event = ProvisioningEvent::HoldingsReceived(report.clone());
                 let effects = self.agents[place].1.reduce(now, event);
                 self.carry_out(now, place, &effects);
             }
@@ -783,39 +817,39 @@
 fn a_version_reported_by_an_entry_is_provisioned_at_once() {
     let mut reducer = agent();
     let model: mustardrill_types::ModelName = "m".parse().unwrap();
-    let announcement = StockEvent::VersionHeard(model, WeightVersion(2));
+    let announcement = ProvisioningEvent::VersionReported(model, WeightVersion(2));
     let effects = reducer.reduce(START, announcement.clone());
-    assert!(effects.contains(&StockEffect::ReadPeers), "{effects:?}");
-    assert!(effects.iter().any(|effect| matches!(effect, StockEffect::FetchList(..))));
+    assert!(effects.contains(&ProvisioningEffect::ReadPeers), "{effects:?}");
+    assert!(effects.iter().any(|effect| matches!(effect, ProvisioningEffect::FetchManifest(..))));
     assert_eq!(reducer.reduce(START, announcement), Vec::new());
     let effects = reducer.reduce(START + Millis(900), fleet(vec![announced(2)], false));
-    assert!(!effects.contains(&StockEffect::ReadPeers), "{effects:?}");
+    assert!(!effects.contains(&ProvisioningEffect::ReadPeers), "{effects:?}");
 }
 
 /// Entries that received no notice of a load continued to send requests to an engine that accepted
 /// none.
 #[test]
 fn known_entries_are_kept_however_long_the_store_is_unavailable() {
-    let mut directory = EntryBook::default();
-    assert!(directory.is_due(START) && directory.known().is_empty());
+    let mut directory = EntryDirectory::default();
+    assert!(directory.is_refresh_due(START) && directory.entries().is_empty());
     let entry = PeerRecord {
         id: "edge-1".parse().unwrap(),
         address: SocketAddr::from(([10, 0, 1, 1], 7700)),
         data_centre: "hall-a".parse().unwrap(),
         link_mbps: 1_000,
     };
-    directory.note(START, vec![entry.clone()]);
-    assert!(!directory.is_due(START + Millis(5_000)));
+    directory.update(START, vec![entry.clone()]);
+    assert!(!directory.is_refresh_due(START + Millis(5_000)));
     let later = START + Millis(30_000);
-    assert!(directory.is_due(later), "entries registered since then must be found");
+    assert!(directory.is_refresh_due(later), "entries registered since then must be found");
     assert_eq!(
-        directory.known(),
+        directory.entries(),
         std::slice::from_ref(&entry),
         "old addresses are kept until newer ones are read"
     );
-    directory.note(later, Vec::new());
+    directory.update(later, Vec::new());
     assert_eq!(
-        directory.known(),
+        directory.entries(),
         [entry],
         "an empty list is ignored, as after a restart of all processes"
     );
--- a/mustardrill_core/tests/transfers.rs
+++ b/mustardrill_core/tests/transfers.rs
@@ -9,7 +9,7 @@
 use common::cases;
 use mustardrill_core::manifest::{ChunkBitmap, Manifest, ManifestError};
 use mustardrill_core::transfer::{
-    ChunkDraw, ChunkSource, DrawOutcome, TransferPeer, TransferPlan, TransferSettings,
+    ChunkFetch, ChunkSource, FetchOutcome, TransferPeer, TransferPlan, TransferSettings,
 };
 use mustardrill_types::{ByteSize, ChunkIndex, Millis, Moment};
 use proptest::prelude::*;
@@ -36,7 +36,7 @@
     now: u64,
     plans: Vec<Option<TransferPlan>>,
     peers: Vec<TransferPeer>,
-    pending_fetches: Vec<(u64, usize, ChunkDraw)>,
+    pending_fetches: Vec<(u64, usize, ChunkFetch)>,
     stalled_until: BTreeMap<usize, u64>,
     corrupt: Vec<usize>,
     origin_stalled_until: u64,
@@ -52,7 +52,7 @@
 fn settings() -> TransferSettings {
     TransferSettings {
         stall_after: Millis(200),
-        chunk_patience: Millis(100),
+        chunk_timeout: Millis(100),
         ..TransferSettings::default()
     }
 }
@@ -125,8 +125,8 @@
             self.exchange(*agent);
             let now = Moment(self.now);
             let plan = self.plans[*agent].as_mut().unwrap();
-            plan.overdue(now);
-            for fetch in plan.next_draws(now) {
+            plan.expire_fetches(now);
+            for fetch in plan.next_fetches(now) {
                 self.origin_fetches += u32::from(fetch.source == ChunkSource::Origin);
                 self.pending_fetches.push((self.now + FETCH_MS, *agent, fetch));
             }
@@ -141,16 +141,16 @@
             let is_silent = self.stalled_until.get(&index).is_some_and(|until| *until > self.now);
             let held = self.plans[index].as_ref().map(|plan| plan.held().clone());
             if let (Some(held), false) = (held, is_silent) {
-                self.plans[agent].as_mut().unwrap().heard(now, &id, held, 0);
+                self.plans[agent].as_mut().unwrap().record_holdings(now, &id, held, 0);
             }
         }
     }
 
-    fn finish_fetch(&mut self, agent: usize, fetch: &ChunkDraw) {
+    fn finish_fetch(&mut self, agent: usize, fetch: &ChunkFetch) {
         let outcome = match &fetch.source {
             ChunkSource::Origin if self.origin_stalled_until > self.now => return,
-            ChunkSource::Origin if self.origin_corrupt_until > self.now => DrawOutcome::Corrupt,
-            ChunkSource::Origin => DrawOutcome::Verified,
+            ChunkSource::Origin if self.origin_corrupt_until > self.now => FetchOutcome::Corrupt,
+            ChunkSource::Origin => FetchOutcome::Verified,
             ChunkSource::Peer(id) | ChunkSource::Relay(id) => {
                 let index = self.peers.iter().position(|peer| peer.id == *id).unwrap();
                 let is_silent =
@@ -158,19 +158,19 @@
                 match &self.plans[index] {
                     None => return,
                     Some(_) if is_silent => return,
-                    Some(_) if self.corrupt.contains(&index) => DrawOutcome::Corrupt,
-                    Some(plan) if plan.held().contains(fetch.index) => DrawOutcome::Verified,
-                    Some(_) => DrawOutcome::Missing,
+                    Some(_) if self.corrupt.contains(&index) => FetchOutcome::Corrupt,
+                    Some(plan) if plan.held().contains(fetch.index) => FetchOutcome::Verified,
+                    Some(_) => FetchOutcome::Missing,
                 }
             }
         };
         let now = Moment(self.now);
         if let Some(plan) = self.plans[agent].as_mut() {
             let before = plan.held().count();
-            plan.finished(now, fetch.index, &fetch.source, &outcome);
+            plan.record_outcome(now, fetch.index, &fetch.source, &outcome);
             let is_kept = plan.held().count() > before;
             assert!(
-                !is_kept || outcome == DrawOutcome::Verified,
+                !is_kept || outcome == FetchOutcome::Verified,
                 "a chunk was kept without verification"
             );
         }
@@ -267,17 +267,17 @@
         data_centre: "centre".parse().unwrap(),
     };
     let (own, corrupt_peer) = (peer("own"), peer("bad"));
-    let settings = TransferSettings { drawers: 1, ..settings() };
+    let settings = TransferSettings { max_seeders: 1, ..settings() };
     let mut plan = TransferPlan::new(Moment(1), own.clone(), manifest, settings, 1);
     plan.set_peers(&[own, corrupt_peer.clone()]);
-    plan.heard(Moment(1), &corrupt_peer.id, ChunkBitmap::full(CHUNKS), 0);
+    plan.record_holdings(Moment(1), &corrupt_peer.id, ChunkBitmap::full(CHUNKS), 0);
     let source = ChunkSource::Peer(corrupt_peer.id.clone());
     let mut corrupt = 0;
     for now in 2..200 {
-        for fetch in plan.next_draws(Moment(now)) {
+        for fetch in plan.next_fetches(Moment(now)) {
             if fetch.source == source {
                 corrupt += 1;
-                plan.finished(Moment(now), fetch.index, &source, &DrawOutcome::Corrupt);
+                plan.record_outcome(Moment(now), fetch.index, &source, &FetchOutcome::Corrupt);
             }
         }
     }
--- a/mustardrill_standins/examples/slopes.rs
+++ b/mustardrill_standins/examples/slopes.rs
@@ -190,15 +190,15 @@
         staging_limit: ByteSize(u64::MAX),
         floor_percent: 75,
         exchange_every: Millis(100),
-        wave_patience: Millis(60_000),
+        wave_timeout: Millis(60_000),
         retry_every: Millis(500),
         is_engine: true,
     };
     let mut reducer = AgentReducer::new(Moment(1), settings, 1);
-    reducer.reduce(Moment(1), AgentEvent::InstancesSeen((0..workers).map(record).collect()));
-    reducer.reduce(Moment(1), AgentEvent::CatalogueSeen(document(20, workers / 20)));
+    reducer.reduce(Moment(1), AgentEvent::InstancesRead((0..workers).map(record).collect()));
+    reducer.reduce(Moment(1), AgentEvent::CatalogueReceived(document(20, workers / 20)));
     let serving = vec![digest()];
-    reducer.reduce(Moment(1), AgentEvent::EngineSeen(Some(EngineReport { serving })));
+    reducer.reduce(Moment(1), AgentEvent::EnginePolled(Some(EngineReport { serving })));
     reducer
 }
 
@@ -236,7 +236,7 @@
         let started = Instant::now();
         for number in 0..20 {
             let list = (0..workers - number % 2).map(record).collect();
-            black_box(reducer.reduce(Moment(2_000_000), AgentEvent::InstancesSeen(list)));
+            black_box(reducer.reduce(Moment(2_000_000), AgentEvent::InstancesRead(list)));
         }
         let list = started.elapsed().as_secs_f64() * 1e6 / 20.0;
         println!("{workers:>10} {request:>12.2} {tick:>10.2} {list:>12.0} {held:>10}");
--- a/mustardrill_standins/tests/deployment.rs
+++ b/mustardrill_standins/tests/deployment.rs
@@ -84,7 +84,7 @@
     let config = outcome.settings.unwrap();
     assert_eq!(config.stock.own.as_str(), "10.1.0.40");
     assert_eq!(config.link_mbps, 7.3);
-    assert!(config.stock.turns.first < config.stock.turns.last);
+    assert!(config.stock.rollout.first < config.stock.rollout.last);
 }
 
 #[test]
