--- a/mustardrill_core/src/provisioning/load_order.rs
+++ b/mustardrill_core/src/provisioning/load_order.rs
@@ -36,7 +36,7 @@
         match stage {
             ProvisioningStage::FetchingManifest { .. } => return false,
             // The staged copy must stay unchanged until the engine has accepted the order.
-            ProvisioningStage::Loading(_, order) => return !order.taken,
+            ProvisioningStage::Loading(_, order) => return !order.accepted,
             _ => {}
         }
         let pending = self.newer_manifest.as_ref().filter(|pending| pending.version == *newer);
@@ -177,7 +177,7 @@
         info!("order version={version} sequence={sequence} decision=load");
         self.stage = Some(ProvisioningStage::Loading(
             plan,
-            LoadOrder { since: now, sequence, taken: false },
+            LoadOrder { since: now, sequence, accepted: false },
         ));
         vec![ProvisioningEffect::OrderLoad(version.clone(), sequence)]
     }
@@ -208,7 +208,7 @@
     /// Recognises from the engine's order count that it accepted an order whose response was lost.
     pub(super) fn confirm_load_order(&mut self, view: &EngineView) {
         if let Some(ProvisioningStage::Loading(_, order)) = &mut self.stage {
-            order.taken |= view.sequence > order.sequence;
+            order.accepted |= view.sequence > order.sequence;
         }
     }
 
@@ -224,7 +224,7 @@
         }
         if let Some(ProvisioningStage::Loading(_, order)) = &mut self.stage {
             match outcome {
-                LoadOrderOutcome::Accepted => order.taken = true,
+                LoadOrderOutcome::Accepted => order.accepted = true,
                 // The engine accepted another order or restarted: read its state again, then repeat
                 // the order.
                 LoadOrderOutcome::Rejected => order.since = now - LOAD_ORDER_TIMEOUT,
--- a/mustardrill_core/src/provisioning/reducer.rs
+++ b/mustardrill_core/src/provisioning/reducer.rs
@@ -53,7 +53,7 @@
     /// Number of orders that the engine had accepted before.
     pub(super) sequence: u64,
     /// Whether the engine has accepted it; from then on the staged copy may be overwritten.
-    pub(super) taken: bool,
+    pub(super) accepted: bool,
 }
 
 /// The provisioning state of one agent.
