--- a/mustardrill_core/src/direct/fleet/load_broadcast.rs
+++ b/mustardrill_core/src/direct/fleet/load_broadcast.rs
@@ -108,6 +108,6 @@
 
     fn is_increase(&self, id: &InstanceId, load: UpstreamLoad) -> bool {
         let sent = self.sent_loads.get(id).copied().unwrap_or_default();
-        load.requests > sent.requests || load.reading > sent.reading
+        load.requests > sent.requests || load.pending_prefill > sent.pending_prefill
     }
 }
--- a/mustardrill_core/src/direct/retries/suspicion.rs
+++ b/mustardrill_core/src/direct/retries/suspicion.rs
@@ -32,10 +32,10 @@
             digest: state.digest,
             upstream: upstream.id.clone(),
             start: upstream.start,
-            sent: state.sent,
+            sent: state.sent_at,
             ended: now,
         };
-        self.crash_words.push(now, CrashReport::Crashed(run.clone()));
+        self.crash_reports.push(now, CrashReport::Crashed(run.clone()));
         self.record_crashed_run(now, run);
     }
 
@@ -47,12 +47,12 @@
         digest: RequestDigest,
     ) -> Option<DirectEffect> {
         let was_quarantined = self.quarantine.remaining(now, digest).is_some();
-        self.crash_words.withdraw_quarantine(digest);
+        self.crash_reports.withdraw_quarantine(digest);
         if self.quarantine.record_success(now, digest, now) {
             info!("quarantine digest={digest} outcome=sound");
-            self.crash_words.push(now, CrashReport::Sound(digest, now));
+            self.crash_reports.push(now, CrashReport::Sound(digest, now));
         }
-        was_quarantined.then_some(DirectEffect::EndQuarantine(digest))
+        was_quarantined.then_some(DirectEffect::RemoveQuarantine(digest))
     }
 
     /// Whether this entry writes the quarantine to the store. All entries reach the verdict; two
@@ -60,10 +60,10 @@
     fn writes_quarantine(&self, digest: RequestDigest) -> bool {
         const WRITERS: usize = 2;
         let others = self.peers().iter().map(|peer| &peer.id);
-        let entries: Vec<_> = others.chain([&self.settings.own]).collect();
+        let entries: Vec<_> = others.chain([&self.settings.own_id]).collect();
         let subject = digest.0.to_be_bytes();
         let ranked = rendezvous::ranked(&subject, &entries, |id| id.as_str());
-        ranked.into_iter().take(WRITERS).any(|id| **id == self.settings.own)
+        ranked.into_iter().take(WRITERS).any(|id| **id == self.settings.own_id)
     }
 
     /// Handles a report from a peer entry.
@@ -75,7 +75,7 @@
         match report {
             CrashReport::Crashed(run) => self.record_crashed_run(now, run),
             CrashReport::Sound(digest, at) => {
-                self.crash_words.withdraw_quarantine(digest);
+                self.crash_reports.withdraw_quarantine(digest);
                 if self.quarantine.record_success(now, digest, at) {
                     info!("quarantine digest={digest} outcome=sound source=entry");
                 }
@@ -107,7 +107,7 @@
     pub(in crate::direct) fn rewrite_quarantines(&self, now: Moment) -> Vec<DirectEffect> {
         let active = self.quarantine.active(now).into_iter();
         let to_write = active.filter(|(digest, _)| self.writes_quarantine(*digest));
-        to_write.map(|(digest, left)| DirectEffect::KeepQuarantine(digest, left)).collect()
+        to_write.map(|(digest, left)| DirectEffect::StoreQuarantine(digest, left)).collect()
     }
 
     fn apply_verdict(
@@ -118,14 +118,14 @@
     ) -> Vec<DirectEffect> {
         let mut effects = self.refuse_waiting_requests(now, digest);
         if self.writes_quarantine(digest) {
-            effects.push(DirectEffect::KeepQuarantine(digest, left));
+            effects.push(DirectEffect::StoreQuarantine(digest, left));
         }
         effects
     }
 
     /// Takes the reports that are to be sent to the peer entries at `now`.
     pub fn due_crash_reports(&mut self, now: Moment) -> Vec<CrashReport> {
-        self.crash_words.due(now)
+        self.crash_reports.due(now)
     }
 
     fn record_crashed_run(&mut self, now: Moment, run: CrashedRun) {
@@ -144,13 +144,13 @@
         for digest in self.quarantine.take_verdicts(now) {
             warn!("quarantine digest={digest} outcome=begun");
             // Peers may have received fewer reports, or received them too late to order the runs.
-            if self.crash_words.is_broadcasting_crash(digest) {
+            if self.crash_reports.is_broadcasting_crash(digest) {
                 let report = CrashReport::Quarantined(digest, QUARANTINE_SPAN);
-                self.crash_words.push(now, report);
+                self.crash_reports.push(now, report);
             }
             effects.extend(self.apply_verdict(now, digest, QUARANTINE_SPAN));
         }
-        for number in std::mem::take(&mut self.undecided) {
+        for number in std::mem::take(&mut self.undecided_requests) {
             effects.extend(self.resume_held(now, number));
         }
         effects
@@ -192,8 +192,8 @@
         if !self.quarantine.is_verdict_pending(now, state.digest) {
             return None;
         }
-        info!("request={} decision=hold reason=verdict digest={}", state.attempt, state.digest);
-        self.undecided.push(number);
+        info!("request={} decision=hold reason=verdict digest={}", state.attempt_id, state.digest);
+        self.undecided_requests.push(number);
         Some(Vec::new())
     }
 
@@ -204,7 +204,7 @@
         }
         match self.requests.get(&number) {
             Some(state) if state.may_have_run => self.retry_lost(now, number),
-            Some(_) => self.start(now, number),
+            Some(_) => self.dispatch_or_queue(now, number),
             None => Vec::new(),
         }
     }
--- a/mustardrill_core/src/direct/store/fleet_updates.rs
+++ b/mustardrill_core/src/direct/store/fleet_updates.rs
@@ -21,14 +21,14 @@
         update: FleetUpdate,
         sent: Moment,
     ) -> Vec<DirectEffect> {
-        let was_unavailable = std::mem::take(&mut self.store_away);
+        let was_unavailable = std::mem::take(&mut self.is_store_unreachable);
         self.record_availability(now, sent, was_unavailable);
         let is_restored = self.detect_restore(now, &update);
-        let is_first_read = self.proof.last_confirmed().is_none();
-        self.revision = update.revision;
-        self.era = update.era;
+        let is_first_read = self.store_freshness.last_confirmed().is_none();
+        self.store_revision = update.revision;
+        self.store_era = update.era;
         let time = self.announcement_time(now, sent, was_unavailable);
-        self.read_at = now;
+        self.store_read_at = now;
         if update.is_snapshot {
             self.expire_missing(now, &update, is_restored);
         }
@@ -41,14 +41,14 @@
             effects.extend(self.notify_agents_of_newest());
         }
         if is_first_read && !self.peers.is_empty() {
-            self.word.start_wait(now);
+            self.peer_generation.start_wait(now);
         }
-        self.proof.confirm(sent);
+        self.store_freshness.confirm(sent);
         self.confirm_config(sent);
         self.remove_unreturned(now);
         self.settle_announcements(now);
-        effects.extend(self.pump_all(now));
-        if !self.word.is_awaited(now) {
+        effects.extend(self.dispatch_all_waiting(now));
+        if !self.peer_generation.is_awaited(now) {
             effects.extend(self.release_all_held(now));
         }
         effects
@@ -56,12 +56,12 @@
 
     /// Records that the store was available at `sent`.
     fn record_availability(&mut self, now: Moment, sent: Moment, was_unavailable: bool) {
-        self.contact.record_answer(now, sent, self.settings.forgetting);
+        self.store_availability.record_answer(now, sent, self.settings.forgetting_outage);
         if was_unavailable {
-            let answering = self.contact.span().map_or(now, |span| span.since);
+            let answering = self.store_availability.span().map_or(now, |span| span.since);
             info!(
                 "dependency=store outcome=regained proof_age={} answering={}",
-                format_age(&self.proof, now),
+                format_age(&self.store_freshness, now),
                 now.since(answering)
             );
         }
@@ -70,15 +70,17 @@
     /// Returns whether an update is the first one since the store was restored from an older copy, and
     /// records the restore.
     fn detect_restore(&mut self, now: Moment, update: &FleetUpdate) -> bool {
-        let is_restored =
-            update.is_snapshot && self.proof.last_confirmed().is_some() && update.era > self.era;
+        let is_restored = update.is_snapshot
+            && self.store_freshness.last_confirmed().is_some()
+            && update.era > self.store_era;
         if is_restored {
             warn!(
                 "dependency=store outcome=returned era={} before={} revision={} read={}",
-                update.era, self.era, update.revision, self.revision
+                update.era, self.store_era, update.revision, self.store_revision
             );
-            self.contact.record_restore(earliest_restore_time(now, self.proof.last_confirmed()));
-            self.rewritten_at = now + self.settings.lapse_grace;
+            self.store_availability
+                .record_restore(earliest_restore_time(now, self.store_freshness.last_confirmed()));
+            self.store_incomplete_until = now + self.settings.expiry_grace;
         }
         is_restored
     }
@@ -86,8 +88,8 @@
     /// Records that the store held the newest configuration at `sent`. A store restored from an older
     /// copy may lack a configuration that no entry had read, until the operator has written again.
     fn confirm_config(&mut self, sent: Moment) {
-        if sent >= self.rewritten_at {
-            self.config_proof.confirm(sent);
+        if sent >= self.store_incomplete_until {
+            self.config_freshness.confirm(sent);
         }
     }
 
@@ -102,7 +104,7 @@
         for change in changes {
             if let (FleetChange::VersionAnnounced(model, version), false) = (&change, is_snapshot) {
                 let machines = self.local_engine_machines();
-                effects.push(DirectEffect::TellAgents(model.clone(), *version, machines));
+                effects.push(DirectEffect::NotifyAgents(model.clone(), *version, machines));
             }
             if let FleetChange::Quarantined(digest) = &change {
                 effects.extend(self.apply_stored_quarantine(now, *digest));
@@ -145,7 +147,7 @@
         let machines = self.local_engine_machines();
         let newest = self.versions.all_newest();
         newest
-            .map(|(model, version)| DirectEffect::TellAgents(model, version, machines.clone()))
+            .map(|(model, version)| DirectEffect::NotifyAgents(model, version, machines.clone()))
             .collect()
     }
 
@@ -171,9 +173,9 @@
         let mut present = FastSet::default();
         if is_restored {
             // A missing entry may have registered after the copy was made.
-            self.unconfirmed = self.peers.iter().map(|peer| peer.id.clone()).collect();
+            self.unconfirmed_peers = self.peers.iter().map(|peer| peer.id.clone()).collect();
         } else {
-            self.peers.drain(..).for_each(|peer| self.census.record_activity(now, &peer.id));
+            self.peers.drain(..).for_each(|peer| self.entry_counter.record_activity(now, &peer.id));
         }
         let cause = if is_restored { ExpiryCause::Restore } else { ExpiryCause::Outage };
         for change in &update.changes {
@@ -190,21 +192,24 @@
 
     /// Returns the moment until which a missing registration may be one that the store has lost.
     pub(in crate::direct) fn reregistration_deadline(&self) -> Option<Moment> {
-        self.contact.reregistration_deadline(self.settings.lapse_grace)
+        self.store_availability.reregistration_deadline(self.settings.expiry_grace)
     }
 
     /// Removes upstreams and peers that are still missing after they had the time to register again.
     pub(in crate::direct) fn remove_unreturned(&mut self, now: Moment) {
-        if self.reregistration_deadline().is_none_or(|limit| self.proof.is_confirmed_since(limit)) {
+        if self
+            .reregistration_deadline()
+            .is_none_or(|limit| self.store_freshness.is_confirmed_since(limit))
+        {
             self.upstreams.remove_expired(now);
-            for id in std::mem::take(&mut self.unconfirmed) {
+            for id in std::mem::take(&mut self.unconfirmed_peers) {
                 self.remove_peer(now, &id);
             }
         }
     }
 
     fn remove_peer(&mut self, now: Moment, id: &InstanceId) {
-        self.census.record_activity(now, id);
+        self.entry_counter.record_activity(now, id);
         self.peers.retain(|peer| peer.id != *id);
         self.upstreams.peer_loads.remove_peer(id);
     }
@@ -243,8 +248,8 @@
             // Handled in `apply_changes`, which collects the effects.
             FleetChange::Quarantined(_) => {}
             FleetChange::Peer(record) => {
-                if record.id != self.settings.own {
-                    self.unconfirmed.remove(&record.id);
+                if record.id != self.settings.own_id {
+                    self.unconfirmed_peers.remove(&record.id);
                     self.peers.retain(|peer| peer.id != record.id);
                     self.peers.push(record);
                 }
@@ -255,10 +260,13 @@
 
     /// Records that the store does not answer, and releases the requests that are held for its answer.
     pub(in crate::direct) fn record_store_failure(&mut self, now: Moment) -> Vec<DirectEffect> {
-        if !self.store_away {
-            warn!("dependency=store outcome=lost proof_age={}", format_age(&self.proof, now));
+        if !self.is_store_unreachable {
+            warn!(
+                "dependency=store outcome=lost proof_age={}",
+                format_age(&self.store_freshness, now)
+            );
         }
-        self.store_away = true;
+        self.is_store_unreachable = true;
         self.release_all_held(now)
     }
 }
--- a/mustardrill_core/src/provisioning/engine.rs
+++ b/mustardrill_core/src/provisioning/engine.rs
@@ -3,7 +3,7 @@
 use log::info;
 use mustardrill_types::Moment;
 
-use crate::direct::{AnnouncementTime, EngineWord};
+use crate::direct::{AnnouncementTime, EngineNotice};
 use crate::provisioning::event::{EngineView, ProvisioningEffect};
 use crate::provisioning::reducer::{ProvisioningReducer, ProvisioningStage, version_id_of};
 
@@ -39,7 +39,7 @@
         {
             let version = version_id_of(now_served);
             info!("engine serving={version} sequence={} outcome=changed", view.sequence);
-            let word = EngineWord::Serving(version.version);
+            let word = EngineNotice::Serving(version.version);
             effects.push(ProvisioningEffect::NotifyEntries(version.model, word));
         }
         self.engine = Some(view);
--- a/mustardrill_core/src/provisioning/event.rs
+++ b/mustardrill_core/src/provisioning/event.rs
@@ -7,7 +7,7 @@
     ChunkIndex, DataCentre, InstanceId, Millis, ModelName, ServiceName, StartStamp, WeightVersion,
 };
 
-use crate::direct::{EngineWord, FleetUpdate, PeerRecord, ServedWeights};
+use crate::direct::{EngineNotice, FleetUpdate, PeerRecord, ServedWeights};
 use crate::manifest::{ChunkBitmap, Manifest};
 use crate::provisioning::rollout::RolloutSettings;
 use crate::transfer::{ChunkFetch, ChunkSource, FetchOutcome, TransferSettings};
@@ -140,7 +140,7 @@
     /// so far.
     OrderLoad(VersionId, u64),
     /// Send the entries a notice about the engine.
-    NotifyEntries(ModelName, EngineWord),
+    NotifyEntries(ModelName, EngineNotice),
     /// Drop the manifest of a version that is no longer wanted.
     DropManifest(VersionId),
 }
--- a/mustardrill_core/src/provisioning/fetching.rs
+++ b/mustardrill_core/src/provisioning/fetching.rs
@@ -3,7 +3,7 @@
 use log::{debug, info, warn};
 use mustardrill_types::{ChunkIndex, Moment};
 
-use crate::direct::EngineWord;
+use crate::direct::EngineNotice;
 use crate::provisioning::event::{ProvisioningEffect, VersionId};
 use crate::provisioning::reducer::{ProvisioningReducer, ProvisioningStage};
 use crate::transfer::{ChunkSource, FetchOutcome, TransferPlan};
@@ -36,7 +36,7 @@
         if held_percent >= COMING_PERCENT && self.coming_reported.as_ref() != Some(wanted) {
             self.coming_reported = Some(wanted.clone());
             effects
-                .push(ProvisioningEffect::NotifyEntries(wanted.model.clone(), EngineWord::Coming));
+                .push(ProvisioningEffect::NotifyEntries(wanted.model.clone(), EngineNotice::UpdatePending));
         }
         let origin = self.origin();
         for fetch in plan.next_fetches(now) {
--- a/mustardrill_core/src/provisioning/load_order.rs
+++ b/mustardrill_core/src/provisioning/load_order.rs
@@ -3,7 +3,7 @@
 use log::{info, warn};
 use mustardrill_types::{Millis, Moment};
 
-use crate::direct::{EngineWord, ServedWeights};
+use crate::direct::{EngineNotice, ServedWeights};
 use crate::manifest::ChunkBitmap;
 use crate::provisioning::event::{EngineView, LoadOrderOutcome, ProvisioningEffect, VersionId};
 use crate::provisioning::reducer::{
@@ -124,7 +124,7 @@
             return Vec::new();
         }
         self.closing_reported = Some(slot);
-        vec![ProvisioningEffect::NotifyEntries(wanted.model.clone(), EngineWord::Closing(left))]
+        vec![ProvisioningEffect::NotifyEntries(wanted.model.clone(), EngineNotice::LoadingIn(left))]
     }
 
     pub(super) fn staged_verified(
@@ -190,7 +190,7 @@
     /// chunks back takes long enough for the notice to arrive and for a slot to become free.
     fn start_verification(&self, version: &VersionId) -> Vec<ProvisioningEffect> {
         vec![
-            ProvisioningEffect::NotifyEntries(version.model.clone(), EngineWord::Pausing),
+            ProvisioningEffect::NotifyEntries(version.model.clone(), EngineNotice::Loading),
             ProvisioningEffect::VerifyStaged(version.clone()),
         ]
     }
@@ -199,7 +199,7 @@
     fn cancel_pause(&self) -> Vec<ProvisioningEffect> {
         let served = self.engine.as_ref().and_then(|engine| engine.serving.first());
         let notify = |served: &ServedWeights| {
-            let word = EngineWord::Serving(served.version);
+            let word = EngineNotice::Serving(served.version);
             ProvisioningEffect::NotifyEntries(served.model.clone(), word)
         };
         served.map(notify).into_iter().collect()
--- a/mustardrill_core/src/provisioning/reducer.rs
+++ b/mustardrill_core/src/provisioning/reducer.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 
 use crate::direct::{
-    AnnouncementTime, EngineWord, FleetChange, FleetUpdate, RouteDocument, UpstreamRecord,
+    AnnouncementTime, EngineNotice, FleetChange, FleetUpdate, RouteDocument, UpstreamRecord,
     VersionTable,
 };
 use crate::manifest::Manifest;
@@ -351,7 +351,7 @@
             self.stage = None;
             self.inspects_staged = false;
             info!("weights version={target} outcome=served");
-            let word = EngineWord::Serving(target.version);
+            let word = EngineNotice::Serving(target.version);
             return vec![ProvisioningEffect::NotifyEntries(target.model, word)];
         }
         if serves {
--- a/mustardrill_core/src/provisioning/sources.rs
+++ b/mustardrill_core/src/provisioning/sources.rs
@@ -115,7 +115,8 @@
     /// accepts.
     pub(super) fn origin_seeders(&self) -> usize {
         let limit = self.settings.transfer.max_seeders;
-        let connections = self.origin_profile().map_or(0, |origin| origin.connections) as usize;
+        let connections =
+            self.origin_profile().map_or(0, |origin| origin.connection_limit) as usize;
         if connections == 0 {
             limit
         } else {
--- a/mustardrill_core/tests/stock.rs
+++ b/mustardrill_core/tests/stock.rs
@@ -6,8 +6,8 @@
 
 use assert_matches::assert_matches;
 use mustardrill_core::direct::{
-    CallerLimits, EngineProfile, EngineWord, FleetChange, FleetUpdate, ModelProfile, OriginProfile,
-    PeerRecord, RouteDocument, ServedWeights, ServiceProfile, UpstreamRecord,
+    CallerLimits, EngineNotice, EngineProfile, FleetChange, FleetUpdate, ModelProfile,
+    OriginProfile, PeerRecord, RouteDocument, ServedWeights, ServiceProfile, UpstreamRecord,
 };
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::provisioning::{
@@ -41,7 +41,7 @@
         address: origin,
         data_centre: "hall-b".parse().unwrap(),
         link_mbps: 0.0,
-        connections: 0,
+        connection_limit: 0,
     };
     let mut services = FastMap::default();
     services.insert(
@@ -278,7 +278,7 @@
         matches!(
             effect,
             ProvisioningEffect::SendHoldings { .. }
-                | ProvisioningEffect::NotifyEntries(_, EngineWord::Closing(_))
+                | ProvisioningEffect::NotifyEntries(_, EngineNotice::LoadingIn(_))
         )
     };
     assert!(
@@ -288,7 +288,7 @@
     let slot = START + common::TURNS.first;
     let effects = reducer.reduce(slot, ProvisioningEvent::Tick);
     assert!(effects.contains(&ProvisioningEffect::VerifyStaged(version(2))), "{effects:?}");
-    let pause = ProvisioningEffect::NotifyEntries("m".parse().unwrap(), EngineWord::Pausing);
+    let pause = ProvisioningEffect::NotifyEntries("m".parse().unwrap(), EngineNotice::Loading);
     assert!(
         effects.contains(&pause),
         "entries are notified before the engine stops accepting requests"
@@ -304,7 +304,7 @@
     );
     reducer.reduce(slot, ProvisioningEvent::LoadOrderEnded(version(2), LoadOrderOutcome::Accepted));
     let effects = reducer.reduce(slot + Millis(900), engine_state(2, 1));
-    let word = EngineWord::Serving(WeightVersion(2));
+    let word = EngineNotice::Serving(WeightVersion(2));
     assert!(effects.contains(&ProvisioningEffect::NotifyEntries("m".parse().unwrap(), word)));
     assert!(!reducer.is_busy());
 }
@@ -317,7 +317,7 @@
     let slot = START + common::TURNS.first;
     let closing = |effects: &[ProvisioningEffect]| {
         effects.iter().find_map(|effect| match effect {
-            ProvisioningEffect::NotifyEntries(_, EngineWord::Closing(after)) => Some(*after),
+            ProvisioningEffect::NotifyEntries(_, EngineNotice::LoadingIn(after)) => Some(*after),
             _ => None,
         })
     };
@@ -342,7 +342,7 @@
     let mut effects =
         reducer.reduce(slot, ProvisioningEvent::StagedVerified(version(2), with_damaged_chunk));
     assert!(!effects.iter().any(|effect| matches!(effect, ProvisioningEffect::OrderLoad(..))));
-    let resumed = EngineWord::Serving(WeightVersion(1));
+    let resumed = EngineNotice::Serving(WeightVersion(1));
     let resumed = ProvisioningEffect::NotifyEntries("m".parse().unwrap(), resumed);
     assert!(effects.contains(&resumed), "entries were notified of a pause that does not come");
     for step in 1..60 {
@@ -555,7 +555,7 @@
         address: SocketAddr::from(([172, 20, 0, 3], 8006)),
         data_centre: "hall-b".parse().unwrap(),
         link_mbps: 0.8,
-        connections: 0,
+        connection_limit: 0,
     };
     services_with_rate.insert(
         "records".parse().unwrap(),
