--- a/mustardrill_core/src/provisioning/fetching.rs
+++ b/mustardrill_core/src/provisioning/fetching.rs
@@ -35,8 +35,10 @@
         let held_percent = plan.held().count() * 100 / plan.manifest().chunk_count().max(1);
         if held_percent >= COMING_PERCENT && self.coming_reported.as_ref() != Some(wanted) {
             self.coming_reported = Some(wanted.clone());
-            effects
-                .push(ProvisioningEffect::NotifyEntries(wanted.model.clone(), EngineNotice::UpdatePending));
+            effects.push(ProvisioningEffect::NotifyEntries(
+                wanted.model.clone(),
+                EngineNotice::UpdatePending,
+            ));
         }
         let origin = self.origin();
         for fetch in plan.next_fetches(now) {
