--- a/mustardrill_core/examples/burst.rs
+++ b/mustardrill_core/examples/burst.rs
@@ -14,7 +14,7 @@
 
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::transfer::{
-    ChunkSource, DrawOutcome, TransferPeer, TransferPlan, TransferSettings,
+    ChunkSource, FetchOutcome, TransferPeer, TransferPlan, TransferSettings,
 };
 use mustardrill_types::{
     ByteSize, ChunkIndex, FastMap, InstanceId, ManifestDigest, Millis, Moment,
@@ -104,7 +104,7 @@
         options.chunks,
         options.seed,
         options.settings.origin_copies,
-        options.settings.drawers,
+        options.settings.max_seeders,
         options.kill_percent
     );
     println!(
@@ -133,7 +133,7 @@
         kill_percent: 0,
         settings: TransferSettings {
             stall_after: Millis(15 * CHUNK_MS),
-            chunk_patience: Millis(100 * CHUNK_MS),
+            chunk_timeout: Millis(100 * CHUNK_MS),
             ..TransferSettings::default()
         },
     };
@@ -148,7 +148,7 @@
             "--chunks" => options.chunks = number() as u32,
             "--seed" => options.seed = number() as u64,
             "--copies" => options.settings.origin_copies = number(),
-            "--drawers" => options.settings.drawers = number(),
+            "--drawers" => options.settings.max_seeders = number(),
             "--window" => options.settings.window = number(),
             "--origin-window" => options.settings.origin_window = number(),
             "--partners" => options.settings.partners = number(),
@@ -256,13 +256,13 @@
         }
         let now = Moment(self.now);
         self.time_planning(agent, |plan| {
-            plan.overdue(now);
+            plan.expire_fetches(now);
         });
         let stale = self.instances[agent].plan.partners().stale_partners(now, Millis(CHUNK_MS));
         for id in stale {
             let holder = self.number_of_instance[&id];
             if self.instances[holder].is_dead {
-                self.instances[agent].plan.shun(now, &id);
+                self.instances[agent].plan.record_peer_failure(now, &id);
             } else {
                 self.receive_state(agent, holder);
                 self.receive_state(holder, agent);
@@ -278,13 +278,13 @@
         let queue = self.instances[holder].uploads as u32;
         let id = self.peers[holder].id.clone();
         let now = Moment(self.now);
-        self.time_planning(agent, |plan| plan.heard(now, &id, held, queue));
+        self.time_planning(agent, |plan| plan.record_holdings(now, &id, held, queue));
     }
 
     fn fetch_next(&mut self, agent: usize) {
         let now = Moment(self.now);
         let mut fetches = Vec::new();
-        self.time_planning(agent, |plan| fetches = plan.next_draws(now));
+        self.time_planning(agent, |plan| fetches = plan.next_fetches(now));
         for fetch in fetches {
             let index = fetch.index.0;
             match fetch.source {
@@ -346,13 +346,13 @@
             }
             None => ChunkSource::Origin,
         };
-        self.finish_fetch(agent, index, &source, &DrawOutcome::Verified);
+        self.finish_fetch(agent, index, &source, &FetchOutcome::Verified);
     }
 
     fn chunk_refused(&mut self, agent: usize, holder: usize, index: u32, is_busy: bool) {
         self.receive_state(agent, holder);
         let others = self.instances[holder].plan.partners().holders(ChunkIndex(index), 4);
-        let outcome = if is_busy { DrawOutcome::Busy(others) } else { DrawOutcome::Missing };
+        let outcome = if is_busy { FetchOutcome::Busy(others) } else { FetchOutcome::Missing };
         let source = ChunkSource::Peer(self.peers[holder].id.clone());
         self.finish_fetch(agent, index, &source, &outcome);
     }
@@ -362,14 +362,14 @@
         agent: usize,
         index: u32,
         source: &ChunkSource,
-        outcome: &DrawOutcome,
+        outcome: &FetchOutcome,
     ) {
         if self.instances[agent].is_dead {
             return;
         }
         let now = Moment(self.now);
         self.time_planning(agent, |plan| {
-            plan.finished(now, ChunkIndex(index), source, outcome);
+            plan.record_outcome(now, ChunkIndex(index), source, outcome);
         });
         let instance = &mut self.instances[agent];
         if instance.plan.is_complete() {
--- a/mustardrill_core/tests/requests.rs
+++ b/mustardrill_core/tests/requests.rs
@@ -240,13 +240,13 @@
         staging_limit: ByteSize(1_000),
         floor_percent: 75,
         exchange_every: Millis(100),
-        wave_patience: Millis(1_000),
+        wave_timeout: Millis(1_000),
         retry_every: Millis(100),
         is_engine: index < AGENTS - 1,
     };
     let mut reducer = AgentReducer::new(Moment(now), settings, index as u64);
     let serving = vec![V1.parse().unwrap()];
-    reducer.reduce(Moment(now), AgentEvent::EngineSeen(Some(EngineReport { serving })));
+    reducer.reduce(Moment(now), AgentEvent::EnginePolled(Some(EngineReport { serving })));
     reducer
 }
 
@@ -371,7 +371,7 @@
                 if self.agents[agent].incarnation == incarnation {
                     self.reduce_agent(
                         agent,
-                        AgentEvent::ClaimAsked(order.key, order.attempt, WALL_CLOCK_S),
+                        AgentEvent::ClaimRequested(order.key, order.attempt, WALL_CLOCK_S),
                     );
                 }
             }
