--- a/mustardrill_agent/src/actor.rs
+++ b/mustardrill_agent/src/actor.rs
@@ -197,7 +197,7 @@
         // This drops the sender of an earlier call for the attempt, which the entry has given up.
         self.pending_claims.insert(attempt, outcome_sender);
         let wall_s = self.context.clock.wall_s();
-        self.reduce(AgentEvent::ClaimAsked(key, attempt, wall_s), &actor);
+        self.reduce(AgentEvent::ClaimRequested(key, attempt, wall_s), &actor);
     }
 }
 
@@ -381,7 +381,7 @@
                 let addresses: Vec<_> =
                     listing.instances.iter().map(|record| record.agent.clone()).collect();
                 context.peers.retain(&addresses);
-                let _ = actor.tell(Event(AgentEvent::InstancesSeen(listing.instances))).await;
+                let _ = actor.tell(Event(AgentEvent::InstancesRead(listing.instances))).await;
             }
             tokio::select! {
                 () = tokio::time::sleep(interval.to_std()) => {}
--- a/mustardrill_agent/src/effects.rs
+++ b/mustardrill_agent/src/effects.rs
@@ -10,7 +10,7 @@
 use mustardrill_core::claim::{ClaimDocument, ClaimEffect, ShardIndex, ShardResponse};
 use mustardrill_core::manifest::{ChunkBitmap, Manifest};
 use mustardrill_core::ownership::{OwnerAnswer, OwnerCall};
-use mustardrill_core::transfer::{ChunkDraw, ChunkSource, DrawOutcome};
+use mustardrill_core::transfer::{ChunkFetch, ChunkSource, FetchOutcome};
 use mustardrill_proto as proto;
 use mustardrill_runtime::platform::KeyValueError;
 use mustardrill_runtime::wire::digest_bytes;
@@ -38,7 +38,7 @@
         AgentEffect::FetchManifest { model, version, digest, sources } => {
             tokio::spawn(task.fetch_manifest(model, version, digest, sources));
         }
-        AgentEffect::DrawChunk(digest, draw) => {
+        AgentEffect::FetchChunk(digest, draw) => {
             let held = reducer.held(digest).cloned().unwrap_or_default();
             tokio::spawn(task.fetch_chunk(digest, draw, held));
         }
@@ -53,7 +53,7 @@
         AgentEffect::ReadEngine => {
             tokio::spawn(async move {
                 let report = task.context.upstream.report().await;
-                task.send_event(AgentEvent::EngineSeen(report)).await;
+                task.send_event(AgentEvent::EnginePolled(report)).await;
             });
         }
         AgentEffect::DropWeights(digest) => context.store.remove(digest),
@@ -65,7 +65,7 @@
         }
         // An overdue fetch ends at its own timeout; a chunk that arrives late is still verified and
         // kept.
-        AgentEffect::CancelDraw(..) => {}
+        AgentEffect::CancelFetch(..) => {}
         AgentEffect::Wake(at) => {
             let wait = at.since(task.context.clock.now());
             tokio::spawn(async move {
@@ -156,25 +156,25 @@
         if data.is_empty() { Err("lacks the manifest".into()) } else { Ok(data) }
     }
 
-    async fn fetch_chunk(self, digest: ManifestDigest, draw: ChunkDraw, held: ChunkBitmap) {
+    async fn fetch_chunk(self, digest: ManifestDigest, draw: ChunkFetch, held: ChunkBitmap) {
         let outcome = match &draw.source {
             ChunkSource::Origin => self.chunk_from_origin(digest, &draw).await,
             ChunkSource::Peer(id) | ChunkSource::Relay(id) => {
                 self.chunk_from_peer(digest, &draw, id, held).await
             }
         };
-        if outcome == DrawOutcome::Corrupt {
+        if outcome == FetchOutcome::Corrupt {
             let _ = self.context.metrics.count("chunks_corrupt", 1);
         }
-        let ChunkDraw { index, source, .. } = draw;
-        self.send_event(AgentEvent::DrawFinished { digest, index, source, outcome }).await;
+        let ChunkFetch { index, source, .. } = draw;
+        self.send_event(AgentEvent::FetchEnded { digest, index, source, outcome }).await;
     }
 
-    async fn chunk_from_origin(&self, digest: ManifestDigest, draw: &ChunkDraw) -> DrawOutcome {
+    async fn chunk_from_origin(&self, digest: ManifestDigest, draw: &ChunkFetch) -> FetchOutcome {
         let Some(manifest) = self.context.store.manifest(digest) else {
-            return DrawOutcome::Failed;
+            return FetchOutcome::Failed;
         };
-        match self.context.origin.chunk(&manifest, draw.index, draw.patience).await {
+        match self.context.origin.chunk(&manifest, draw.index, draw.timeout).await {
             Ok(bytes) => self.verify_and_store(digest, draw, bytes, "chunk_bytes_origin").await,
             Err(error) => {
                 log::warn!(
@@ -182,7 +182,7 @@
                     digest.short(),
                     draw.index
                 );
-                DrawOutcome::Failed
+                FetchOutcome::Failed
             }
         }
     }
@@ -190,21 +190,21 @@
     async fn chunk_from_peer(
         &self,
         digest: ManifestDigest,
-        draw: &ChunkDraw,
+        draw: &ChunkFetch,
         id: &InstanceId,
         held: ChunkBitmap,
-    ) -> DrawOutcome {
-        let Some(mut client) = self.client(id).await else { return DrawOutcome::Failed };
+    ) -> FetchOutcome {
+        let Some(mut client) = self.client(id).await else { return FetchOutcome::Failed };
         let message = proto::FetchChunkRequest {
             manifest: digest_bytes(digest),
             index: draw.index.0,
             instance: self.context.own.to_string(),
             bitmap: held.to_bytes().into(),
         };
-        let call = tokio::time::timeout(draw.patience.to_std(), client.fetch_chunk(message)).await;
+        let call = tokio::time::timeout(draw.timeout.to_std(), client.fetch_chunk(message)).await;
         let Ok(Ok(answer)) = call else {
             self.send_event(AgentEvent::PeerFailed(id.clone())).await;
-            return DrawOutcome::Failed;
+            return FetchOutcome::Failed;
         };
         let answer = answer.into_inner();
         if let Some(holding) = answer.holding {
@@ -217,9 +217,9 @@
             }
             Some(Reply::Refusal(refusal)) if refusal.busy => {
                 let others = refusal.others.iter().filter_map(|name| name.parse().ok());
-                DrawOutcome::Busy(others.collect())
+                FetchOutcome::Busy(others.collect())
             }
-            _ => DrawOutcome::Missing,
+            _ => FetchOutcome::Missing,
         }
     }
 
@@ -227,17 +227,17 @@
     async fn verify_and_store(
         &self,
         digest: ManifestDigest,
-        draw: &ChunkDraw,
+        draw: &ChunkFetch,
         bytes: Bytes,
         metric: &str,
-    ) -> DrawOutcome {
+    ) -> FetchOutcome {
         let size = bytes.len();
         self.context.downloads.receive(ByteSize(size as u64)).await;
         if !self.context.store.verify_and_insert(digest, draw.index, bytes) {
-            return DrawOutcome::Corrupt;
+            return FetchOutcome::Corrupt;
         }
         let _ = self.context.metrics.count(metric, size as i64);
-        DrawOutcome::Verified
+        FetchOutcome::Verified
     }
 
     async fn exchange(
@@ -270,7 +270,7 @@
         let total = self.context.store.manifest(digest).map_or(0, |it| it.chunk_count());
         let bitmap = ChunkBitmap::from_bytes(&holding.bitmap, total);
         let (id, queue, serving) = (id.clone(), holding.queue, Some(holding.serving));
-        self.send_event(AgentEvent::HoldingSeen { digest, id, bitmap, queue, serving }).await;
+        self.send_event(AgentEvent::HoldingsReceived { digest, id, bitmap, queue, serving }).await;
     }
 
     async fn order_load(self, order: LoadOrder) {
--- a/mustardrill_agent/src/server.rs
+++ b/mustardrill_agent/src/server.rs
@@ -87,7 +87,7 @@
         let now = self.context.clock.now();
         let reports: Vec<_> = rows.iter().filter_map(|row| crash_word(now, row)).collect();
         if !reports.is_empty() {
-            let _ = self.actor.tell(Event(AgentEvent::CrashesHeard(reports))).await;
+            let _ = self.actor.tell(Event(AgentEvent::CrashesReported(reports))).await;
         }
     }
 
@@ -96,7 +96,7 @@
     async fn exchange_demand(&self, request: &proto::SyncRequest) -> (Vec<DemandRow>, u32) {
         if let Ok(entry) = request.entry.parse() {
             let rows = request.demand.iter().filter_map(demand_row).collect();
-            let _ = self.actor.tell(Event(AgentEvent::DemandSeen(entry, rows))).await;
+            let _ = self.actor.tell(Event(AgentEvent::DemandReported(entry, rows))).await;
         }
         self.actor.ask(DemandQuery).await.unwrap_or_default()
     }
@@ -113,7 +113,7 @@
         let Ok(id) = instance.parse() else { return };
         let Some(manifest) = self.context.store.manifest(digest) else { return };
         let bitmap = ChunkBitmap::from_bytes(bitmap, manifest.chunk_count());
-        let event = AgentEvent::HoldingSeen { digest, id, bitmap, queue: 0, serving };
+        let event = AgentEvent::HoldingsReceived { digest, id, bitmap, queue: 0, serving };
         let _ = self.actor.tell(Event(event)).await;
     }
 }
@@ -136,7 +136,7 @@
     ) -> Result<Response<proto::SyncReply>, Status> {
         let message = request.into_inner();
         if let Some(document) = catalogue_of(&message.catalogue, &message.entry) {
-            let _ = self.actor.tell(Event(AgentEvent::CatalogueSeen(Arc::new(document)))).await;
+            let _ = self.actor.tell(Event(AgentEvent::CatalogueReceived(Arc::new(document)))).await;
         }
         self.record_crashes(&message.crashes).await;
         let (demand, entries) = if message.with_demand {
--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/stock/actor.rs
@@ -6,8 +6,9 @@
 use cadence::{Gauged, StatsdClient};
 use kameo::prelude::*;
 use mustardrill_core::manifest::Manifest;
-use mustardrill_core::stock::{
-    EntryBook, StockEffect, StockEvent, StockReducer, StockStatus, VersionId,
+use mustardrill_core::provisioning::{
+    EntryDirectory, ProvisioningEffect, ProvisioningEvent, ProvisioningReducer, ProvisioningStatus,
+    VersionId,
 };
 use mustardrill_core::transfer::ChunkSource;
 use mustardrill_runtime::border::{ChunkList, ChunkOrigin, EngineControl, FleetSource};
@@ -56,7 +57,7 @@
     /// Verified chunks that wait for the engine to answer for the first time.
     pub(crate) early_chunks: EarlyChunkBuffer,
     /// The entries read last, with their addresses.
-    pub(crate) entries: Mutex<EntryBook>,
+    pub(crate) entries: Mutex<EntryDirectory>,
     /// How many engine notices have been sent to the entries.
     pub(crate) engine_notices: AtomicU64,
     pub(crate) halt: CancellationToken,
@@ -65,7 +66,7 @@
 /// Owns the reducer and serializes its events.
 #[derive(Actor)]
 pub(crate) struct ProvisioningActor {
-    reducer: StockReducer,
+    reducer: ProvisioningReducer,
     context: Arc<ProvisioningContext>,
     lists: FastMap<VersionId, Arc<ChunkList>>,
     /// Cancels the fetches in progress, by chunk and source.
@@ -73,7 +74,7 @@
 }
 
 /// Passes an event to the reducer.
-pub(crate) struct Event(pub(crate) StockEvent);
+pub(crate) struct Event(pub(crate) ProvisioningEvent);
 
 /// A chunk list that was fetched; `None` where no source had it.
 pub(crate) struct ChunkListFetched(pub(crate) VersionId, pub(crate) Option<ChunkList>);
@@ -95,11 +96,11 @@
 pub(crate) struct StatusQuery;
 
 #[derive(Debug, Reply)]
-pub(crate) struct StatusReply(pub(crate) StockStatus);
+pub(crate) struct StatusReply(pub(crate) ProvisioningStatus);
 
 impl ProvisioningActor {
-    fn reduce(&mut self, event: StockEvent, actor: &ActorRef<Self>) {
-        if let StockEvent::DrawEnded(_, index, source, _) = &event {
+    fn reduce(&mut self, event: ProvisioningEvent, actor: &ActorRef<Self>) {
+        if let ProvisioningEvent::FetchEnded(_, index, source, _) = &event {
             self.fetches.remove(&fetch_key(*index, source));
         }
         let now = self.context.clock.now();
@@ -108,14 +109,14 @@
         }
     }
 
-    fn carry_out(&mut self, effect: StockEffect, actor: &ActorRef<Self>) {
+    fn carry_out(&mut self, effect: ProvisioningEffect, actor: &ActorRef<Self>) {
         let (context, actor) = (self.context.clone(), actor.clone());
         match effect {
-            StockEffect::ReadPeers => effects::read_peers(context, actor),
-            StockEffect::FetchList(version, sources) => {
+            ProvisioningEffect::ReadPeers => effects::read_peers(context, actor),
+            ProvisioningEffect::FetchManifest(version, sources) => {
                 effects::fetch_chunk_list(context, actor, version, sources);
             }
-            StockEffect::Draw(version, draw, address) => {
+            ProvisioningEffect::FetchChunk(version, draw, address) => {
                 let Some(list) = self.lists.get(&version).cloned() else { return };
                 let token = self.context.halt.child_token();
                 self.fetches.insert(fetch_key(draw.index, &draw.source), token.clone());
@@ -127,25 +128,25 @@
                     token,
                 );
             }
-            StockEffect::CancelDraw(index, source) => {
+            ProvisioningEffect::CancelFetch(index, source) => {
                 if let Some(token) = self.fetches.remove(&fetch_key(index, &source)) {
                     token.cancel();
                 }
             }
-            StockEffect::TellHolding { version, to, bitmap, asks } => {
-                peers::send_holding(context, &version, to, &bitmap, asks);
+            ProvisioningEffect::SendHoldings { version, to, bitmap, wants_reply } => {
+                peers::send_holding(context, &version, to, &bitmap, wants_reply);
             }
-            StockEffect::ReadBack(version) => {
+            ProvisioningEffect::VerifyStaged(version) => {
                 let Some(list) = self.lists.get(&version).cloned() else { return };
                 effects::verify_staged(context, actor, version, list);
             }
-            StockEffect::Order(version, sequence) => {
+            ProvisioningEffect::OrderLoad(version, sequence) => {
                 effects::order_load(context, actor, version, sequence);
             }
-            StockEffect::TellEntries(model, notice) => {
+            ProvisioningEffect::NotifyEntries(model, notice) => {
                 effects::notify_entries(context, model, notice);
             }
-            StockEffect::DropList(version) => {
+            ProvisioningEffect::DropManifest(version) => {
                 self.lists.remove(&version);
             }
         }
@@ -179,7 +180,7 @@
             self.lists.insert(version.clone(), Arc::new(list));
             manifest
         });
-        self.reduce(StockEvent::ListSeen(version, manifest), &actor);
+        self.reduce(ProvisioningEvent::ManifestFetched(version, manifest), &actor);
     }
 }
 
@@ -267,7 +268,7 @@
 ) -> std::io::Result<ProvisioningHandle> {
     let halt = CancellationToken::new();
     let socket = UdpSocket::bind(config.listen).await?;
-    let reducer = StockReducer::new(config.settings.clone(), rand::random());
+    let reducer = ProvisioningReducer::new(config.settings.clone(), rand::random());
     let page = Arc::new(MetricPage::new(&METRICS));
     let (listen, link_mbps) = (config.listen, config.link_mbps);
     log::info!(
--- a/mustardrill_agent/src/stock/early_chunks.rs
+++ b/mustardrill_agent/src/stock/early_chunks.rs
@@ -7,7 +7,7 @@
 use std::sync::Mutex;
 
 use bytes::Bytes;
-use mustardrill_core::stock::VersionId;
+use mustardrill_core::provisioning::VersionId;
 use mustardrill_types::{ByteSize, ChunkIndex};
 
 /// The largest total size of buffered chunks: what a narrow link carries while an engine starts,
--- a/mustardrill_agent/src/stock/effects.rs
+++ b/mustardrill_agent/src/stock/effects.rs
@@ -11,8 +11,10 @@
 use kameo::prelude::*;
 use mustardrill_core::direct::{EngineNotice, PeerRecord};
 use mustardrill_core::manifest::ChunkBitmap;
-use mustardrill_core::stock::{OrderFate, StockEvent, VersionId, WeightSource};
-use mustardrill_core::transfer::{ChunkDraw, ChunkSource, DrawOutcome};
+use mustardrill_core::provisioning::{
+    LoadOrderOutcome, ManifestSource, ProvisioningEvent, VersionId,
+};
+use mustardrill_core::transfer::{ChunkFetch, ChunkSource, FetchOutcome};
 use mustardrill_runtime::border::{ChunkList, FleetPart, OrderAnswer};
 use mustardrill_runtime::datagram::{Datagram, EngineRow};
 use mustardrill_runtime::http::request;
@@ -39,7 +41,7 @@
 /// A chunk to fetch, and the address of its source.
 pub(crate) struct ChunkFetchTask {
     pub(crate) version: VersionId,
-    pub(crate) draw: ChunkDraw,
+    pub(crate) draw: ChunkFetch,
     pub(crate) address: SocketAddr,
 }
 
@@ -47,18 +49,18 @@
 pub(crate) fn read_peers(context: Arc<ProvisioningContext>, actor: ActorRef<ProvisioningActor>) {
     tokio::spawn(async move {
         if let Some(update) = fleet::ask_known_entry(&context).await {
-            let _ = actor.tell(Event(StockEvent::Fleet(update))).await;
+            let _ = actor.tell(Event(ProvisioningEvent::FleetUpdated(update))).await;
             return;
         }
         match fleet::entries_from_store(&context).await {
             Ok(entries) => {
-                let _ = actor.tell(Event(StockEvent::RelaysSeen(entries))).await;
+                let _ = actor.tell(Event(ProvisioningEvent::EntriesRead(entries))).await;
             }
             Err(error) => log::warn!("entries outcome=kept reason=\"{error}\""),
         }
         match context.platform.fleet_source.read_part(FleetPart::Upstreams).await {
             Ok(update) => {
-                let _ = actor.tell(Event(StockEvent::Fleet(update))).await;
+                let _ = actor.tell(Event(ProvisioningEvent::FleetUpdated(update))).await;
             }
             // A transfer can go on with the peers that are known already.
             Err(error) => log::warn!("peers outcome=kept reason=\"{error}\""),
@@ -71,7 +73,7 @@
     context: Arc<ProvisioningContext>,
     actor: ActorRef<ProvisioningActor>,
     version: VersionId,
-    sources: Vec<WeightSource>,
+    sources: Vec<ManifestSource>,
 ) {
     tokio::spawn(async move {
         let mut found_list = None;
@@ -96,18 +98,18 @@
 async fn chunk_list_from(
     context: &ProvisioningContext,
     version: &VersionId,
-    source: &WeightSource,
+    source: &ManifestSource,
 ) -> Result<ChunkList, Box<str>> {
     let origin = &context.platform.origin;
     let list = match source {
-        WeightSource::Origin(address) => {
+        ManifestSource::Origin(address) => {
             origin.list(*address, &version.model, version.version).await?
         }
-        WeightSource::Peer(peer) => {
+        ManifestSource::Peer(peer) => {
             let address = format!("{peer}:{}", context.config.settings.port);
             chunk_list_over_http(context, version, &address).await?
         }
-        WeightSource::Relay(address) => {
+        ManifestSource::Relay(address) => {
             chunk_list_over_http(context, version, &address.to_string()).await?
         }
     };
@@ -147,15 +149,15 @@
 ) {
     tokio::spawn(async move {
         let fetching = fetch_and_stage(&context, &list, &task);
-        let fetch_timeout = task.draw.patience.to_std();
+        let fetch_timeout = task.draw.timeout.to_std();
         let outcome = tokio::select! {
-            outcome = tokio::time::timeout(fetch_timeout, fetching) => outcome.unwrap_or(DrawOutcome::Failed),
+            outcome = tokio::time::timeout(fetch_timeout, fetching) => outcome.unwrap_or(FetchOutcome::Failed),
             () = token.cancelled() => return,
         };
         let label = metric_label(&outcome);
         let _ = context.metrics.count(&format!("chunk_draws.{label}"), 1);
-        let ChunkDraw { index, source, .. } = task.draw;
-        let event = StockEvent::DrawEnded(task.version, index, source, outcome);
+        let ChunkFetch { index, source, .. } = task.draw;
+        let event = ProvisioningEvent::FetchEnded(task.version, index, source, outcome);
         let _ = actor.tell(Event(event)).await;
     });
 }
@@ -164,7 +166,7 @@
     context: &ProvisioningContext,
     list: &ChunkList,
     task: &ChunkFetchTask,
-) -> DrawOutcome {
+) -> FetchOutcome {
     let ChunkFetchTask { version, draw, address } = task;
     let bytes = match &draw.source {
         ChunkSource::Origin => {
@@ -172,7 +174,7 @@
             let chunk = origin.chunk(*address, &version.model, version.version, draw.index);
             chunk.await.map_err(|reason| {
                 log::info!("chunk version={version} index={} source=origin outcome=failed reason=\"{reason}\"", draw.index);
-                DrawOutcome::Failed
+                FetchOutcome::Failed
             })
         }
         ChunkSource::Peer(_) | ChunkSource::Relay(_) => chunk_from_peer(context, task).await,
@@ -182,14 +184,14 @@
         Err(outcome) => return outcome,
     };
     if !context.platform.origin.verifies(list, draw.index, &bytes) {
-        return DrawOutcome::Corrupt;
+        return FetchOutcome::Corrupt;
     }
     let length = bytes.len() as i64;
     let is_buffered = context.early_chunks.push(version, draw.index, &bytes);
     if !is_buffered && !context.platform.engine.stage(&version.model, draw.index, bytes).await {
         log::warn!("chunk version={version} index={} outcome=not-staged", draw.index);
         // The engine failed to stage it; the source must not be blamed.
-        return DrawOutcome::Busy(Vec::new());
+        return FetchOutcome::Busy(Vec::new());
     }
     let source = match &draw.source {
         ChunkSource::Origin => "origin",
@@ -197,24 +199,24 @@
         ChunkSource::Peer(_) => "peer",
     };
     let _ = context.metrics.count(&format!("chunk_bytes.{source}"), length);
-    DrawOutcome::Verified
+    FetchOutcome::Verified
 }
 
 /// The label of the outcome in the metric `chunk_draws`.
-fn metric_label(outcome: &DrawOutcome) -> &'static str {
+fn metric_label(outcome: &FetchOutcome) -> &'static str {
     match outcome {
-        DrawOutcome::Verified => "whole",
-        DrawOutcome::Corrupt => "corrupt",
-        DrawOutcome::Busy(_) => "busy",
-        DrawOutcome::Missing => "missing",
-        DrawOutcome::Failed => "failed",
+        FetchOutcome::Verified => "whole",
+        FetchOutcome::Corrupt => "corrupt",
+        FetchOutcome::Busy(_) => "busy",
+        FetchOutcome::Missing => "missing",
+        FetchOutcome::Failed => "failed",
     }
 }
 
 async fn chunk_from_peer(
     context: &ProvisioningContext,
     task: &ChunkFetchTask,
-) -> Result<Bytes, DrawOutcome> {
+) -> Result<Bytes, FetchOutcome> {
     let uri = format!(
         "http://{}{}",
         task.address,
@@ -222,23 +224,21 @@
     );
     for _ in 0..PENDING_CHUNK_REQUESTS {
         let call = request("GET", &uri, Bytes::new());
-        let answer = context
-            .peer_client
-            .call(call, task.draw.patience.to_std(), PEER_BODY_LIMIT_BYTES)
-            .await;
+        let answer =
+            context.peer_client.call(call, task.draw.timeout.to_std(), PEER_BODY_LIMIT_BYTES).await;
         let answer = answer.map_err(|error| {
             log::debug!("chunk call={uri} outcome=failed reason=\"{error}\"");
-            DrawOutcome::Failed
+            FetchOutcome::Failed
         })?;
         match answer.status {
             StatusCode::OK => return Ok(answer.body),
             // The entry is still fetching the chunk: ask again.
             StatusCode::ACCEPTED => {}
-            StatusCode::SERVICE_UNAVAILABLE => return Err(DrawOutcome::Busy(Vec::new())),
-            _ => return Err(DrawOutcome::Missing),
+            StatusCode::SERVICE_UNAVAILABLE => return Err(FetchOutcome::Busy(Vec::new())),
+            _ => return Err(FetchOutcome::Missing),
         }
     }
-    Err(DrawOutcome::Busy(Vec::new()))
+    Err(FetchOutcome::Busy(Vec::new()))
 }
 
 /// Reads all staged chunks back from the engine and reports which of them pass verification.
@@ -258,7 +258,7 @@
                 verified.insert(index);
             }
         }
-        let _ = actor.tell(Event(StockEvent::ReadBack(version, verified))).await;
+        let _ = actor.tell(Event(ProvisioningEvent::StagedVerified(version, verified))).await;
     });
 }
 
@@ -275,11 +275,11 @@
             log::warn!("order version={version} sequence={sequence} outcome=\"{answer}\"");
         }
         let outcome = match answer {
-            OrderAnswer::Taken => OrderFate::Taken,
-            OrderAnswer::Conflict => OrderFate::Refused,
-            OrderAnswer::Unknown(_) => OrderFate::Unknown,
+            OrderAnswer::Taken => LoadOrderOutcome::Accepted,
+            OrderAnswer::Conflict => LoadOrderOutcome::Rejected,
+            OrderAnswer::Unknown(_) => LoadOrderOutcome::Unknown,
         };
-        let _ = actor.tell(Event(StockEvent::Ordered(version, outcome))).await;
+        let _ = actor.tell(Event(ProvisioningEvent::LoadOrderEnded(version, outcome))).await;
     });
 }
 
@@ -303,7 +303,7 @@
             |entries: &[PeerRecord]| entries.iter().map(|entry| entry.address).collect::<Vec<_>>();
         // Known entries are notified at once: reading the entries anew may take as long as the
         // store is unavailable.
-        let known_addresses = addresses(context.entries.lock().await.known());
+        let known_addresses = addresses(context.entries.lock().await.entries());
         peers::send(context.clone(), datagram.clone(), known_addresses.clone());
         let fresh_addresses = fleet::entries(&context).await.map(|entries| addresses(&entries));
         let fresh_addresses = fresh_addresses.unwrap_or_else(|error| {
--- a/mustardrill_agent/src/stock/fleet.rs
+++ b/mustardrill_agent/src/stock/fleet.rs
@@ -53,7 +53,7 @@
 
 /// Reads the fleet from one of the known entries; `None` where it did not answer.
 pub(crate) async fn ask_known_entry(context: &ProvisioningContext) -> Option<FleetUpdate> {
-    let known = context.entries.lock().await.known().to_vec();
+    let known = context.entries.lock().await.entries().to_vec();
     let update = ask_entry(context, known, 0).await?;
     record_entries(context, &update).await;
     Some(update)
@@ -77,7 +77,7 @@
     context: &ProvisioningContext,
 ) -> Result<Vec<PeerRecord>, StoreError> {
     if !is_read_due(context).await {
-        return Ok(context.entries.lock().await.known().to_vec());
+        return Ok(context.entries.lock().await.entries().to_vec());
     }
     let update = context.platform.fleet_source.read_part(FleetPart::Entries).await?;
     record_entries(context, &update).await;
@@ -86,12 +86,12 @@
 
 async fn is_read_due(context: &ProvisioningContext) -> bool {
     let now = context.clock.now();
-    context.entries.lock().await.is_due(now)
+    context.entries.lock().await.is_refresh_due(now)
 }
 
 async fn record_entries(context: &ProvisioningContext, update: &FleetUpdate) {
     let now = context.clock.now();
-    context.entries.lock().await.note(now, peers_of(update));
+    context.entries.lock().await.update(now, peers_of(update));
 }
 
 fn peers_of(update: &FleetUpdate) -> Vec<PeerRecord> {
--- a/mustardrill_agent/src/stock/peers.rs
+++ b/mustardrill_agent/src/stock/peers.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, Response, StatusCode};
 use kameo::prelude::*;
 use mustardrill_core::manifest::ChunkBitmap;
-use mustardrill_core::stock::{HoldingNews, StockEvent, VersionId};
+use mustardrill_core::provisioning::{HoldingsReport, ProvisioningEvent, VersionId};
 use mustardrill_runtime::datagram::{DATAGRAM_LIMIT, Datagram, HoldingRow};
 use mustardrill_runtime::http::{AnyResponse, HttpHandler, text_response, whole_body};
 use mustardrill_runtime::peer_call::PeerCall;
@@ -63,7 +63,7 @@
         return Response::new(whole_body(list.published.clone()));
     }
     // The peer retries shortly; this event makes the agent fetch the list until then.
-    let _ = actor.tell(Event(StockEvent::ListWanted(version))).await;
+    let _ = actor.tell(Event(ProvisioningEvent::ManifestRequested(version))).await;
     text_response(StatusCode::NOT_FOUND, "not here\n")
 }
 
@@ -150,22 +150,22 @@
     }
 }
 
-fn event_of(datagram: Datagram) -> Option<StockEvent> {
+fn event_of(datagram: Datagram) -> Option<ProvisioningEvent> {
     if let Some(announced) = datagram.named {
         let version = WeightVersion(announced.version);
-        return Some(StockEvent::VersionHeard(announced.model.parse().ok()?, version));
+        return Some(ProvisioningEvent::VersionReported(announced.model.parse().ok()?, version));
     }
-    holding_of(datagram).map(StockEvent::HoldingSeen)
+    holding_of(datagram).map(ProvisioningEvent::HoldingsReceived)
 }
 
-fn holding_of(datagram: Datagram) -> Option<HoldingNews> {
+fn holding_of(datagram: Datagram) -> Option<HoldingsReport> {
     let row = datagram.holding?;
     let version = VersionId { model: row.model.parse().ok()?, version: WeightVersion(row.version) };
-    Some(HoldingNews {
+    Some(HoldingsReport {
         from: datagram.from.parse().ok()?,
         version,
         bitmap: row.bitmap.into(),
         queue: row.queue,
-        asks: row.asks,
+        wants_reply: row.asks,
     })
 }
--- a/mustardrill_agent/src/stock/watch.rs
+++ b/mustardrill_agent/src/stock/watch.rs
@@ -6,7 +6,7 @@
 use kameo::prelude::*;
 use log::{info, warn};
 use mustardrill_core::direct::{CursorVerdict, FleetChange, StoreCursor, WatchTiming};
-use mustardrill_core::stock::{EngineView, StockEvent};
+use mustardrill_core::provisioning::{EngineView, ProvisioningEvent};
 use mustardrill_runtime::backoff::RetryBackoff;
 use mustardrill_runtime::border::{EngineState, FleetPart, FleetScope, StoreError};
 use mustardrill_types::Millis;
@@ -78,7 +78,7 @@
                 {
                     scope = FleetScope::Versions;
                 }
-                let _ = actor.tell(Event(StockEvent::Fleet(update))).await;
+                let _ = actor.tell(Event(ProvisioningEvent::FleetUpdated(update))).await;
             }
             Err(error @ (StoreError::HistoryGone | StoreError::EraChanged)) => {
                 info!(
@@ -103,7 +103,7 @@
         if state.is_some() {
             stage_early_chunks(&context).await;
         }
-        let _ = actor.tell(Event(StockEvent::EngineSeen(state))).await;
+        let _ = actor.tell(Event(ProvisioningEvent::EnginePolled(state))).await;
         let polled_at = context.clock.now();
         loop {
             let is_busy = actor.ask(BusyQuery).await.unwrap_or(false);
@@ -116,7 +116,7 @@
             if context.clock.now().since(polled_at) >= poll_interval {
                 break;
             }
-            let _ = actor.tell(Event(StockEvent::Woke)).await;
+            let _ = actor.tell(Event(ProvisioningEvent::Tick)).await;
         }
     }
 }
--- a/mustardrill_entry/src/callers.rs
+++ b/mustardrill_entry/src/callers.rs
@@ -264,7 +264,7 @@
         // Sent for completed requests too: the actor then drops its state of the request.
         let (actor, id) = (self.actor.clone(), self.id);
         tokio::spawn(async move {
-            let _ = actor.tell(Event(EntryEvent::CallerGone(id))).await;
+            let _ = actor.tell(Event(EntryEvent::CallerDisconnected(id))).await;
         });
     }
 }
--- a/mustardrill_entry/src/editor.rs
+++ b/mustardrill_entry/src/editor.rs
@@ -116,7 +116,7 @@
     /// Puts a catalogue in force at this entry without waiting for the watch.
     async fn apply_locally(&self, document: Option<Box<CatalogueDocument>>) {
         if let Some(document) = document {
-            let event = EntryEvent::CatalogueSeen(Arc::from(document));
+            let event = EntryEvent::CatalogueReceived(Arc::from(document));
             let _ = self.actor.tell(Event(event)).await;
         }
     }
