--- a/mustardrill_agent/src/effects.rs
+++ b/mustardrill_agent/src/effects.rs
@@ -38,9 +38,9 @@
         AgentEffect::FetchManifest { model, version, digest, sources } => {
             tokio::spawn(task.fetch_manifest(model, version, digest, sources));
         }
-        AgentEffect::FetchChunk(digest, draw) => {
+        AgentEffect::FetchChunk(digest, fetch) => {
             let held = reducer.held(digest).cloned().unwrap_or_default();
-            tokio::spawn(task.fetch_chunk(digest, draw, held));
+            tokio::spawn(task.fetch_chunk(digest, fetch, held));
         }
         AgentEffect::Exchange(digest, id) => {
             let held = reducer.held(digest).cloned().unwrap_or_default();
@@ -156,31 +156,31 @@
         if data.is_empty() { Err("lacks the manifest".into()) } else { Ok(data) }
     }
 
-    async fn fetch_chunk(self, digest: ManifestDigest, draw: ChunkFetch, held: ChunkBitmap) {
-        let outcome = match &draw.source {
-            ChunkSource::Origin => self.chunk_from_origin(digest, &draw).await,
+    async fn fetch_chunk(self, digest: ManifestDigest, fetch: ChunkFetch, held: ChunkBitmap) {
+        let outcome = match &fetch.source {
+            ChunkSource::Origin => self.chunk_from_origin(digest, &fetch).await,
             ChunkSource::Peer(id) | ChunkSource::Relay(id) => {
-                self.chunk_from_peer(digest, &draw, id, held).await
+                self.chunk_from_peer(digest, &fetch, id, held).await
             }
         };
         if outcome == FetchOutcome::Corrupt {
             let _ = self.context.metrics.count("chunks_corrupt", 1);
         }
-        let ChunkFetch { index, source, .. } = draw;
+        let ChunkFetch { index, source, .. } = fetch;
         self.send_event(AgentEvent::FetchEnded { digest, index, source, outcome }).await;
     }
 
-    async fn chunk_from_origin(&self, digest: ManifestDigest, draw: &ChunkFetch) -> FetchOutcome {
+    async fn chunk_from_origin(&self, digest: ManifestDigest, fetch: &ChunkFetch) -> FetchOutcome {
         let Some(manifest) = self.context.store.manifest(digest) else {
             return FetchOutcome::Failed;
         };
-        match self.context.origin.chunk(&manifest, draw.index, draw.timeout).await {
-            Ok(bytes) => self.verify_and_store(digest, draw, bytes, "chunk_bytes_origin").await,
+        match self.context.origin.chunk(&manifest, fetch.index, fetch.timeout).await {
+            Ok(bytes) => self.verify_and_store(digest, fetch, bytes, "chunk_bytes_origin").await,
             Err(error) => {
                 log::warn!(
                     "chunk manifest={} index={} source=origin decision=later reason=\"{error}\"",
                     digest.short(),
-                    draw.index
+                    fetch.index
                 );
                 FetchOutcome::Failed
             }
@@ -190,18 +190,18 @@
     async fn chunk_from_peer(
         &self,
         digest: ManifestDigest,
-        draw: &ChunkFetch,
+        fetch: &ChunkFetch,
         id: &InstanceId,
         held: ChunkBitmap,
     ) -> FetchOutcome {
         let Some(mut client) = self.client(id).await else { return FetchOutcome::Failed };
         let message = proto::FetchChunkRequest {
             manifest: digest_bytes(digest),
-            index: draw.index.0,
+            index: fetch.index.0,
             instance: self.context.own.to_string(),
             bitmap: held.to_bytes().into(),
         };
-        let call = tokio::time::timeout(draw.timeout.to_std(), client.fetch_chunk(message)).await;
+        let call = tokio::time::timeout(fetch.timeout.to_std(), client.fetch_chunk(message)).await;
         let Ok(Ok(answer)) = call else {
             self.send_event(AgentEvent::PeerFailed(id.clone())).await;
             return FetchOutcome::Failed;
@@ -213,7 +213,7 @@
         use proto::fetch_chunk_reply::Result as Reply;
         match answer.result {
             Some(Reply::Data(bytes)) => {
-                self.verify_and_store(digest, draw, bytes, "chunk_bytes_peer").await
+                self.verify_and_store(digest, fetch, bytes, "chunk_bytes_peer").await
             }
             Some(Reply::Refusal(refusal)) if refusal.busy => {
                 let others = refusal.others.iter().filter_map(|name| name.parse().ok());
@@ -227,13 +227,13 @@
     async fn verify_and_store(
         &self,
         digest: ManifestDigest,
-        draw: &ChunkFetch,
+        fetch: &ChunkFetch,
         bytes: Bytes,
         metric: &str,
     ) -> FetchOutcome {
         let size = bytes.len();
         self.context.downloads.receive(ByteSize(size as u64)).await;
-        if !self.context.store.verify_and_insert(digest, draw.index, bytes) {
+        if !self.context.store.verify_and_insert(digest, fetch.index, bytes) {
             return FetchOutcome::Corrupt;
         }
         let _ = self.context.metrics.count(metric, size as i64);
--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/stock/actor.rs
@@ -68,7 +68,7 @@
 pub(crate) struct ProvisioningActor {
     reducer: ProvisioningReducer,
     context: Arc<ProvisioningContext>,
-    lists: FastMap<VersionId, Arc<ChunkList>>,
+    chunk_lists: FastMap<VersionId, Arc<ChunkList>>,
     /// Cancels the fetches in progress, by chunk and source.
     fetches: FastMap<(ChunkIndex, Box<str>), CancellationToken>,
 }
@@ -116,15 +116,15 @@
             ProvisioningEffect::FetchManifest(version, sources) => {
                 effects::fetch_chunk_list(context, actor, version, sources);
             }
-            ProvisioningEffect::FetchChunk(version, draw, address) => {
-                let Some(list) = self.lists.get(&version).cloned() else { return };
+            ProvisioningEffect::FetchChunk(version, fetch, address) => {
+                let Some(list) = self.chunk_lists.get(&version).cloned() else { return };
                 let token = self.context.halt.child_token();
-                self.fetches.insert(fetch_key(draw.index, &draw.source), token.clone());
+                self.fetches.insert(fetch_key(fetch.index, &fetch.source), token.clone());
                 effects::fetch_chunk(
                     context,
                     actor,
                     list,
-                    effects::ChunkFetchTask { version, draw, address },
+                    effects::ChunkFetchTask { version, fetch, address },
                     token,
                 );
             }
@@ -134,10 +134,10 @@
                 }
             }
             ProvisioningEffect::SendHoldings { version, to, bitmap, wants_reply } => {
-                peers::send_holding(context, &version, to, &bitmap, wants_reply);
+                peers::send_holdings(context, &version, to, &bitmap, wants_reply);
             }
             ProvisioningEffect::VerifyStaged(version) => {
-                let Some(list) = self.lists.get(&version).cloned() else { return };
+                let Some(list) = self.chunk_lists.get(&version).cloned() else { return };
                 effects::verify_staged(context, actor, version, list);
             }
             ProvisioningEffect::OrderLoad(version, sequence) => {
@@ -147,7 +147,7 @@
                 effects::notify_entries(context, model, notice);
             }
             ProvisioningEffect::DropManifest(version) => {
-                self.lists.remove(&version);
+                self.chunk_lists.remove(&version);
             }
         }
     }
@@ -177,7 +177,7 @@
         let actor = context.actor_ref().clone();
         let manifest = list.map(|list| {
             let manifest = Arc::new(manifest_of(&list));
-            self.lists.insert(version.clone(), Arc::new(list));
+            self.chunk_lists.insert(version.clone(), Arc::new(list));
             manifest
         });
         self.reduce(ProvisioningEvent::ManifestFetched(version, manifest), &actor);
@@ -203,7 +203,7 @@
         ChunkListQuery(version): ChunkListQuery,
         _: &mut Context<Self, ChunkListReply>,
     ) -> ChunkListReply {
-        ChunkListReply(self.lists.get(&version).cloned())
+        ChunkListReply(self.chunk_lists.get(&version).cloned())
     }
 }
 
@@ -290,8 +290,8 @@
         engine_notices: AtomicU64::default(),
         halt: halt.clone(),
     });
-    let (lists, fetches) = (FastMap::default(), FastMap::default());
-    let state = ProvisioningActor { reducer, context: context.clone(), lists, fetches };
+    let (chunk_lists, fetches) = (FastMap::default(), FastMap::default());
+    let state = ProvisioningActor { reducer, context: context.clone(), chunk_lists, fetches };
     let actor = ProvisioningActor::spawn_with_mailbox(state, mailbox::unbounded());
     if let Some(address) = context.config.metrics {
         HttpServer::bind(address, Box::new(MetricHandler(page)), halt.clone()).await?;
--- a/mustardrill_agent/src/stock/effects.rs
+++ b/mustardrill_agent/src/stock/effects.rs
@@ -41,7 +41,7 @@
 /// A chunk to fetch, and the address of its source.
 pub(crate) struct ChunkFetchTask {
     pub(crate) version: VersionId,
-    pub(crate) draw: ChunkFetch,
+    pub(crate) fetch: ChunkFetch,
     pub(crate) address: SocketAddr,
 }
 
@@ -149,14 +149,14 @@
 ) {
     tokio::spawn(async move {
         let fetching = fetch_and_stage(&context, &list, &task);
-        let fetch_timeout = task.draw.timeout.to_std();
+        let fetch_timeout = task.fetch.timeout.to_std();
         let outcome = tokio::select! {
             outcome = tokio::time::timeout(fetch_timeout, fetching) => outcome.unwrap_or(FetchOutcome::Failed),
             () = token.cancelled() => return,
         };
         let label = metric_label(&outcome);
         let _ = context.metrics.count(&format!("chunk_draws.{label}"), 1);
-        let ChunkFetch { index, source, .. } = task.draw;
+        let ChunkFetch { index, source, .. } = task.fetch;
         let event = ProvisioningEvent::FetchEnded(task.version, index, source, outcome);
         let _ = actor.tell(Event(event)).await;
     });
@@ -167,13 +167,13 @@
     list: &ChunkList,
     task: &ChunkFetchTask,
 ) -> FetchOutcome {
-    let ChunkFetchTask { version, draw, address } = task;
-    let bytes = match &draw.source {
+    let ChunkFetchTask { version, fetch, address } = task;
+    let bytes = match &fetch.source {
         ChunkSource::Origin => {
             let origin = &context.platform.origin;
-            let chunk = origin.chunk(*address, &version.model, version.version, draw.index);
+            let chunk = origin.chunk(*address, &version.model, version.version, fetch.index);
             chunk.await.map_err(|reason| {
-                log::info!("chunk version={version} index={} source=origin outcome=failed reason=\"{reason}\"", draw.index);
+                log::info!("chunk version={version} index={} source=origin outcome=failed reason=\"{reason}\"", fetch.index);
                 FetchOutcome::Failed
             })
         }
@@ -183,17 +183,17 @@
         Ok(bytes) => bytes,
         Err(outcome) => return outcome,
     };
-    if !context.platform.origin.verifies(list, draw.index, &bytes) {
+    if !context.platform.origin.verifies(list, fetch.index, &bytes) {
         return FetchOutcome::Corrupt;
     }
     let length = bytes.len() as i64;
-    let is_buffered = context.early_chunks.push(version, draw.index, &bytes);
-    if !is_buffered && !context.platform.engine.stage(&version.model, draw.index, bytes).await {
-        log::warn!("chunk version={version} index={} outcome=not-staged", draw.index);
+    let is_buffered = context.early_chunks.push(version, fetch.index, &bytes);
+    if !is_buffered && !context.platform.engine.stage(&version.model, fetch.index, bytes).await {
+        log::warn!("chunk version={version} index={} outcome=not-staged", fetch.index);
         // The engine failed to stage it; the source must not be blamed.
         return FetchOutcome::Busy(Vec::new());
     }
-    let source = match &draw.source {
+    let source = match &fetch.source {
         ChunkSource::Origin => "origin",
         ChunkSource::Relay(_) => "entry",
         ChunkSource::Peer(_) => "peer",
@@ -220,12 +220,14 @@
     let uri = format!(
         "http://{}{}",
         task.address,
-        PeerCall::Chunk(task.version.clone(), task.draw.index)
+        PeerCall::Chunk(task.version.clone(), task.fetch.index)
     );
     for _ in 0..PENDING_CHUNK_REQUESTS {
         let call = request("GET", &uri, Bytes::new());
-        let answer =
-            context.peer_client.call(call, task.draw.timeout.to_std(), PEER_BODY_LIMIT_BYTES).await;
+        let answer = context
+            .peer_client
+            .call(call, task.fetch.timeout.to_std(), PEER_BODY_LIMIT_BYTES)
+            .await;
         let answer = answer.map_err(|error| {
             log::debug!("chunk call={uri} outcome=failed reason=\"{error}\"");
             FetchOutcome::Failed
--- a/mustardrill_agent/src/stock/peers.rs
+++ b/mustardrill_agent/src/stock/peers.rs
@@ -92,7 +92,7 @@
 }
 
 /// Sends the chunks held of a version to other agents.
-pub(crate) fn send_holding(
+pub(crate) fn send_holdings(
     context: Arc<ProvisioningContext>,
     version: &VersionId,
     to: Vec<SocketAddr>,
@@ -155,10 +155,10 @@
         let version = WeightVersion(announced.version);
         return Some(ProvisioningEvent::VersionReported(announced.model.parse().ok()?, version));
     }
-    holding_of(datagram).map(ProvisioningEvent::HoldingsReceived)
+    holdings_of(datagram).map(ProvisioningEvent::HoldingsReceived)
 }
 
-fn holding_of(datagram: Datagram) -> Option<HoldingsReport> {
+fn holdings_of(datagram: Datagram) -> Option<HoldingsReport> {
     let row = datagram.holding?;
     let version = VersionId { model: row.model.parse().ok()?, version: WeightVersion(row.version) };
     Some(HoldingsReport {
