--- a/mustardrill_agent/src/lib.rs
+++ b/mustardrill_agent/src/lib.rs
@@ -17,6 +17,6 @@
 mod weights_http;
 
 pub use actor::{AgentHandle, spawn};
-pub mod stock;
+pub mod provisioning;
 
 pub use config::AgentConfig;
--- a/mustardrill_agent/src/main.rs
+++ b/mustardrill_agent/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use mustardrill_agent::cli::{self, AgentCommand};
-use mustardrill_agent::stock::{self, PlatformAdapters, ProvisioningConfig};
+use mustardrill_agent::provisioning::{self, PlatformAdapters, ProvisioningConfig};
 use mustardrill_agent::{AgentConfig, config};
 use mustardrill_platform::{PlatformEngine, PlatformOrigin, PlatformStore};
 use mustardrill_runtime::http::HttpClient;
@@ -61,7 +61,9 @@
     };
     match reader.platform("agent") {
         PlatformKind::Own => report_faults(config::read(reader)).map(SelectedConfig::Own),
-        PlatformKind::Prepared => report_faults(stock::read(reader)).map(SelectedConfig::Prepared),
+        PlatformKind::Prepared => {
+            report_faults(provisioning::read(reader)).map(SelectedConfig::Prepared)
+        }
     }
 }
 
@@ -104,7 +106,7 @@
         origin: Box::new(PlatformOrigin::open(CONNECT_TIMEOUT)),
     };
     let listen = config.listen;
-    let handle = match stock::spawn(config, platform).await {
+    let handle = match provisioning::spawn(config, platform).await {
         Ok(handle) => handle,
         Err(error) => {
             eprintln!(
--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/provisioning/actor.rs
@@ -21,11 +21,11 @@
 use tokio::sync::Mutex;
 use tokio_util::sync::CancellationToken;
 
-use crate::stock::config::ProvisioningConfig;
-use crate::stock::early_chunks::EarlyChunkBuffer;
-use crate::stock::metrics::METRICS;
-use crate::stock::peers::PeerHandler;
-use crate::stock::{effects, peers, watch};
+use crate::provisioning::config::ProvisioningConfig;
+use crate::provisioning::early_chunks::EarlyChunkBuffer;
+use crate::provisioning::metrics::METRICS;
+use crate::provisioning::peers::PeerHandler;
+use crate::provisioning::{effects, peers, watch};
 
 /// The adapters through which the agent reaches the platform.
 pub struct PlatformAdapters {
--- a/mustardrill_agent/src/stock/effects.rs
+++ b/mustardrill_agent/src/provisioning/effects.rs
@@ -22,8 +22,8 @@
 use mustardrill_types::{ChunkIndex, ModelName};
 use tokio_util::sync::CancellationToken;
 
-use crate::stock::actor::{ChunkListFetched, Event, ProvisioningActor, ProvisioningContext};
-use crate::stock::{fleet, peers};
+use crate::provisioning::actor::{ChunkListFetched, Event, ProvisioningActor, ProvisioningContext};
+use crate::provisioning::{fleet, peers};
 
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
--- a/mustardrill_agent/src/stock/fleet.rs
+++ b/mustardrill_agent/src/provisioning/fleet.rs
@@ -17,7 +17,7 @@
 use mustardrill_runtime::http::request;
 use mustardrill_runtime::peer_call::PeerCall;
 
-use crate::stock::actor::ProvisioningContext;
+use crate::provisioning::actor::ProvisioningContext;
 
 /// How long an entry may take to answer, which it does from memory.
 const ENTRY_TIMEOUT: Duration = Duration::from_millis(500);
--- a/mustardrill_agent/src/stock/peers.rs
+++ b/mustardrill_agent/src/provisioning/peers.rs
@@ -15,7 +15,7 @@
 use mustardrill_runtime::peer_call::PeerCall;
 use mustardrill_types::{ChunkIndex, Millis, WeightVersion};
 
-use crate::stock::actor::{
+use crate::provisioning::actor::{
     ChunkListQuery, Event, HoldsChunkQuery, ProvisioningActor, ProvisioningContext,
 };
 
--- a/mustardrill_agent/src/stock/watch.rs
+++ b/mustardrill_agent/src/provisioning/watch.rs
@@ -11,9 +11,9 @@
 use mustardrill_runtime::border::{EngineState, FleetPart, FleetScope, StoreError};
 use mustardrill_types::Millis;
 
-use crate::stock::actor::{BusyQuery, Event, ProvisioningActor, ProvisioningContext};
-use crate::stock::early_chunks::EarlyChunks;
-use crate::stock::fleet;
+use crate::provisioning::actor::{BusyQuery, Event, ProvisioningActor, ProvisioningContext};
+use crate::provisioning::early_chunks::EarlyChunks;
+use crate::provisioning::fleet;
 
 /// The longest delay after the first failed call.
 const FIRST_BACKOFF_LIMIT: Millis = Millis(400);
--- a/mustardrill_agent/tests/engine_notices.rs
+++ b/mustardrill_agent/tests/engine_notices.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 use log::LevelFilter;
-use mustardrill_agent::stock::{self, PlatformAdapters, ProvisioningConfig};
+use mustardrill_agent::provisioning::{self, PlatformAdapters, ProvisioningConfig};
 use mustardrill_core::direct::{
     CallerLimits, EngineNotice, EngineProfile, FleetChange, FleetUpdate, ModelProfile, PeerRecord,
     RouteDocument, ServedWeights, ServiceProfile, WatchTiming,
@@ -238,7 +238,7 @@
         engine: Box::new(LoadingEngine { is_configuration_read, polls: AtomicUsize::new(0) }),
         origin: Box::new(UnavailableOrigin),
     };
-    let agent = stock::spawn(config(free_port()), platform).await.unwrap();
+    let agent = provisioning::spawn(config(free_port()), platform).await.unwrap();
     let mut versions = Vec::new();
     let mut buffer = vec![0; 2_048];
     // Stops once nothing was received for longer than the store's slow answer takes.
--- a/mustardrill_standins/tests/deployment.rs
+++ b/mustardrill_standins/tests/deployment.rs
@@ -79,7 +79,7 @@
 #[test]
 fn the_agents_template_is_right() {
     assert_eq!(rendered("deploy/agent.ini").platform("agent"), PlatformKind::Prepared);
-    let outcome = mustardrill_agent::stock::read(rendered("deploy/agent.ini"));
+    let outcome = mustardrill_agent::provisioning::read(rendered("deploy/agent.ini"));
     assert_eq!(outcome.warnings, []);
     let config = outcome.settings.unwrap();
     assert_eq!(config.settings.own.as_str(), "10.1.0.40");
--- a/mustardrill_standins/tests/docs.rs
+++ b/mustardrill_standins/tests/docs.rs
@@ -42,7 +42,8 @@
 #[test]
 fn every_metric_of_the_prepared_platform_is_listed() {
     let page = read("docs/OPERATIONS.md");
-    let rows = mustardrill_entry::direct::METRICS.iter().chain(&mustardrill_agent::stock::METRICS);
+    let rows =
+        mustardrill_entry::direct::METRICS.iter().chain(&mustardrill_agent::provisioning::METRICS);
     for row in rows {
         assert!(page.contains(row.name), "{}", row.name);
     }
@@ -106,7 +107,7 @@
         "mustardrill_agent/src/config.rs",
         "mustardrill_entry/src/config.rs",
         "mustardrill_runtime/src/config.rs",
-        "mustardrill_agent/src/stock/config.rs",
+        "mustardrill_agent/src/provisioning/config.rs",
         "mustardrill_entry/src/direct/config.rs",
     ] {
         let text = read(source).replace(['\n', ' '], "");
