--- a/mustardrill_entry/src/actor.rs
+++ b/mustardrill_entry/src/actor.rs
@@ -84,7 +84,7 @@
             self.attempts.remove(attempt);
         }
         let gone_request = match &event {
-            EntryEvent::CallerGone(id) => Some(*id),
+            EntryEvent::CallerDisconnected(id) => Some(*id),
             _ => None,
         };
         let now = self.context.clock.now();
@@ -125,7 +125,7 @@
                     io.reject(code, retry_after);
                 }
             }
-            EntryEffect::AskClaim(order) => {
+            EntryEffect::AcquireClaim(order) => {
                 effects::request_claim(self.context.clone(), actor.clone(), order);
             }
             EntryEffect::ReleaseClaim(order) => {
--- a/mustardrill_entry/src/effects.rs
+++ b/mustardrill_entry/src/effects.rs
@@ -58,7 +58,7 @@
 ) {
     tokio::spawn(async move {
         let mut outcome = ClaimOutcome::Unavailable;
-        for coordinator in &order.keepers {
+        for coordinator in &order.coordinators {
             if let Some(answer) = call_coordinator(&context, &order, coordinator, false).await {
                 outcome = answer;
                 break;
@@ -74,7 +74,7 @@
     const ATTEMPTS: usize = 10;
     const RETRY_PAUSE: Millis = Millis(500);
     tokio::spawn(async move {
-        for coordinator in order.keepers.iter().cycle().take(ATTEMPTS) {
+        for coordinator in order.coordinators.iter().cycle().take(ATTEMPTS) {
             if call_coordinator(&context, &order, coordinator, true).await.is_some() {
                 return;
             }
@@ -135,7 +135,7 @@
             return;
         };
         if let Some(document) = catalogue_of(&reply.catalogue, heartbeat.id.as_str()) {
-            let _ = actor.tell(Event(EntryEvent::CatalogueSeen(Arc::new(document)))).await;
+            let _ = actor.tell(Event(EntryEvent::CatalogueReceived(Arc::new(document)))).await;
         }
         let synced = agent_sync_of(context.clock.now(), heartbeat.id, &reply);
         let _ = actor.tell(Event(EntryEvent::Synced(synced))).await;
@@ -180,7 +180,7 @@
         },
         progress: reply.progress.iter().filter_map(progress_of).collect(),
         demand: reply.demand.iter().filter_map(demand_row).collect(),
-        entries: reply.entries,
+        reporting_entries: reply.entries,
         crashes: reply.crashes.iter().filter_map(|row| crash_word(now, row)).collect(),
     }
 }
--- a/mustardrill_standins/tests/deployment.rs
+++ b/mustardrill_standins/tests/deployment.rs
@@ -88,12 +88,12 @@
 #[test]
 fn the_agent_template_gives_the_expected_settings() {
     assert_eq!(render_template("deploy/agent.ini").platform("agent"), PlatformKind::Prepared);
-    let outcome = mustardrill_agent::stock::read(render_template("deploy/agent.ini"));
+    let outcome = mustardrill_agent::provisioning::read(render_template("deploy/agent.ini"));
     assert_eq!(outcome.warnings, []);
     let config = outcome.settings.unwrap();
-    assert_eq!(config.stock.own.as_str(), "10.1.0.40");
+    assert_eq!(config.settings.own.as_str(), "10.1.0.40");
     assert_eq!(config.link_mbps, 7.3);
-    assert!(config.stock.turns.first < config.stock.turns.last);
+    assert!(config.settings.rollout.first < config.settings.rollout.last);
 }
 
 #[test]
