--- a/mustardrill_standins/src/experiment/callers.rs
+++ b/mustardrill_standins/src/experiment/callers.rs
@@ -8,7 +8,7 @@
 use crate::experiment::engine::RunId;
 use crate::experiment::fleet::{HOST, path_of};
 use crate::experiment::pattern::MODEL;
-use crate::experiment::play::{Happening, PatternPlay};
+use crate::experiment::simulation::{Happening, PatternPlay};
 
 /// Sendings of one call that are told apart by their numbers.
 const SENDINGS: u64 = 16;
--- a/mustardrill_standins/src/experiment/account.rs
+++ b/mustardrill_standins/src/experiment/evaluation.rs
@@ -4,8 +4,8 @@
 use mustardrill_types::Millis;
 
 use crate::experiment::call::CallEnd;
-use crate::experiment::play::{PatternPlay, START};
 use crate::experiment::report::{PlayReport, SecondCount};
+use crate::experiment::simulation::{PatternPlay, START};
 
 impl PatternPlay<'_> {
     /// Counts what became of the callers.
--- a/mustardrill_standins/src/experiment/mod.rs
+++ b/mustardrill_standins/src/experiment/mod.rs
@@ -4,19 +4,19 @@
 //! that delay and lose words, engines read prompts between the tokens of others, callers come back
 //! after refusals and leave at their deadlines. Only the engines and the callers are models.
 
-mod account;
 mod call;
 mod callers;
 mod engine;
+mod evaluation;
 mod fleet;
 mod pattern;
-mod play;
 mod report;
+mod simulation;
 
 pub use engine::{EngineEvent, EngineModel, EngineRun, RunId};
 pub use pattern::{CallerKind, DisturbanceKind, LoadPattern, PatternDisturbance};
-pub use play::play;
 pub use report::{KindCount, PlayReport, SecondCount};
+pub use simulation::play;
 
 /// The settings of a plain entry, for plays that bring none of their own.
 pub const PLAIN_ENTRY: &str = "\
