--- a/mustardrill_standins/src/experiment/call.rs
+++ b/mustardrill_standins/src/experiment/call.rs
@@ -1,36 +1,37 @@
-//! A caller of a pattern, from its coming to what it was told.
+//! State of one simulated call, from the caller's arrival to the outcome.
 
 use mustardrill_core::direct::WorkSize;
 use mustardrill_types::{InstanceId, Moment};
 
-/// What became of a call.
+/// The outcome of a call, as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum CallEnd {
+pub(crate) enum CallOutcome {
     InTime,
     Late,
     Refused,
     Failed,
 }
 
-/// One caller's request.
+/// One caller's request, including its retries.
 #[derive(Debug)]
 pub(crate) struct CallState {
     pub(crate) kind: usize,
-    pub(crate) came: Moment,
+    pub(crate) arrived_at: Moment,
     pub(crate) deadline: Moment,
     pub(crate) size: WorkSize,
-    /// The entry that it asks now.
+    /// Index of the entry that the request was last sent to.
     pub(crate) entry: usize,
-    /// How often it may come back yet.
-    pub(crate) returns: u32,
-    /// The attempt under way, from one, and the engine that has it.
+    /// Retries that the caller has left.
+    pub(crate) retries_left: u32,
+    /// Number of the current attempt, counted from one; zero before the first.
     pub(crate) attempt: u32,
+    /// Index and name of the engine that runs the current attempt.
     pub(crate) engine: Option<(usize, InstanceId)>,
-    /// Answer tokens that the caller has yet to get.
+    /// Answer tokens that the caller has not received yet.
     pub(crate) answer_left: u32,
-    /// When its last event came.
+    /// When the caller received the latest event of the answer.
     pub(crate) last_event: Option<Moment>,
-    /// Whether an event came later than it should.
+    /// Whether any event missed the kind's `objective` or `gap`.
     pub(crate) is_late: bool,
-    pub(crate) end: Option<CallEnd>,
+    pub(crate) outcome: Option<CallOutcome>,
 }
--- a/mustardrill_standins/src/experiment/callers.rs
+++ b/mustardrill_standins/src/experiment/callers.rs
@@ -1,75 +1,76 @@
-//! What callers do in a play: come, ask, take events, come back after a refusal, leave.
+//! Behaviour of simulated callers: arrivals, requests, received events, retries and deadlines.
 
 use mustardrill_core::direct::{DirectEvent, DirectRequest, RefusalPlan, RequestNumber, WorkSize};
 use mustardrill_types::{Millis, RequestDigest};
 use rand::Rng;
 
-use crate::experiment::call::{CallEnd, CallState};
+use crate::experiment::call::{CallOutcome, CallState};
 use crate::experiment::engine::RunId;
-use crate::experiment::fleet::{HOST, path_of};
+use crate::experiment::fleet::{HOST, kind_path};
 use crate::experiment::pattern::MODEL;
-use crate::experiment::simulation::{Happening, PatternPlay};
+use crate::experiment::simulation::{PatternSimulation, SimulationEvent};
 
-/// Sendings of one call that are told apart by their numbers.
-const SENDINGS: u64 = 16;
+/// Request numbers reserved for each call, so that its retries have numbers of their own.
+const NUMBERS_PER_CALL: u64 = 16;
 
-/// The call that a sending is of.
-pub(super) fn call_of(number: RequestNumber) -> usize {
-    (number.0 / SENDINGS) as usize
+/// The index of the call that a request number belongs to.
+pub(super) fn call_index(number: RequestNumber) -> usize {
+    (number.0 / NUMBERS_PER_CALL) as usize
 }
 
-impl PatternPlay<'_> {
-    /// The next caller of a kind, after a pause as between independent callers.
+impl PatternSimulation<'_> {
+    /// Schedules the next arrival of a kind; arrivals form a Poisson process at the current rate.
     pub(super) fn schedule_caller(&mut self, kind: usize) {
         let factor = self.pattern.rate_factor(Millis(self.now / 1_000));
         let rate = self.pattern.kinds[kind].rate * factor;
         if rate <= 0.0 {
             return;
         }
-        let lot: f64 = self.callers.random_range(f64::MIN_POSITIVE..1.0);
-        let pause = -lot.ln() / rate * 1e6;
+        let uniform: f64 = self.caller_rng.random_range(f64::MIN_POSITIVE..1.0);
+        let pause = -uniform.ln() / rate * 1e6;
         if self.now + (pause as u64) < self.pattern.span.0 * 1_000 {
-            self.schedule_us(pause as u64, Happening::Comes { kind });
+            self.schedule_us(pause as u64, SimulationEvent::CallerArrives { kind });
         }
     }
 
-    pub(super) fn comes(&mut self, kind: usize) {
+    pub(super) fn handle_arrival(&mut self, kind: usize) {
         let caller = &self.pattern.kinds[kind];
-        let prompt = caller.prompt / 2 + self.callers.random_range(0..=caller.prompt);
+        let prompt = caller.prompt / 2 + self.caller_rng.random_range(0..=caller.prompt);
         let size = WorkSize { prompt_tokens: prompt, answer_tokens: caller.answer };
         let call = self.calls.len();
         self.calls.push(CallState {
             kind,
-            came: self.moment(),
+            arrived_at: self.moment(),
             deadline: self.moment() + caller.deadline,
             size,
-            entry: self.callers.random_range(0..self.entries.len()),
-            returns: caller.returns,
+            entry: self.caller_rng.random_range(0..self.entries.len()),
+            retries_left: caller.returns,
             attempt: 0,
             engine: None,
             answer_left: caller.answer,
             last_event: None,
             is_late: false,
-            end: None,
+            outcome: None,
         });
-        self.schedule(caller.deadline, Happening::Leaves { call });
-        self.schedule(self.pattern.way, Happening::Asks { call });
+        self.schedule(caller.deadline, SimulationEvent::DeadlineReached { call });
+        self.schedule(self.pattern.way, SimulationEvent::RequestSent { call });
         self.schedule_caller(kind);
     }
 
-    pub(super) fn asks(&mut self, call: usize) {
+    pub(super) fn send_request(&mut self, call: usize) {
         let state = &self.calls[call];
-        if state.end.is_some() {
+        if state.outcome.is_some() {
             return;
         }
         let kind = &self.pattern.kinds[state.kind];
-        // A request that ends engines comes again and again; the others differ.
+        // All requests of a kind that crashes engines have the same content, as one request that is
+        // made again and again; the contents of all others differ.
         let content = if kind.ends_engines { state.kind as u64 } else { !(call as u64) };
         let request = DirectRequest {
             number: self.number(call),
             attempt_id: call.to_string().into(),
             host: HOST.into(),
-            path: path_of(state.kind),
+            path: kind_path(state.kind),
             content_digest: RequestDigest::of(&[&content.to_be_bytes()]),
             api_key: None,
             timeout: Some(state.deadline.since(self.moment())),
@@ -81,18 +82,18 @@
         self.reduce(state.entry, DirectEvent::RequestArrived(request));
     }
 
-    /// The number of a call's sending.
+    /// The request number of the current try of a call.
     pub(super) fn number(&self, call: usize) -> RequestNumber {
         let state = &self.calls[call];
-        let sending = self.pattern.kinds[state.kind].returns - state.returns;
-        RequestNumber(call as u64 * SENDINGS + u64::from(sending) % SENDINGS)
+        let retry = self.pattern.kinds[state.kind].returns - state.retries_left;
+        RequestNumber(call as u64 * NUMBERS_PER_CALL + u64::from(retry) % NUMBERS_PER_CALL)
     }
 
-    pub(super) fn leaves(&mut self, call: usize) {
-        if self.calls[call].end.is_some() {
+    pub(super) fn abandon_call(&mut self, call: usize) {
+        if self.calls[call].outcome.is_some() {
             return;
         }
-        self.finish(call, CallEnd::Failed);
+        self.finish_call(call, CallOutcome::Failed);
         let number = self.number(call);
         let state = &self.calls[call];
         let id = RunId { call, attempt: state.attempt };
@@ -103,42 +104,42 @@
         self.reduce(entry, DirectEvent::CallerGone(number));
     }
 
-    pub(super) fn finish(&mut self, call: usize, end: CallEnd) {
-        self.calls[call].end = Some(end);
+    pub(super) fn finish_call(&mut self, call: usize, outcome: CallOutcome) {
+        self.calls[call].outcome = Some(outcome);
     }
 
-    pub(super) fn event_came(&mut self, call: usize) {
-        let seen = self.moment() + self.pattern.way;
+    pub(super) fn receive_event(&mut self, call: usize) {
+        let received_at = self.moment() + self.pattern.way;
         let stride = self.pattern.profile.steps_per_pass;
         let state = &mut self.calls[call];
         let kind = &self.pattern.kinds[state.kind];
         let (since, limit) = match state.last_event {
-            None => (state.came, kind.objective),
+            None => (state.arrived_at, kind.objective),
             Some(last) => (last, kind.gap),
         };
-        state.is_late |= seen.since(since) > limit;
-        state.last_event = Some(seen);
+        state.is_late |= received_at.since(since) > limit;
+        state.last_event = Some(received_at);
         state.answer_left = state.answer_left.saturating_sub(stride).max(1);
     }
 
-    pub(super) fn refused(&mut self, number: RequestNumber, plan: RefusalPlan) {
-        let call = call_of(number);
+    pub(super) fn handle_refusal(&mut self, number: RequestNumber, plan: RefusalPlan) {
+        let call = call_index(number);
         let now = self.moment();
         let state = &mut self.calls[call];
-        if state.end.is_some() {
+        if state.outcome.is_some() {
             return;
         }
         state.engine = None;
-        let left = state.deadline.since(now);
-        if state.last_event.is_some() || state.returns == 0 || left == Millis(0) {
-            let not_run = plan.code.is_not_run() && state.last_event.is_none();
-            let end = if not_run { CallEnd::Refused } else { CallEnd::Failed };
-            return self.finish(call, end);
+        let time_left = state.deadline.since(now);
+        if state.last_event.is_some() || state.retries_left == 0 || time_left == Millis(0) {
+            let is_not_run = plan.code.is_not_run() && state.last_event.is_none();
+            let outcome = if is_not_run { CallOutcome::Refused } else { CallOutcome::Failed };
+            return self.finish_call(call, outcome);
         }
-        state.returns -= 1;
-        // Callers wait no longer than a third of the time that they have left.
-        let pause = plan.retry_after.min(Millis(left.0 / 3)).0 + 2 * self.pattern.way.0;
-        state.entry = self.random.random_range(0..self.entries.len());
-        self.schedule(Millis(pause), Happening::Asks { call });
+        state.retries_left -= 1;
+        // Callers wait at most a third of the time left to their deadline.
+        let pause = plan.retry_after.min(Millis(time_left.0 / 3)).0 + 2 * self.pattern.way.0;
+        state.entry = self.rng.random_range(0..self.entries.len());
+        self.schedule(Millis(pause), SimulationEvent::RequestSent { call });
     }
 }
--- a/mustardrill_standins/src/experiment/engine.rs
+++ b/mustardrill_standins/src/experiment/engine.rs
@@ -1,60 +1,60 @@
-//! A modelled engine: works in passes, reads prompts between the tokens of others.
+//! Model of an engine with continuous batching: each pass decodes running requests and prefills others.
 
 use std::collections::VecDeque;
 
 use mustardrill_core::direct::{EngineForecast, EngineProfile};
 
-/// Which attempt of which call a run is of.
+/// Identifies a run by its call and attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunId {
-    /// The call.
+    /// Index of the call.
     pub call: usize,
-    /// Its attempt, from one.
+    /// Number of the attempt, counted from one.
     pub attempt: u32,
 }
 
-/// A request at an engine.
+/// A request that an engine has queued or runs.
 #[derive(Debug, Clone)]
 pub struct EngineRun {
-    /// The attempt.
+    /// The call and attempt that the run serves.
     pub id: RunId,
-    /// Prompt tokens yet to be read.
+    /// Prompt tokens left to prefill.
     pub prompt_left: u32,
-    /// Answer tokens yet to be written.
+    /// Answer tokens left to decode.
     pub answer_left: u32,
-    /// Whether the engine ends when it begins to write.
+    /// Whether the engine crashes when it would decode the first token.
     pub ends_engine: bool,
 }
 
-/// What an engine does at the end of a pass.
+/// What an engine reports at the end of a pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineEvent {
-    /// It writes an event.
+    /// An event of an answer that continues.
     Event(RunId),
-    /// It writes the last one.
+    /// The last event of an answer.
     Whole(RunId),
-    /// It ends, and everything in it breaks off.
+    /// The engine crashed; all its runs are lost.
     Ended,
 }
 
-/// One engine.
+/// One modelled engine. The simulation starts and finishes its passes.
 #[derive(Debug)]
 pub struct EngineModel {
     profile: EngineProfile,
     chunk: u32,
     waiting: VecDeque<EngineRun>,
     running: Vec<EngineRun>,
-    /// How many times longer its work takes.
+    /// Factor on the duration of each pass; 1.0 is the profile's speed.
     pub pace: f64,
-    /// Whether a pass is under way.
+    /// Whether a pass has started and not finished.
     pub is_busy: bool,
 }
 
-/// Requests that wait in an engine, as a part of its slots.
-const QUEUE_PARTS: u32 = 4;
+/// An engine queues a quarter of its slots' number beyond the requests that it runs.
+const SLOTS_PER_QUEUE_PLACE: u32 = 4;
 
 impl EngineModel {
-    /// An idle engine that reads `chunk` prompt tokens in a step.
+    /// Creates an idle engine that prefills at most `chunk` prompt tokens in a step.
     pub fn new(profile: &EngineProfile, chunk: u32) -> Self {
         Self {
             profile: profile.clone(),
@@ -66,30 +66,30 @@
         }
     }
 
-    /// Takes a request; says whether it has room.
+    /// Queues a request; returns false, and drops it, where slots and queue are full.
     pub fn take(&mut self, run: EngineRun) -> bool {
-        let present = (self.waiting.len() + self.running.len()) as u32;
-        let has_room = present < self.profile.slots + self.profile.slots / QUEUE_PARTS;
+        let run_count = (self.waiting.len() + self.running.len()) as u32;
+        let has_room = run_count < self.profile.slots + self.profile.slots / SLOTS_PER_QUEUE_PLACE;
         if has_room {
             self.waiting.push_back(run);
         }
         has_room
     }
 
-    /// Lets go of a request whose caller is gone.
+    /// Removes a run whose caller has left; does nothing where it has finished.
     pub fn drop_run(&mut self, id: RunId) {
         self.waiting.retain(|run| run.id != id);
         self.running.retain(|run| run.id != id);
     }
 
-    /// Everything in it, which it forgets.
+    /// Removes and returns all runs, queued and running, as a crash loses them.
     pub fn take_all(&mut self) -> Vec<RunId> {
         self.is_busy = false;
         let runs = self.waiting.drain(..).chain(self.running.drain(..));
         runs.map(|run| run.id).collect()
     }
 
-    /// Begins a pass; how long it takes, in milliseconds. Nothing where there is no work.
+    /// Starts a pass and returns its duration in milliseconds; `None` where there is no work.
     pub fn begin_pass(&mut self) -> Option<f64> {
         while self.running.len() < self.profile.slots as usize
             && let Some(run) = self.waiting.pop_front()
@@ -100,23 +100,23 @@
         if !self.is_busy {
             return None;
         }
-        let writers = self.running.iter().filter(|run| run.prompt_left == 0).count() as u32;
+        let decoding = self.running.iter().filter(|run| run.prompt_left == 0).count() as u32;
         let forecast = EngineForecast::new(&self.profile);
-        let writing = if writers > 0 { forecast.pass_ms(writers) } else { 0.0 };
-        let reading = forecast.prefill_ms(self.readable(writers));
-        Some((writing + reading).max(self.profile.step_ms) * self.pace)
+        let decode_ms = if decoding > 0 { forecast.pass_ms(decoding) } else { 0.0 };
+        let prefill_ms = forecast.prefill_ms(self.prefill_tokens(decoding));
+        Some((decode_ms + prefill_ms).max(self.profile.step_ms) * self.pace)
     }
 
-    /// Ends a pass: what was written in it, in the order of the requests.
+    /// Finishes the pass and returns its events, in the order in which the runs were admitted.
     pub fn end_pass(&mut self) -> Vec<EngineEvent> {
-        let writers = self.running.iter().filter(|run| run.prompt_left == 0).count() as u32;
-        let mut readable = self.readable(writers);
+        let decoding = self.running.iter().filter(|run| run.prompt_left == 0).count() as u32;
+        let mut prefill_tokens = self.prefill_tokens(decoding);
         let mut events = Vec::new();
         for run in &mut self.running {
             if run.prompt_left > 0 {
-                let read = run.prompt_left.min(readable);
-                run.prompt_left -= read;
-                readable -= read;
+                let prefilled = run.prompt_left.min(prefill_tokens);
+                run.prompt_left -= prefilled;
+                prefill_tokens -= prefilled;
                 continue;
             }
             if run.ends_engine {
@@ -133,10 +133,10 @@
         events
     }
 
-    /// Prompt tokens that one pass reads beside `writers` that write.
-    fn readable(&self, writers: u32) -> u32 {
-        let steps = if writers > 0 { self.profile.steps_per_pass } else { 1 };
-        let unread = self.running.iter().map(|run| run.prompt_left).sum::<u32>();
-        unread.min(self.chunk * steps)
+    /// Prompt tokens that one pass prefills while `decoding` runs decode.
+    fn prefill_tokens(&self, decoding: u32) -> u32 {
+        let steps = if decoding > 0 { self.profile.steps_per_pass } else { 1 };
+        let pending = self.running.iter().map(|run| run.prompt_left).sum::<u32>();
+        pending.min(self.chunk * steps)
     }
 }
--- a/mustardrill_standins/src/experiment/fleet.rs
+++ b/mustardrill_standins/src/experiment/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of a pattern, as its entries read it from a store.
+//! Fleet records of a pattern, in the form in which entries read them from the store.
 
 use std::sync::Arc;
 
@@ -13,22 +13,21 @@
 
 use crate::experiment::pattern::{LoadPattern, MODEL};
 
-/// The host that all callers ask.
+/// The host that all callers name.
 pub(crate) const HOST: &str = "pattern";
 
-/// Attempts that a route allows.
-const ATTEMPTS: u32 = 2;
+const ATTEMPT_LIMIT: u32 = 2;
 
-pub(crate) fn entry_id(place: usize) -> InstanceId {
-    format!("entry-{place}").parse().expect("a valid name")
+pub(crate) fn entry_id(index: usize) -> InstanceId {
+    format!("entry-{index}").parse().expect("a valid name")
 }
 
-pub(crate) fn engine_id(place: usize) -> InstanceId {
-    format!("engine-{place}").parse().expect("a valid name")
+pub(crate) fn engine_id(index: usize) -> InstanceId {
+    format!("engine-{index}").parse().expect("a valid name")
 }
 
-/// The path of a kind's requests.
-pub(crate) fn path_of(kind: usize) -> Box<str> {
+/// The path that requests of a caller kind have; each kind has a route of its own.
+pub(crate) fn kind_path(kind: usize) -> Box<str> {
     format!("/{kind}/").into()
 }
 
@@ -40,13 +39,17 @@
     "pool".parse().expect("a valid name")
 }
 
-/// An engine's registration.
-pub(crate) fn engine_record(pattern: &LoadPattern, place: usize, start: u64) -> UpstreamRecord {
+/// The registration of an engine's incarnation.
+pub(crate) fn engine_record(
+    pattern: &LoadPattern,
+    index: usize,
+    incarnation: u64,
+) -> UpstreamRecord {
     let model = MODEL.parse().expect("a valid name");
-    let [high, low] = ((place % 60_000) as u16).to_be_bytes();
+    let [high, low] = ((index % 60_000) as u16).to_be_bytes();
     UpstreamRecord {
-        id: engine_id(place),
-        start: StartStamp(start),
+        id: engine_id(index),
+        start: StartStamp(incarnation),
         service: service(),
         address: ([10, 0, high, low], 8_000).into(),
         data_centre: data_centre(),
@@ -56,19 +59,19 @@
     }
 }
 
-/// Everything that an entry reads at its start.
-pub(crate) fn first_page(pattern: &LoadPattern) -> FleetUpdate {
-    let peers = (0..pattern.entries as usize).map(|place| {
+/// The first update that an entry reads: routes, engines and peer entries.
+pub(crate) fn initial_update(pattern: &LoadPattern) -> FleetUpdate {
+    let peers = (0..pattern.entries as usize).map(|index| {
         FleetChange::Peer(PeerRecord {
-            id: entry_id(place),
+            id: entry_id(index),
             address: ([10, 1, 0, 1], 7_700).into(),
             data_centre: data_centre(),
             link_mbps: 1_000,
         })
     });
     let engines = (0..pattern.engines as usize)
-        .map(|place| FleetChange::Upstream(engine_record(pattern, place, 1)));
-    let document = FleetChange::Configured(Arc::new(document(pattern)));
+        .map(|index| FleetChange::Upstream(engine_record(pattern, index, 1)));
+    let document = FleetChange::Configured(Arc::new(route_document(pattern)));
     let changes = std::iter::once(document).chain(engines).chain(peers).collect();
     FleetUpdate {
         changes,
@@ -78,18 +81,18 @@
     }
 }
 
-fn document(pattern: &LoadPattern) -> RouteDocument {
-    let route = |(place, kind): (usize, &crate::experiment::CallerKind)| RouteRule {
+fn route_document(pattern: &LoadPattern) -> RouteDocument {
+    let route = |(index, kind): (usize, &crate::experiment::CallerKind)| RouteRule {
         name: kind.name.clone(),
         host: HOST.into(),
-        prefix: path_of(place),
+        prefix: kind_path(index),
         traffic_split: vec![(service(), 1)],
         repeat_rule: RepeatRule::StreamResumable,
         timeout: kind.deadline,
         objective: kind.objective,
         event_gap: kind.gap,
         priority: kind.priority,
-        attempt_limit: ATTEMPTS,
+        attempt_limit: ATTEMPT_LIMIT,
         is_public: true,
     };
     let routes = pattern.kinds.iter().enumerate().map(route).collect();
--- a/mustardrill_standins/src/experiment/mod.rs
+++ b/mustardrill_standins/src/experiment/mod.rs
@@ -1,8 +1,9 @@
-//! Plays load patterns on the entries' real reducers against modelled engines, in seconds.
+//! Discrete-event simulation of a load pattern: the entries' real reducers against modelled engines.
 //!
-//! Discrete events, seeded, one thread, no processes: entries tell each other their load over ways
-//! that delay and lose words, engines read prompts between the tokens of others, callers come back
-//! after refusals and leave at their deadlines. Only the engines and the callers are models.
+//! Seeded, single-threaded and without processes, so that a run takes seconds. Entries broadcast their
+//! load over links that delay and lose messages, engines prefill prompts between the decoding steps of
+//! other requests, and callers retry after refusals and leave at their deadlines. Only the engines and
+//! the callers are modelled.
 
 mod call;
 mod callers;
@@ -18,7 +19,9 @@
 pub use report::{KindCount, PlayReport, SecondCount};
 pub use simulation::play;
 
-/// The settings of a plain entry, for plays that bring none of their own.
+/// Settings of an entry for simulations without a settings file; all other keys have their defaults.
+///
+/// Nothing listens at these addresses.
 pub const PLAIN_ENTRY: &str = "\
 [entry]
 platform = prepared
--- a/mustardrill_standins/src/experiment/pattern.rs
+++ b/mustardrill_standins/src/experiment/pattern.rs
@@ -1,4 +1,4 @@
-//! A load pattern: who asks for what, of which fleet, and what goes wrong meanwhile.
+//! Load patterns: kinds of callers, the fleet that serves them, and disturbances meanwhile.
 
 use std::str::FromStr;
 
@@ -7,84 +7,84 @@
 use mustardrill_runtime::settings::{SettingsOutcome, SettingsReader};
 use mustardrill_types::{Millis, ModelName};
 
-/// The model that all callers ask for.
+/// The only model of a pattern; all callers request it.
 pub(crate) const MODEL: &str = "m0";
 
-/// A pattern as its file says it.
+/// A load pattern, read from a file such as `deploy/patterns/burst.ini`.
 #[derive(Debug, Clone)]
 pub struct LoadPattern {
-    /// How long callers come.
+    /// How long callers keep arriving; the simulation goes on until their calls end.
     pub span: Millis,
-    /// Entries, asked evenly.
+    /// Number of entries; each caller picks one at random.
     pub entries: u32,
-    /// Engines, all alike.
+    /// Number of engines, all with the same profile.
     pub engines: u32,
-    /// How an engine works.
+    /// Speed and slots of each engine; load times and mean sizes are derived from the pattern.
     pub profile: EngineProfile,
-    /// Prompt tokens that an engine reads in one step.
+    /// Prompt tokens that an engine prefills at most in one step.
     pub chunk: u32,
-    /// The way of a word, a request or an event, each way.
+    /// One-way delay of every message, request and event.
     pub way: Millis,
-    /// The share of words between entries that are lost.
+    /// Share of messages between entries that are lost, from 0 to 1.
     pub word_loss: f64,
-    /// Who calls.
+    /// The kinds of callers, at least one.
     pub kinds: Vec<CallerKind>,
-    /// What goes wrong.
+    /// The disturbances, each with a start and a duration.
     pub disturbances: Vec<PatternDisturbance>,
 }
 
-/// Callers of one kind.
+/// Callers with the same rate, request sizes and limits: a section `[kind NAME]`.
 #[derive(Debug, Clone)]
 pub struct CallerKind {
-    /// Its name.
+    /// The name in the section's title.
     pub name: Box<str>,
-    /// Requests a second.
+    /// Mean arrivals per second.
     pub rate: f64,
-    /// Mean tokens of a prompt; each is between half and one and a half of that.
+    /// Mean prompt tokens; each prompt has between 0.5 and 1.5 times as many.
     pub prompt: u32,
-    /// Tokens of an answer.
+    /// Tokens of each answer.
     pub answer: u32,
-    /// Within this the first event is in time.
+    /// The first event is late after this time.
     pub objective: Millis,
-    /// The longest pause between events that is in time.
+    /// An event is late when it comes this long after the event before it.
     pub gap: Millis,
-    /// When a caller leaves.
+    /// The caller leaves this long after its arrival.
     pub deadline: Millis,
-    /// The rank; zero is the most urgent.
+    /// Priority from 0, the most urgent, to 9.
     pub priority: u8,
-    /// How often a caller comes back.
+    /// How often a caller retries after a refusal.
     pub returns: u32,
-    /// Whether each engine that begins to run such a request ends.
+    /// Whether such a request crashes each engine that starts to answer it.
     pub ends_engines: bool,
 }
 
-/// Something that goes wrong for a while.
+/// A temporary change of the load or of some engines: a section `[disturbance NAME]`.
 #[derive(Debug, Clone)]
 pub struct PatternDisturbance {
-    /// Its name.
+    /// The name in the section's title.
     pub name: Box<str>,
-    /// What.
+    /// What changes.
     pub kind: DisturbanceKind,
-    /// When it begins.
+    /// Start, counted from the start of the pattern.
     pub at: Millis,
-    /// How long it lasts.
+    /// Duration.
     pub span: Millis,
-    /// The share of the engines that it concerns.
+    /// Share of the engines affected, from 0 to 1, chosen at random; no effect on a burst.
     pub share: f64,
-    /// How strong it is: so many times the requests, or the time that work takes.
+    /// Factor on the request rate (burst) or on the duration of the engines' passes (slow).
     pub factor: f64,
 }
 
-/// What goes wrong.
+/// The kinds of disturbances.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum DisturbanceKind {
-    /// More requests come.
+    /// The request rate of all kinds is multiplied by the factor.
     #[display("burst")]
     Burst,
-    /// Engines end, and start again at its end.
+    /// Engines crash, and start again when the disturbance ends.
     #[display("crash")]
     Crash,
-    /// Engines take longer.
+    /// Passes of the affected engines take longer by the factor.
     #[display("slow")]
     Slow,
 }
@@ -103,7 +103,7 @@
 }
 
 impl LoadPattern {
-    /// Reads and checks a pattern.
+    /// Reads and checks a pattern; the outcome lists every fault by file, line and key.
     pub fn read(mut reader: SettingsReader) -> SettingsOutcome<Self> {
         let kinds: Vec<_> = reader
             .sections("kind ")
@@ -131,22 +131,22 @@
         reader.finish(pattern)
     }
 
-    /// Requests a second at a moment of the pattern.
+    /// The factor on all request rates at a moment: the product of the active bursts.
     pub(crate) fn rate_factor(&self, at: Millis) -> f64 {
         let bursts = self.disturbances.iter().filter(|it| it.kind == DisturbanceKind::Burst);
-        bursts.filter(|it| it.is_on(at)).map(|it| it.factor).product()
+        bursts.filter(|it| it.is_active(at)).map(|it| it.factor).product()
     }
 
-    /// The engines that run at a moment, each slow one as the part that it does.
-    pub(crate) fn engines_at(&self, at: Millis) -> f64 {
-        let lost = |it: &PatternDisturbance| match it.kind {
+    /// The engines running at a moment, a slow one counted by its remaining speed.
+    pub(crate) fn effective_engines(&self, at: Millis) -> f64 {
+        let lost_share = |it: &PatternDisturbance| match it.kind {
             DisturbanceKind::Crash => it.share,
             DisturbanceKind::Slow => it.share * (1.0 - 1.0 / it.factor.max(1.0)),
             DisturbanceKind::Burst => 0.0,
         };
-        let on = self.disturbances.iter().filter(|it| it.is_on(at));
-        let left = on.map(|it| 1.0 - lost(it)).product::<f64>();
-        f64::from(self.engines) * left
+        let active = self.disturbances.iter().filter(|it| it.is_active(at));
+        let remaining = active.map(|it| 1.0 - lost_share(it)).product::<f64>();
+        f64::from(self.engines) * remaining
     }
 }
 
@@ -181,7 +181,7 @@
         }
     }
 
-    pub(crate) fn is_on(&self, at: Millis) -> bool {
+    pub(crate) fn is_active(&self, at: Millis) -> bool {
         self.at <= at && at < Millis(self.at.0 + self.span.0)
     }
 }
--- a/mustardrill_standins/src/experiment/report.rs
+++ b/mustardrill_standins/src/experiment/report.rs
@@ -1,49 +1,49 @@
-//! What a play of a pattern came to.
+//! The report of a simulated load pattern.
 
 use mustardrill_types::FastMap;
 use serde::Serialize;
 
-/// What became of requests, by what their callers saw.
+/// Numbers of calls by outcome, as the callers saw it.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct KindCount {
-    /// Callers that came.
+    /// Calls made; the sum of the outcomes below.
     pub asked: u32,
-    /// Whole answers in time.
+    /// Complete answers with every event in time.
     pub in_time: u32,
-    /// Whole answers that were late.
+    /// Complete answers with at least one late event.
     pub late: u32,
-    /// Told that it was not run, for good.
+    /// Refused as not run, with no retry left.
     pub refused: u32,
-    /// Everything else.
+    /// All others: abandoned at the deadline, broken off, or refused after the answer started.
     pub failed: u32,
 }
 
-/// One second of a play.
+/// The calls that arrived in one second of a simulation.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Serialize)]
 pub struct SecondCount {
-    /// What became of those that came in it.
+    /// Their outcomes, whenever those were reached.
     pub count: KindCount,
-    /// What all engines could answer in time, at most.
+    /// Upper bound on answers in time, from the calls and the engines' capacity in this second.
     pub bound: f64,
 }
 
-/// One play.
+/// The result of one simulation.
 #[derive(Debug, Default, Clone, Serialize)]
 pub struct PlayReport {
-    /// By kind of caller.
+    /// Outcomes by the name of the caller kind.
     pub kinds: FastMap<Box<str>, KindCount>,
-    /// By the second in which callers came.
+    /// Outcomes by the second of arrival.
     pub seconds: Vec<SecondCount>,
-    /// Engines that ended under a request.
+    /// Engine crashes caused by a request; crashes of a disturbance are not counted.
     pub engines_ended: u32,
-    /// Requests that engines turned away.
+    /// Attempts rejected by engines whose slots and queue were full.
     pub turned_away: u32,
-    /// Attempts beyond the first of their request.
+    /// Attempts beyond the first of their call.
     pub repeats: u32,
 }
 
 impl PlayReport {
-    /// What became of all.
+    /// The sum over all kinds of callers.
     pub fn total(&self) -> KindCount {
         self.kinds.values().fold(KindCount::default(), |sum, count| KindCount {
             asked: sum.asked + count.asked,
@@ -54,17 +54,17 @@
         })
     }
 
-    /// What could be answered in time, at most, of all that came.
+    /// The sum of the bounds of all seconds.
     pub fn bound(&self) -> f64 {
         self.seconds.iter().map(|second| second.bound).sum()
     }
 
-    /// The answers in time, as a part of what was possible.
+    /// Answers in time divided by their upper bound; a little above 1 where answers end after the span.
     pub fn goodput(&self) -> f64 {
         f64::from(self.total().in_time) / self.bound().max(1.0)
     }
 
-    /// The least share of a kind that was answered, against that of all.
+    /// The lowest share of complete answers of any kind, divided by the share over all kinds; at most 1.
     pub fn fairness(&self) -> f64 {
         let share = |count: &KindCount| {
             f64::from(count.in_time + count.late) / f64::from(count.asked.max(1))
--- a/mustardrill_standins/src/experiment/simulation.rs
+++ b/mustardrill_standins/src/experiment/simulation.rs
@@ -1,4 +1,4 @@
-//! One play of a pattern: the events, in the order of time.
+//! The simulation loop: processes the events of a load pattern in order of time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,54 +13,55 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
-use crate::experiment::call::{CallEnd, CallState};
-use crate::experiment::callers::call_of;
+use crate::experiment::call::{CallOutcome, CallState};
+use crate::experiment::callers::call_index;
 use crate::experiment::engine::{EngineEvent, EngineModel, EngineRun, RunId};
-use crate::experiment::fleet::{engine_record, entry_id, first_page};
+use crate::experiment::fleet::{engine_record, entry_id, initial_update};
 use crate::experiment::pattern::{DisturbanceKind, LoadPattern};
 use crate::experiment::report::PlayReport;
 
-/// When a play begins on the entries' clocks.
+/// Time on the entries' clocks at which a simulation starts.
 pub(super) const START: Moment = Moment(1_000_000);
 
-/// How often an entry looks at its load.
-const LOOK_EVERY: Millis = Millis(10);
+/// How often an entry broadcasts its load to its peers.
+const BROADCAST_INTERVAL: Millis = Millis(10);
 
-/// How long a machine has no engine after one has ended under a request.
-const RESTART: Millis = Millis(3_000);
+/// How long a machine has no engine after a request has crashed it.
+const RESTART_DELAY: Millis = Millis(3_000);
 
-/// How long a play goes on after the last caller came.
-const TAIL: Millis = Millis(8_000);
+/// How long a simulation goes on after the last arrival, for calls to end.
+const DRAIN_SPAN: Millis = Millis(8_000);
 
-/// Plays a pattern. The callers are the same for each `seed`, whatever the settings.
+/// Simulates a pattern. A seed gives the same callers whatever the settings, so that the results of
+/// different settings can be compared.
 pub fn play(pattern: &LoadPattern, settings: &DirectSettings, seed: u64) -> PlayReport {
-    let mut play = PatternPlay::new(pattern, settings, seed);
-    play.run();
-    play.into_report()
+    let mut simulation = PatternSimulation::new(pattern, settings, seed);
+    simulation.run();
+    simulation.into_report()
 }
 
-/// Something that happens at a moment.
+/// A scheduled event. Indices refer to the lists of the simulation and the pattern.
 #[derive(Debug)]
-pub(super) enum Happening {
-    Comes { kind: usize },
-    Asks { call: usize },
-    Leaves { call: usize },
-    Reaches { engine: usize, run: EngineRun },
-    PassEnds { engine: usize, start: u64 },
-    Told { id: RunId, news: AttemptNews },
-    Looks { entry: usize },
-    Heard { entry: usize, load: PeerLoad },
-    CrashHeard { entry: usize, word: CrashReport },
-    Wakes { entry: usize },
-    Begins { place: usize },
-    Ends { place: usize },
-    Starts { engine: usize },
-    Registered { engine: usize },
+pub(super) enum SimulationEvent {
+    CallerArrives { kind: usize },
+    RequestSent { call: usize },
+    DeadlineReached { call: usize },
+    RunArrives { engine: usize, run: EngineRun },
+    PassEnds { engine: usize, incarnation: u64 },
+    AttemptReported { id: RunId, report: AttemptReport },
+    BroadcastDue { entry: usize },
+    PeerLoadArrives { entry: usize, load: PeerLoad },
+    CrashReportArrives { entry: usize, report: CrashReport },
+    TimerFires { entry: usize },
+    DisturbanceStarts { index: usize },
+    DisturbanceEnds { index: usize },
+    EngineStarts { engine: usize },
+    EngineRegistered { engine: usize },
 }
 
-/// What an entry learns of an attempt.
+/// What an engine or its machine reports to an entry about an attempt.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum AttemptNews {
+pub(super) enum AttemptReport {
     Event,
     Whole,
     Full,
@@ -70,113 +71,117 @@
 
 pub(super) struct EntryState {
     reducer: DirectReducer,
-    teller: LoadBroadcaster,
+    broadcaster: LoadBroadcaster,
 }
 
 pub(super) struct EngineState {
     pub(super) model: EngineModel,
-    start: u64,
+    incarnation: u64,
     is_up: bool,
 }
 
-pub(super) struct PatternPlay<'a> {
+pub(super) struct PatternSimulation<'a> {
     pub(super) pattern: &'a LoadPattern,
-    /// Microseconds since the start.
+    /// Microseconds since the start of the simulation.
     pub(super) now: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: FastMap<u64, Happening>,
-    next: u64,
-    /// Decides on callers alone, so that they are the same under other settings.
-    pub(super) callers: StdRng,
-    pub(super) random: StdRng,
+    events: FastMap<u64, SimulationEvent>,
+    last_number: u64,
+    /// Draws arrivals and request sizes only, so that the callers do not depend on the settings.
+    pub(super) caller_rng: StdRng,
+    pub(super) rng: StdRng,
     pub(super) entries: Vec<EntryState>,
     pub(super) engines: Vec<EngineState>,
-    /// The engines that each disturbance concerns.
-    concerned: Vec<Vec<usize>>,
+    /// Indices of the engines that each disturbance affects, while it is active.
+    affected_engines: Vec<Vec<usize>>,
     pub(super) calls: Vec<CallState>,
     pub(super) report: PlayReport,
 }
 
-impl<'a> PatternPlay<'a> {
+impl<'a> PatternSimulation<'a> {
     fn new(pattern: &'a LoadPattern, settings: &DirectSettings, seed: u64) -> Self {
-        let entry = |place: usize| {
-            let settings = DirectSettings { own_id: entry_id(place), ..settings.clone() };
-            let mut reducer = DirectReducer::new(settings, seed.wrapping_add(place as u64));
-            reducer.reduce(START, DirectEvent::StoreAnswered(first_page(pattern), START));
-            EntryState { reducer, teller: LoadBroadcaster::default() }
+        let entry = |index: usize| {
+            let settings = DirectSettings { own_id: entry_id(index), ..settings.clone() };
+            let mut reducer = DirectReducer::new(settings, seed.wrapping_add(index as u64));
+            reducer.reduce(START, DirectEvent::StoreAnswered(initial_update(pattern), START));
+            EntryState { reducer, broadcaster: LoadBroadcaster::default() }
         };
         let engine = |_| EngineState {
             model: EngineModel::new(&pattern.profile, pattern.chunk),
-            start: 1,
+            incarnation: 1,
             is_up: true,
         };
-        let mut play = Self {
+        let mut simulation = Self {
             pattern,
             now: 0,
             queue: BinaryHeap::new(),
-            happenings: FastMap::default(),
-            next: 0,
-            callers: StdRng::seed_from_u64(seed),
-            random: StdRng::seed_from_u64(!seed),
+            events: FastMap::default(),
+            last_number: 0,
+            caller_rng: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(!seed),
             entries: (0..pattern.entries as usize).map(entry).collect(),
             engines: (0..pattern.engines).map(engine).collect(),
-            concerned: vec![Vec::new(); pattern.disturbances.len()],
+            affected_engines: vec![Vec::new(); pattern.disturbances.len()],
             calls: Vec::new(),
             report: PlayReport::default(),
         };
-        play.prepare();
-        play
+        simulation.schedule_initial();
+        simulation
     }
 
-    fn prepare(&mut self) {
+    fn schedule_initial(&mut self) {
         for kind in 0..self.pattern.kinds.len() {
             self.schedule_caller(kind);
         }
         for entry in 0..self.entries.len() {
-            // Spread, as processes don't look in step.
-            let first = entry as u64 % LOOK_EVERY.0;
-            self.schedule(Millis(first), Happening::Looks { entry });
+            // Staggered, as separate processes do not broadcast in step.
+            let first = entry as u64 % BROADCAST_INTERVAL.0;
+            self.schedule(Millis(first), SimulationEvent::BroadcastDue { entry });
         }
-        for (place, disturbance) in self.pattern.disturbances.iter().enumerate() {
-            self.schedule(disturbance.at, Happening::Begins { place });
-            let ends = Millis(disturbance.at.0 + disturbance.span.0);
-            self.schedule(ends, Happening::Ends { place });
+        for (index, disturbance) in self.pattern.disturbances.iter().enumerate() {
+            self.schedule(disturbance.at, SimulationEvent::DisturbanceStarts { index });
+            let end = Millis(disturbance.at.0 + disturbance.span.0);
+            self.schedule(end, SimulationEvent::DisturbanceEnds { index });
         }
     }
 
     fn run(&mut self) {
-        let end = (self.pattern.span.0 + TAIL.0) * 1_000;
+        let end = (self.pattern.span.0 + DRAIN_SPAN.0) * 1_000;
         while let Some(Reverse((at, number))) = self.queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            if let Some(happening) = self.happenings.remove(&number) {
-                self.happen(happening);
+            if let Some(event) = self.events.remove(&number) {
+                self.handle_event(event);
             }
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Comes { kind } => self.comes(kind),
-            Happening::Asks { call } => self.asks(call),
-            Happening::Leaves { call } => self.leaves(call),
-            Happening::Reaches { engine, run } => self.reaches(engine, run),
-            Happening::PassEnds { engine, start } => self.pass_ends(engine, start),
-            Happening::Told { id, news } => self.told(id, news),
-            Happening::Looks { entry } => self.looks(entry),
-            Happening::Heard { entry, load } => {
+    fn handle_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::CallerArrives { kind } => self.handle_arrival(kind),
+            SimulationEvent::RequestSent { call } => self.send_request(call),
+            SimulationEvent::DeadlineReached { call } => self.abandon_call(call),
+            SimulationEvent::RunArrives { engine, run } => self.deliver_run(engine, run),
+            SimulationEvent::PassEnds { engine, incarnation } => {
+                self.finish_pass(engine, incarnation)
+            }
+            SimulationEvent::AttemptReported { id, report } => {
+                self.handle_attempt_report(id, report)
+            }
+            SimulationEvent::BroadcastDue { entry } => self.broadcast_load(entry),
+            SimulationEvent::PeerLoadArrives { entry, load } => {
                 self.reduce(entry, DirectEvent::PeerLoadReceived(load))
             }
-            Happening::CrashHeard { entry, word } => {
-                self.reduce(entry, DirectEvent::CrashReportReceived(word));
+            SimulationEvent::CrashReportArrives { entry, report } => {
+                self.reduce(entry, DirectEvent::CrashReportReceived(report));
             }
-            Happening::Wakes { entry } => self.reduce(entry, DirectEvent::TimerFired),
-            Happening::Begins { place } => self.begins(place),
-            Happening::Ends { place } => self.ends(place),
-            Happening::Starts { engine } => self.starts(engine),
-            Happening::Registered { engine } => self.registered(engine),
+            SimulationEvent::TimerFires { entry } => self.reduce(entry, DirectEvent::TimerFired),
+            SimulationEvent::DisturbanceStarts { index } => self.start_disturbance(index),
+            SimulationEvent::DisturbanceEnds { index } => self.end_disturbance(index),
+            SimulationEvent::EngineStarts { engine } => self.start_engine(engine),
+            SimulationEvent::EngineRegistered { engine } => self.register_engine(engine),
         }
     }
 
@@ -184,14 +189,14 @@
         START + Millis(self.now / 1_000)
     }
 
-    pub(super) fn schedule(&mut self, after: Millis, happening: Happening) {
-        self.schedule_us(after.0 * 1_000, happening);
+    pub(super) fn schedule(&mut self, after: Millis, event: SimulationEvent) {
+        self.schedule_us(after.0 * 1_000, event);
     }
 
-    pub(super) fn schedule_us(&mut self, after: u64, happening: Happening) {
-        self.next += 1;
-        self.happenings.insert(self.next, happening);
-        self.queue.push(Reverse((self.now + after, self.next)));
+    pub(super) fn schedule_us(&mut self, after: u64, event: SimulationEvent) {
+        self.last_number += 1;
+        self.events.insert(self.last_number, event);
+        self.queue.push(Reverse((self.now + after, self.last_number)));
     }
 
     pub(super) fn reduce(&mut self, entry: usize, event: DirectEvent) {
@@ -199,12 +204,13 @@
         for effect in self.entries[entry].reducer.reduce(now, event) {
             match effect {
                 DirectEffect::Send(number, plan) => self.send(number, &plan),
-                DirectEffect::Refuse(number, plan) => self.refused(number, plan),
+                DirectEffect::Refuse(number, plan) => self.handle_refusal(number, plan),
                 DirectEffect::SetTimer(at) => {
                     let pause = at.since(now).0.max(1);
-                    self.schedule(Millis(pause), Happening::Wakes { entry });
+                    self.schedule(Millis(pause), SimulationEvent::TimerFires { entry });
                 }
-                // A play knows one version of the weights.
+                // Withdrawals, notices and stored quarantines have no receiver here: there are no
+                // agents and no store, and one version of the weights.
                 DirectEffect::Withdraw(_)
                 | DirectEffect::ForwardFailure(_)
                 | DirectEffect::NotifyAgents(..)
@@ -215,132 +221,138 @@
     }
 
     fn send(&mut self, number: RequestNumber, plan: &SendPlan) {
-        let call = call_of(number);
-        let Some(engine) = self.place_of(&plan.upstream) else { return };
+        let call = call_index(number);
+        let Some(engine) = self.engine_index(&plan.upstream) else { return };
         let state = &mut self.calls[call];
         state.attempt += 1;
         state.engine = Some((engine, plan.upstream.clone()));
         self.report.repeats += u32::from(state.attempt > 1);
-        let written = state.size.answer_tokens - state.answer_left;
+        let delivered_tokens = state.size.answer_tokens - state.answer_left;
         let run = EngineRun {
             id: RunId { call, attempt: state.attempt },
-            // What was written before is read again.
-            prompt_left: state.size.prompt_tokens + written,
+            // The engine also prefills the part of the answer that earlier attempts delivered.
+            prompt_left: state.size.prompt_tokens + delivered_tokens,
             answer_left: state.answer_left,
             ends_engine: self.pattern.kinds[state.kind].ends_engines,
         };
-        self.schedule(self.pattern.way, Happening::Reaches { engine, run });
+        self.schedule(self.pattern.way, SimulationEvent::RunArrives { engine, run });
     }
 
-    fn place_of(&self, upstream: &InstanceId) -> Option<usize> {
+    fn engine_index(&self, upstream: &InstanceId) -> Option<usize> {
         upstream.as_str().rsplit('-').next()?.parse().ok()
     }
 
-    fn reaches(&mut self, engine: usize, run: EngineRun) {
+    fn deliver_run(&mut self, engine: usize, run: EngineRun) {
         let id = run.id;
-        if !self.is_awaited(id) {
+        if !self.is_current(id) {
             return;
         }
         let state = &mut self.engines[engine];
         if !state.is_up {
-            return self.tell(id, AttemptNews::NotSent);
+            return self.report_attempt(id, AttemptReport::NotSent);
         }
         if !state.model.take(run) {
             self.report.turned_away += 1;
-            return self.tell(id, AttemptNews::Full);
+            return self.report_attempt(id, AttemptReport::Full);
         }
         if !state.model.is_busy {
             self.begin_pass(engine);
         }
     }
 
-    fn is_awaited(&self, id: RunId) -> bool {
+    fn is_current(&self, id: RunId) -> bool {
         let state = &self.calls[id.call];
-        state.end.is_none() && state.attempt == id.attempt
+        state.outcome.is_none() && state.attempt == id.attempt
     }
 
     fn begin_pass(&mut self, engine: usize) {
         let state = &mut self.engines[engine];
-        let start = state.start;
+        let incarnation = state.incarnation;
         if let Some(span_ms) = state.model.begin_pass() {
-            self.schedule_us((span_ms * 1e3) as u64, Happening::PassEnds { engine, start });
+            self.schedule_us(
+                (span_ms * 1e3) as u64,
+                SimulationEvent::PassEnds { engine, incarnation },
+            );
         }
     }
 
-    fn pass_ends(&mut self, engine: usize, start: u64) {
+    fn finish_pass(&mut self, engine: usize, incarnation: u64) {
         let state = &mut self.engines[engine];
-        if !state.is_up || state.start != start {
+        if !state.is_up || state.incarnation != incarnation {
             return;
         }
         for event in state.model.end_pass() {
             match event {
-                EngineEvent::Event(id) => self.tell(id, AttemptNews::Event),
-                EngineEvent::Whole(id) => self.tell(id, AttemptNews::Whole),
+                EngineEvent::Event(id) => self.report_attempt(id, AttemptReport::Event),
+                EngineEvent::Whole(id) => self.report_attempt(id, AttemptReport::Whole),
                 EngineEvent::Ended => {
                     self.report.engines_ended += 1;
-                    self.end_engine(engine);
-                    return self.schedule(RESTART, Happening::Starts { engine });
+                    self.crash_engine(engine);
+                    return self.schedule(RESTART_DELAY, SimulationEvent::EngineStarts { engine });
                 }
             }
         }
         self.begin_pass(engine);
     }
 
-    fn end_engine(&mut self, engine: usize) {
+    fn crash_engine(&mut self, engine: usize) {
         let state = &mut self.engines[engine];
         state.is_up = false;
-        state.start += 1;
+        state.incarnation += 1;
         for id in state.model.take_all() {
-            self.tell(id, AttemptNews::Crashed);
+            self.report_attempt(id, AttemptReport::Crashed);
         }
     }
 
-    fn starts(&mut self, engine: usize) {
+    fn start_engine(&mut self, engine: usize) {
         self.engines[engine].is_up = true;
-        self.schedule(self.pattern.way, Happening::Registered { engine });
+        self.schedule(self.pattern.way, SimulationEvent::EngineRegistered { engine });
     }
 
-    fn registered(&mut self, engine: usize) {
-        let record = engine_record(self.pattern, engine, self.engines[engine].start);
+    fn register_engine(&mut self, engine: usize) {
+        let record = engine_record(self.pattern, engine, self.engines[engine].incarnation);
         let now = self.moment();
         for entry in 0..self.entries.len() {
             let changes = vec![FleetChange::Upstream(record.clone())];
-            let page = FleetUpdate {
+            let update = FleetUpdate {
                 changes,
                 revision: StoreRevision(1),
                 is_snapshot: false,
                 ..FleetUpdate::default()
             };
-            self.reduce(entry, DirectEvent::StoreAnswered(page, now));
+            self.reduce(entry, DirectEvent::StoreAnswered(update, now));
         }
     }
 
-    /// Lets an entry learn of an attempt, a way later.
-    fn tell(&mut self, id: RunId, news: AttemptNews) {
-        self.schedule(self.pattern.way, Happening::Told { id, news });
+    /// Reports to the entry of an attempt, after the one-way delay.
+    fn report_attempt(&mut self, id: RunId, report: AttemptReport) {
+        self.schedule(self.pattern.way, SimulationEvent::AttemptReported { id, report });
     }
 
-    fn told(&mut self, id: RunId, news: AttemptNews) {
-        if !self.is_awaited(id) {
+    fn handle_attempt_report(&mut self, id: RunId, report: AttemptReport) {
+        if !self.is_current(id) {
             return;
         }
         let number = self.number(id.call);
         let entry = self.calls[id.call].entry;
-        let outcome = match news {
-            AttemptNews::Event => {
-                let answering = DirectEvent::AnswerStarted(number, None, Some(WeightVersion(1)));
-                self.reduce(entry, answering);
-                return self.event_came(id.call);
+        let outcome = match report {
+            AttemptReport::Event => {
+                let event = DirectEvent::AnswerStarted(number, None, Some(WeightVersion(1)));
+                self.reduce(entry, event);
+                return self.receive_event(id.call);
             }
-            AttemptNews::Whole => {
-                self.event_came(id.call);
-                let late = self.calls[id.call].is_late;
-                self.finish(id.call, if late { CallEnd::Late } else { CallEnd::InTime });
+            AttemptReport::Whole => {
+                self.receive_event(id.call);
+                let is_late = self.calls[id.call].is_late;
+                self.finish_call(
+                    id.call,
+                    if is_late { CallOutcome::Late } else { CallOutcome::InTime },
+                );
                 AttemptOutcome::Whole
             }
-            AttemptNews::Full => AttemptOutcome::Full,
-            AttemptNews::NotSent => AttemptOutcome::NotSent,
-            AttemptNews::Crashed => {
+            AttemptReport::Full => AttemptOutcome::Full,
+            AttemptReport::NotSent => AttemptOutcome::NotSent,
+            AttemptReport::Crashed => {
                 let delivered = self.calls[id.call].last_event.is_some();
                 AttemptOutcome::Lost { delivered, crashed: true }
             }
@@ -349,55 +361,58 @@
         self.reduce(entry, DirectEvent::AttemptEnded(number, outcome));
     }
 
-    fn looks(&mut self, entry: usize) {
+    fn broadcast_load(&mut self, entry: usize) {
         let now = self.moment();
         let state = &mut self.entries[entry];
         let (outstanding, waiting) =
             (state.reducer.outstanding_load(), state.reducer.waiting_counts());
-        let news = state.teller.next_update(now, outstanding, waiting);
-        let words = state.reducer.due_crash_reports(now);
+        let load_update = state.broadcaster.next_update(now, outstanding, waiting);
+        let reports = state.reducer.due_crash_reports(now);
         for other in (0..self.entries.len()).filter(|other| *other != entry) {
-            if let Some(news) = news.clone().filter(|_| self.arrives()) {
-                let load = PeerLoad { from: entry_id(entry), update: news };
-                self.schedule(self.pattern.way, Happening::Heard { entry: other, load });
+            if let Some(load_update) = load_update.clone().filter(|_| self.draw_delivery()) {
+                let load = PeerLoad { from: entry_id(entry), update: load_update };
+                self.schedule(
+                    self.pattern.way,
+                    SimulationEvent::PeerLoadArrives { entry: other, load },
+                );
             }
-            for word in words.clone() {
-                if self.arrives() {
-                    let heard = Happening::CrashHeard { entry: other, word };
-                    self.schedule(self.pattern.way, heard);
+            for report in reports.clone() {
+                if self.draw_delivery() {
+                    let event = SimulationEvent::CrashReportArrives { entry: other, report };
+                    self.schedule(self.pattern.way, event);
                 }
             }
         }
-        self.schedule(LOOK_EVERY, Happening::Looks { entry });
+        self.schedule(BROADCAST_INTERVAL, SimulationEvent::BroadcastDue { entry });
     }
 
-    fn arrives(&mut self) -> bool {
-        self.pattern.word_loss == 0.0 || self.random.random::<f64>() >= self.pattern.word_loss
+    fn draw_delivery(&mut self) -> bool {
+        self.pattern.word_loss == 0.0 || self.rng.random::<f64>() >= self.pattern.word_loss
     }
 
-    fn begins(&mut self, place: usize) {
-        let disturbance = &self.pattern.disturbances[place];
+    fn start_disturbance(&mut self, index: usize) {
+        let disturbance = &self.pattern.disturbances[index];
         let mut engines: Vec<_> = (0..self.engines.len()).collect();
-        engines.shuffle(&mut self.random);
+        engines.shuffle(&mut self.rng);
         let count = (disturbance.share * engines.len() as f64).round() as usize;
         engines.truncate(count);
         for engine in &engines {
             match disturbance.kind {
                 DisturbanceKind::Burst => {}
                 DisturbanceKind::Slow => self.engines[*engine].model.pace = disturbance.factor,
-                DisturbanceKind::Crash => self.end_engine(*engine),
+                DisturbanceKind::Crash => self.crash_engine(*engine),
             }
         }
-        self.concerned[place] = engines;
+        self.affected_engines[index] = engines;
     }
 
-    fn ends(&mut self, place: usize) {
-        let kind = self.pattern.disturbances[place].kind;
-        for engine in std::mem::take(&mut self.concerned[place]) {
+    fn end_disturbance(&mut self, index: usize) {
+        let kind = self.pattern.disturbances[index].kind;
+        for engine in std::mem::take(&mut self.affected_engines[index]) {
             match kind {
                 DisturbanceKind::Burst => {}
                 DisturbanceKind::Slow => self.engines[engine].model.pace = 1.0,
-                DisturbanceKind::Crash => self.starts(engine),
+                DisturbanceKind::Crash => self.start_engine(engine),
             }
         }
     }
