--- a/mustardrill_standins/src/access.rs
+++ b/mustardrill_standins/src/access.rs
@@ -1,4 +1,4 @@
-//! Who may call a lab: its tokens, and a caller's request.
+//! Tokens of a lab's operators and customers, and requests with them.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
 use hyper::Request;
 use mustardrill_runtime::http::request;
 
-/// The token of the operator `ana` in a lab.
+/// Token of the operator `ana` in the entries' settings.
 pub const OPERATOR_TOKEN: &str = "lab-operator-ana";
 
-/// The token of the second operator, `beto`.
+/// Token of the operator `beto` in the entries' settings.
 pub const SECOND_OPERATOR_TOKEN: &str = "lab-operator-beto";
 
-/// The token of the customer `comedor` in a lab.
+/// Token of the customer `comedor` in the entries' settings.
 pub const CUSTOMER_TOKEN: &str = "lab-customer-comedor";
 
-/// A caller's request to an entry, as the customer `comedor`.
+/// A `POST` request to an entry, authorized as the customer `comedor`.
 pub fn caller_request(entry: SocketAddr, path: &str, body: &str) -> Request<Full<Bytes>> {
     let mut sent = request("POST", &format!("http://{entry}{path}"), body.to_owned());
     let value = format!("Bearer {CUSTOMER_TOKEN}").parse().expect("a token makes a header");
--- a/mustardrill_standins/src/engine.rs
+++ b/mustardrill_standins/src/engine.rs
@@ -1,7 +1,7 @@
-//! A model engine: load orders with fencing, priorities, streamed answers that name their weights.
+//! Stand-in for a model engine: load orders with fencing, priorities, streamed answers.
 //!
-//! An answer is made from the digest of the loaded weights and the prompt alone, so whoever has
-//! both can tell whether it is whole and from which weights it came.
+//! An answer is a function of the prompt and the digest of the loaded weights, which its head names. A
+//! caller that knows both can verify that the answer is complete and which weights produced it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,59 +24,59 @@
 
 use crate::fault::FaultPanel;
 
-/// A prompt under which an engine ends, as there may be one that its software can't bear.
+/// A prompt that crashes the engine's process, as a request may that triggers a fault of its software.
 pub const CRASH_PROMPT: &str = "end this engine";
 
-/// The classes of priority that an engine tells apart.
-const PRIORITIES: usize = 3;
+/// Number of priority classes; larger values of `x-priority` count as the lowest class.
+const PRIORITY_COUNT: usize = 3;
 
-/// What a process that crashes exits with.
-const CRASH_STATUS: i32 = 70;
+/// Exit status of an engine that ran [`CRASH_PROMPT`].
+const CRASH_EXIT_STATUS: i32 = 70;
 
-/// How an engine behaves.
+/// Size and speed of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// Requests run at once.
+    /// Number of slots: pieces generated at the same time.
     pub capacity: usize,
-    /// The pieces of an answer.
+    /// Number of pieces in an answer.
     pub pieces: u64,
-    /// The time between pieces.
+    /// Time that a slot takes for a piece.
     pub piece_time: Duration,
-    /// The time a load takes after the bytes are there.
+    /// Time that a load takes after the weights were fetched.
     pub load_time: Duration,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether load orders with a fencing number below the highest seen are rejected.
     pub checks_fencing: bool,
 }
 
-/// The state of one engine.
+/// Loaded weights, slots and history of one engine.
 #[derive(Debug)]
 pub struct EngineState {
     options: EngineOptions,
-    loaded: Mutex<Loaded>,
+    loaded: Mutex<LoadState>,
     slots: SlotQueue,
-    loads: Mutex<Vec<(Instant, usize)>>,
+    load_history: Mutex<Vec<(Instant, usize)>>,
     runs: Mutex<Vec<String>>,
     finished: AtomicU64,
     client: HttpClient,
-    /// The switches.
+    /// Fault switches, also set over HTTP.
     pub faults: FaultPanel,
 }
 
-/// Answers calls to an engine.
+/// Serves an engine over HTTP.
 #[derive(Debug, Clone)]
 pub struct EngineHandler {
-    /// The state, shared with whoever looks in from a test.
+    /// The state, shared with tests that inspect it.
     pub state: Arc<EngineState>,
 }
 
 #[derive(Debug, Default)]
-struct Loaded {
+struct LoadState {
     serving: Option<String>,
     fence: u64,
-    /// Every accepted order: fencing number and digest.
+    /// Accepted load orders: fencing number and digest.
     orders: Vec<(u64, String)>,
     refused_orders: u64,
-    /// Orders that came in whole, whatever became of them.
+    /// Load orders received completely, accepted or not.
     received_orders: u64,
 }
 
@@ -104,11 +104,11 @@
 }
 
 impl EngineState {
-    /// An engine without weights.
+    /// Creates an engine without weights, which refuses requests until a load order was executed.
     pub fn new(options: EngineOptions) -> Self {
         Self {
             slots: SlotQueue::new(options.capacity),
-            loads: Mutex::default(),
+            load_history: Mutex::default(),
             options,
             loaded: Mutex::default(),
             runs: Mutex::default(),
@@ -118,27 +118,27 @@
         }
     }
 
-    /// The prompts that were run, in order; a prompt that was run twice stands twice.
+    /// The prompts that were run, in order; a prompt that was run twice is listed twice.
     pub fn runs(&self) -> Vec<String> {
         self.runs.lock().expect("nobody panics under this lock").clone()
     }
 
-    /// The accepted load orders and how many were refused.
+    /// The accepted load orders (fencing number and digest), and the number of rejected ones.
     pub fn orders(&self) -> (Vec<(u64, String)>, u64) {
         let loaded = self.loaded();
         (loaded.orders.clone(), loaded.refused_orders)
     }
 
-    fn loaded(&self) -> std::sync::MutexGuard<'_, Loaded> {
+    fn loaded(&self) -> std::sync::MutexGuard<'_, LoadState> {
         self.loaded.lock().expect("nobody panics under this lock")
     }
 
-    async fn load(&self, body: &[u8]) -> AnyResponse {
+    async fn load_weights(&self, body: &[u8]) -> AnyResponse {
         let Ok(order) = serde_json::from_slice::<LoadBody>(body) else {
             return text_response(StatusCode::BAD_REQUEST, "not a load order\n");
         };
         self.loaded().received_orders += 1;
-        if !self.admits_fence(order.fence) {
+        if !self.accept_fence(order.fence) {
             return text_response(StatusCode::CONFLICT, "an old fencing number\n");
         }
         let limit = order.size as usize + 1;
@@ -147,10 +147,11 @@
         let Ok(fetched) = fetched else {
             return text_response(StatusCode::BAD_GATEWAY, "the weights could not be fetched\n");
         };
-        // Whoever looks in from a test finds a wrong byte here, whatever the agent believed.
-        let digest = digest_of_bytes(&order, &fetched.body);
+        // The digest is computed from the bytes received, so that a test finds a wrong byte even where
+        // the agent took the weights for verified.
+        let digest = computed_digest(&order, &fetched.body);
         tokio::time::sleep(self.options.load_time).await;
-        if !self.admits_fence(order.fence) {
+        if !self.accept_fence(order.fence) {
             return text_response(StatusCode::CONFLICT, "an old fencing number\n");
         }
         let mut loaded = self.loaded();
@@ -159,8 +160,10 @@
         text_response(StatusCode::OK, "")
     }
 
-    /// Refuses an old fencing number, also one that became old while the weights were loaded.
-    fn admits_fence(&self, fence: u64) -> bool {
+    /// Records a fencing number and returns whether it is not outdated.
+    ///
+    /// It is called before and after a load, as a number can become outdated meanwhile.
+    fn accept_fence(&self, fence: u64) -> bool {
         let mut loaded = self.loaded();
         if self.options.checks_fencing && fence < loaded.fence {
             loaded.refused_orders += 1;
@@ -170,51 +173,51 @@
         true
     }
 
-    async fn run(self: Arc<Self>, request: Request<Incoming>) -> AnyResponse {
+    async fn run_request(self: Arc<Self>, request: Request<Incoming>) -> AnyResponse {
         let (head, body) = request.into_parts();
         let Ok(prompt) = body.collect().await.map(http_body_util::Collected::to_bytes) else {
             return text_response(StatusCode::BAD_REQUEST, "the request was cut\n");
         };
-        let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
+        let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
         let Some(mut serving) = self.loaded().serving.clone() else {
             return text_response(StatusCode::PRECONDITION_FAILED, "no weights are loaded\n");
         };
-        if text("x-expected-weights").is_some_and(|expected| expected != serving) {
+        if header("x-expected-weights").is_some_and(|expected| expected != serving) {
             let mut refusal =
                 text_response(StatusCode::PRECONDITION_FAILED, "other weights are loaded\n");
-            name_weights(&mut refusal, &serving);
+            set_weights_header(&mut refusal, &serving);
             return refusal;
         }
         if self.faults.get().wrong_weights {
             serving = "f".repeat(serving.len());
         }
-        let resume = text("x-resume-from").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let resume = header("x-resume-from").and_then(|text| text.parse().ok()).unwrap_or(0);
         let prompt = String::from_utf8_lossy(&prompt).into_owned();
         self.runs.lock().expect("nobody panics under this lock").push(prompt.clone());
         if prompt == CRASH_PROMPT {
             tokio::time::sleep(self.options.piece_time).await;
-            std::process::exit(CRASH_STATUS);
+            std::process::exit(CRASH_EXIT_STATUS);
         }
         let answer = answer_text(&serving, &prompt, self.options.pieces);
-        let priority = text("x-priority").and_then(|text| text.parse().ok()).unwrap_or(0);
-        let mut response = Response::new(self.stream(answer, resume, priority));
-        name_weights(&mut response, &serving);
+        let priority = header("x-priority").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let mut response = Response::new(self.stream_answer(answer, resume, priority));
+        set_weights_header(&mut response, &serving);
         response.headers_mut().insert("content-type", "text/plain".parse().expect("a header"));
         response
     }
 
-    /// How many pieces waited or ran a while ago, as engines report their load with a lag.
+    /// Number of pieces that waited or ran half a second ago, as engines report their load with a lag.
     fn lagging_load(&self) -> usize {
         const LAG: Duration = Duration::from_millis(500);
         let running = self.options.capacity - self.slots.slots.available_permits();
-        let mut loads = self.loads.lock().expect("nobody panics under this lock");
-        loads.push((Instant::now(), self.slots.queued() + running));
-        let newest = loads.iter().rposition(|(since, _)| since.elapsed() >= LAG);
-        loads.drain(..newest.unwrap_or(0));
-        loads[0].1
+        let mut load_history = self.load_history.lock().expect("nobody panics under this lock");
+        load_history.push((Instant::now(), self.slots.queued() + running));
+        let latest = load_history.iter().rposition(|(since, _)| since.elapsed() >= LAG);
+        load_history.drain(..latest.unwrap_or(0));
+        load_history[0].1
     }
 
-    fn stream(
+    fn stream_answer(
         self: Arc<Self>,
         answer: Bytes,
         resume: usize,
@@ -223,19 +226,19 @@
         let piece = answer.len().div_ceil(self.options.pieces.max(1) as usize).max(1);
         let rest = answer.slice(resume.min(answer.len())..);
         let pieces =
-            stream::unfold((self, rest, false), move |(state, mut rest, begun)| async move {
+            stream::unfold((self, rest, false), move |(state, mut rest, has_started)| async move {
                 if rest.is_empty() {
                     state.finished.fetch_add(1, Ordering::Relaxed);
                     return None;
                 }
-                if state.faults.get().stall && begun {
+                if state.faults.get().stall && has_started {
                     std::future::pending::<()>().await;
                 }
-                if state.faults.get().corrupt && begun {
+                if state.faults.get().corrupt && has_started {
                     return Some((Err(CutError), (state, Bytes::new(), true)));
                 }
                 {
-                    // Continuous batching: a slot is taken for a piece, not for a whole answer.
+                    // Continuous batching: a slot is taken for one piece, not for the complete answer.
                     let _slot = state.slots.take(priority).await;
                     tokio::time::sleep(state.options.piece_time).await;
                 }
@@ -256,8 +259,8 @@
             "/v1/load" => {
                 let body = request.into_body().collect().await;
                 let body = body.map(http_body_util::Collected::to_bytes).unwrap_or_default();
-                // An accepted order goes on when whoever gave it is gone.
-                let loading = tokio::spawn(async move { self.load(&body).await });
+                // A load continues after the agent that ordered it has disconnected.
+                let loading = tokio::spawn(async move { self.load_weights(&body).await });
                 loading
                     .await
                     .unwrap_or_else(|_| text_response(StatusCode::INTERNAL_SERVER_ERROR, ""))
@@ -271,7 +274,7 @@
                 json_response(StatusCode::OK, &state)
             }
             "/admin/runs" => json_response(StatusCode::OK, &self.runs()),
-            _ => self.run(request).await,
+            _ => self.run_request(request).await,
         }
     }
 }
@@ -283,27 +286,27 @@
     }
 }
 
-/// The engine's slots: whoever waits with the highest priority gets the next one.
+/// The engine's slots; the next free one goes to a request of the highest waiting priority.
 #[derive(Debug)]
 struct SlotQueue {
     slots: Semaphore,
-    waiting: Mutex<[usize; PRIORITIES]>,
+    waiting: Mutex<[usize; PRIORITY_COUNT]>,
 }
 
-/// Notes that somebody waits, until it is dropped.
-struct WaitingMark<'a>(&'a SlotQueue, usize);
+/// Counts a waiting request of a priority until it is dropped.
+struct WaitingGuard<'a>(&'a SlotQueue, usize);
 
 impl SlotQueue {
     fn new(capacity: usize) -> Self {
         Self { slots: Semaphore::new(capacity), waiting: Mutex::default() }
     }
 
-    /// Takes a slot once nobody of a higher priority (a lower number) waits for one.
+    /// Takes a slot once no request of a higher priority (a lower number) waits for one.
     async fn take(&self, priority: usize) -> SemaphorePermit<'_> {
-        const LOOK_EVERY: Duration = Duration::from_millis(1);
-        let priority = priority.min(PRIORITIES - 1);
+        const POLL_INTERVAL: Duration = Duration::from_millis(1);
+        let priority = priority.min(PRIORITY_COUNT - 1);
         self.waiting.lock().expect("nobody panics under this lock")[priority] += 1;
-        let _mark = WaitingMark(self, priority);
+        let _guard = WaitingGuard(self, priority);
         loop {
             let is_first = {
                 let waiting = self.waiting.lock().expect("nobody panics under this lock");
@@ -312,23 +315,23 @@
             if is_first && let Ok(slot) = self.slots.try_acquire() {
                 return slot;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// How many pieces wait for a slot.
+    /// Number of pieces that wait for a slot.
     fn queued(&self) -> usize {
         self.waiting.lock().expect("nobody panics under this lock").iter().sum()
     }
 }
 
-impl Drop for WaitingMark<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.waiting.lock().expect("nobody panics under this lock")[self.1] -= 1;
     }
 }
 
-/// The answer that weights of this digest give to a prompt.
+/// The complete answer that weights with this digest give to a prompt.
 pub fn answer_text(digest: &str, prompt: &str, pieces: u64) -> Bytes {
     let mut text = String::new();
     for piece in 0..pieces {
@@ -339,16 +342,17 @@
     text.into()
 }
 
-/// The digest of the manifest that the fetched bytes make.
-fn digest_of_bytes(order: &LoadBody, bytes: &[u8]) -> String {
+/// The digest of the manifest computed from the fetched bytes; a fixed text where it is not the ordered
+/// one or a name is malformed.
+fn computed_digest(order: &LoadBody, bytes: &[u8]) -> String {
     let (Ok(model), Ok(version)) = (order.model.parse(), order.version.parse()) else {
         return "malformed".into();
     };
-    let made = Manifest::describe(model, version, ByteSize(order.chunk_size), bytes);
-    let digest = made.digest().to_string();
+    let manifest = Manifest::describe(model, version, ByteSize(order.chunk_size), bytes);
+    let digest = manifest.digest().to_string();
     if *digest == *order.digest { digest } else { "wrong-bytes".into() }
 }
 
-fn name_weights(response: &mut AnyResponse, digest: &str) {
+fn set_weights_header(response: &mut AnyResponse, digest: &str) {
     response.headers_mut().insert("x-weights", digest.parse().expect("digits make a header"));
 }
--- a/mustardrill_standins/src/fault.rs
+++ b/mustardrill_standins/src/fault.rs
@@ -1,4 +1,4 @@
-//! Switches for failures, set over HTTP: `POST /admin/faults?down=1&delay_ms=200&lose_answers=1`.
+//! Fault switches of the stand-ins, set over HTTP: `POST /admin/faults?down=1&delay_ms=200&lose_answers=1`.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -7,53 +7,53 @@
 use hyper::{Request, StatusCode, Uri};
 use mustardrill_runtime::http::{AnyResponse, query, text_response};
 
-/// The failures that are switched on.
+/// The faults that are switched on. A stand-in ignores those that do not apply to it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FaultSwitches {
-    /// Answers every call with an error, before it takes effect.
+    /// Rejects every call with an error before it takes effect.
     pub down: bool,
-    /// Answers this much later.
+    /// Delays the handling of every call by this time.
     pub delay: Duration,
-    /// Lets calls take effect and never answers.
+    /// Executes calls and never answers them.
     pub lose_answers: bool,
-    /// Lets writes take effect and never answers them; reads are answered.
+    /// Executes writes and never answers them; reads are answered.
     pub lose_writes: bool,
-    /// An engine answers from other weights than those it was asked for.
+    /// Makes an engine answer with other weights than it has loaded and was asked for.
     pub wrong_weights: bool,
-    /// Stops sending in the middle of an answer without closing.
+    /// Stops sending within an answer and keeps the connection open.
     pub stall: bool,
-    /// Changes a byte of every answer.
+    /// Changes a byte of the weights that an origin sends; breaks off an engine's answers.
     pub corrupt: bool,
 }
 
-/// The switches of one stand-in.
+/// The fault switches of one stand-in, which can be changed while it runs.
 #[derive(Debug, Default)]
 pub struct FaultPanel {
     switches: Mutex<FaultSwitches>,
 }
 
 impl FaultPanel {
-    /// What is switched on.
+    /// A copy of the current switches.
     pub fn get(&self) -> FaultSwitches {
         *self.switches.lock().expect("nobody panics under this lock")
     }
 
-    /// Sets all switches.
+    /// Replaces all switches.
     pub fn set(&self, switches: FaultSwitches) {
         *self.switches.lock().expect("nobody panics under this lock") = switches;
     }
 
-    /// Answers an admin call, where it is one.
+    /// Sets the switches and answers where the request is for `/admin/faults`; `None` for any other.
     pub fn admin(&self, request: &Request<Incoming>) -> Option<AnyResponse> {
         if request.uri().path() != "/admin/faults" {
             return None;
         }
-        self.set(parse(request.uri()));
+        self.set(parse_switches(request.uri()));
         Some(text_response(StatusCode::OK, format!("{:?}\n", self.get())))
     }
 }
 
-fn parse(uri: &Uri) -> FaultSwitches {
+fn parse_switches(uri: &Uri) -> FaultSwitches {
     let is_on = |name| query(uri, name) == Some("1");
     let delay = query(uri, "delay_ms").and_then(|text| text.parse().ok()).unwrap_or(0);
     FaultSwitches {
--- a/mustardrill_standins/src/instances.rs
+++ b/mustardrill_standins/src/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving instances, which lags behind what it was told.
+//! Stand-in for the platform's list of live and leaving instances, which lags behind changes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,41 +11,41 @@
 use mustardrill_runtime::http::{AnyResponse, HttpHandler, json_response, text_response};
 use mustardrill_runtime::platform::InstanceListing;
 
-/// The list with its lag.
+/// An instance list that shows each change after a fixed lag.
 #[derive(Debug)]
 pub struct LaggingList {
     lag: Duration,
-    states: Mutex<Vec<(Instant, InstanceListing)>>,
+    listings: Mutex<Vec<(Instant, InstanceListing)>>,
 }
 
-/// Answers `GET /v1/instances`, and `PUT` from whoever plays the platform.
+/// Serves the list over HTTP: `GET /v1/instances` reads it, a `PUT` replaces it.
 #[derive(Debug, Clone)]
 pub struct InstancesHandler {
-    /// The list, shared with whoever changes it from a test.
+    /// The list, shared with tests that change it.
     pub list: Arc<LaggingList>,
 }
 
 impl LaggingList {
-    /// An empty list that shows each change after `lag`.
+    /// Creates an empty list that shows each change after `lag`.
     pub fn new(lag: Duration) -> Self {
-        Self { lag, states: Mutex::default() }
+        Self { lag, listings: Mutex::default() }
     }
 
-    /// Changes the list.
+    /// Replaces the list; readers see it after the lag.
     pub fn set(&self, listing: InstanceListing) {
-        let mut states = self.states.lock().expect("nobody panics under this lock");
-        states.push((Instant::now(), listing));
+        let mut listings = self.listings.lock().expect("nobody panics under this lock");
+        listings.push((Instant::now(), listing));
     }
 
-    /// The list as it is shown now.
+    /// The list that readers see now: the latest that is at least as old as the lag.
     pub fn shown(&self) -> InstanceListing {
-        let mut states = self.states.lock().expect("nobody panics under this lock");
-        let is_old = |(since, _): &(Instant, InstanceListing)| since.elapsed() >= self.lag;
-        let Some(newest) = states.iter().rposition(is_old) else {
+        let mut listings = self.listings.lock().expect("nobody panics under this lock");
+        let is_visible = |(set_at, _): &(Instant, InstanceListing)| set_at.elapsed() >= self.lag;
+        let Some(newest) = listings.iter().rposition(is_visible) else {
             return InstanceListing::default();
         };
-        states.drain(..newest);
-        states[0].1.clone()
+        listings.drain(..newest);
+        listings[0].1.clone()
     }
 }
 
--- a/mustardrill_standins/src/key_value.rs
+++ b/mustardrill_standins/src/key_value.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service: compare-and-swap, leases, long-poll watches.
+//! Stand-in for the platform's key-value service: compare-and-swap, leases and long-poll watches.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,50 +16,50 @@
 
 use crate::fault::FaultPanel;
 
-/// The service's state.
+/// Contents, leases and counters of the service; kept in memory only.
 #[derive(Debug, Default)]
 pub struct KeyValueStore {
-    table: Mutex<Table>,
+    table: Mutex<StoreTable>,
     changed: Notify,
-    /// The switches.
+    /// Fault switches, also set over HTTP.
     pub faults: FaultPanel,
 }
 
-/// Answers calls on a store.
+/// Serves a store over HTTP.
 #[derive(Debug, Default, Clone)]
 pub struct KeyValueHandler {
-    /// The store, shared with whoever looks in from a test.
+    /// The store, shared with tests that inspect it.
     pub store: Arc<KeyValueStore>,
 }
 
 #[derive(Debug, Default)]
-struct Table {
-    values: BTreeMap<String, Value>,
-    leases: BTreeMap<u64, Lease>,
+struct StoreTable {
+    values: BTreeMap<String, StoredValue>,
+    leases: BTreeMap<u64, LeaseTerm>,
     revision: u64,
     reads: u64,
     writes: u64,
-    /// Calls that came while the service was down.
+    /// Calls rejected while the fault switch `down` was set.
     refused: u64,
 }
 
 #[derive(Debug, Clone)]
-struct Value {
+struct StoredValue {
     bytes: Bytes,
     revision: u64,
     lease: Option<u64>,
 }
 
 #[derive(Debug)]
-struct Lease {
+struct LeaseTerm {
     span: Duration,
-    until: Instant,
+    expires_at: Instant,
 }
 
-impl Table {
-    fn expire(&mut self) {
+impl StoreTable {
+    fn remove_expired(&mut self) {
         let now = Instant::now();
-        self.leases.retain(|_, lease| lease.until > now);
+        self.leases.retain(|_, lease| lease.expires_at > now);
         let leases = &self.leases;
         self.values.retain(|_, value| value.lease.is_none_or(|id| leases.contains_key(&id)));
     }
@@ -71,73 +71,73 @@
 }
 
 impl KeyValueStore {
-    fn table(&self) -> std::sync::MutexGuard<'_, Table> {
+    fn table(&self) -> std::sync::MutexGuard<'_, StoreTable> {
         let mut table = self.table.lock().expect("nobody panics under this lock");
-        table.expire();
+        table.remove_expired();
         table
     }
 
-    /// How many reads and writes were answered.
+    /// Numbers of reads and writes handled; calls on leases count as writes.
     pub fn counts(&self) -> (u64, u64) {
         let table = self.table();
         (table.reads, table.writes)
     }
 
-    /// How many calls came while the service was down.
+    /// Number of calls rejected while the service was down.
     pub fn refused(&self) -> u64 {
         self.table().refused
     }
 
-    /// How many keys begin with this text.
+    /// Number of keys with this prefix, without those of expired leases.
     pub fn count_keys(&self, prefix: &str) -> usize {
         self.table().values.keys().filter(|key| key.starts_with(prefix)).count()
     }
 
-    /// The bytes of a key.
+    /// The value of a key, not counted as a read.
     pub fn peek(&self, key: &str) -> Option<Bytes> {
         self.table().values.get(key).map(|value| value.bytes.clone())
     }
 
     async fn get(&self, key: &str, uri: &Uri) -> AnyResponse {
-        let number = |name| query(uri, name).and_then(|text| text.parse::<u64>().ok());
-        let after = number("after");
-        let until = Instant::now() + Duration::from_millis(number("wait_ms").unwrap_or(0));
+        let parameter = |name| query(uri, name).and_then(|text| text.parse::<u64>().ok());
+        let after = parameter("after");
+        let deadline = Instant::now() + Duration::from_millis(parameter("wait_ms").unwrap_or(0));
         self.table().reads += 1;
         loop {
             let notified = self.changed.notified();
             let found = self.table().values.get(key).cloned();
             let revision = found.as_ref().map_or(0, |value| value.revision);
-            let is_news = after.is_none_or(|after| revision > after);
-            if is_news || Instant::now() >= until || self.faults.get().down {
+            let has_changed = after.is_none_or(|after| revision > after);
+            if has_changed || Instant::now() >= deadline || self.faults.get().down {
                 let bytes = found.map(|value| value.bytes).unwrap_or_default();
                 let mut response = AnyResponse::new(mustardrill_runtime::http::whole_body(bytes));
                 response.headers_mut().insert(REVISION_HEADER, revision.into());
                 return response;
             }
-            let _ = tokio::time::timeout_at(until.into(), notified).await;
+            let _ = tokio::time::timeout_at(deadline.into(), notified).await;
         }
     }
 
     fn put(&self, key: &str, uri: &Uri, bytes: Bytes) -> AnyResponse {
-        let number = |name| query(uri, name).and_then(|text| text.parse::<u64>().ok());
+        let parameter = |name| query(uri, name).and_then(|text| text.parse::<u64>().ok());
         let mut table = self.table();
         table.writes += 1;
         let current = table.values.get(key).map_or(0, |value| value.revision);
-        if number("expect").is_some_and(|expect| expect != current) {
+        if parameter("expect").is_some_and(|expect| expect != current) {
             return with_revision(text_response(StatusCode::CONFLICT, "conflict\n"), current);
         }
-        let lease = number("lease");
+        let lease = parameter("lease");
         if lease.is_some_and(|id| !table.leases.contains_key(&id)) {
             return text_response(StatusCode::GONE, "the lease is over\n");
         }
         let revision = table.next_revision();
-        table.values.insert(key.to_owned(), Value { bytes, revision, lease });
+        table.values.insert(key.to_owned(), StoredValue { bytes, revision, lease });
         drop(table);
         self.changed.notify_waiters();
         with_revision(text_response(StatusCode::OK, ""), revision)
     }
 
-    fn lease(&self, method: &Method, path: &str, uri: &Uri) -> AnyResponse {
+    fn handle_lease(&self, method: &Method, path: &str, uri: &Uri) -> AnyResponse {
         let mut table = self.table();
         table.writes += 1;
         let rest = path.trim_start_matches("/v1/leases").trim_matches('/');
@@ -147,19 +147,19 @@
             let span = query(uri, "ttl_ms").and_then(|text| text.parse().ok()).unwrap_or(10_000);
             let span = Duration::from_millis(span);
             let id = table.next_revision();
-            table.leases.insert(id, Lease { span, until: Instant::now() + span });
+            table.leases.insert(id, LeaseTerm { span, expires_at: Instant::now() + span });
             return json_response(StatusCode::OK, &serde_json::json!({ "lease": id }));
         }
         if method == Method::DELETE {
             table.leases.remove(&id);
-            table.expire();
+            table.remove_expired();
             drop(table);
             self.changed.notify_waiters();
             return text_response(StatusCode::OK, "");
         }
         match table.leases.get_mut(&id) {
             Some(lease) if action == "renew" => {
-                lease.until = Instant::now() + lease.span;
+                lease.expires_at = Instant::now() + lease.span;
                 text_response(StatusCode::OK, "")
             }
             _ => text_response(StatusCode::GONE, "the lease is over\n"),
@@ -187,7 +187,7 @@
             (Some(key), &Method::GET) => self.get(key, &head.uri).await,
             (Some(key), &Method::PUT) => self.put(key, &head.uri, body),
             (None, method) if path.starts_with("/v1/leases") => {
-                self.lease(method, &path, &head.uri)
+                self.handle_lease(method, &path, &head.uri)
             }
             (None, &Method::GET) if path == "/admin/counts" => {
                 let (reads, writes) = self.counts();
@@ -198,8 +198,9 @@
             }
             _ => text_response(StatusCode::NOT_FOUND, "no such call\n"),
         };
-        let is_lost = faults.lose_answers || (faults.lose_writes && head.method != Method::GET);
-        if is_lost && path.starts_with("/v1/") {
+        let is_answer_lost =
+            faults.lose_answers || (faults.lose_writes && head.method != Method::GET);
+        if is_answer_lost && path.starts_with("/v1/") {
             std::future::pending::<()>().await;
         }
         answer
--- a/mustardrill_standins/src/lab.rs
+++ b/mustardrill_standins/src/lab.rs
@@ -1,6 +1,7 @@
-//! Starts the daemons and stand-ins as separate processes on this machine, and ends them again.
+//! A lab: the daemons and stand-ins as separate processes on this machine.
 //!
-//! Only programs that this workspace built are started, and only they are ended, by their ids.
+//! It starts programs from this workspace's build folder only, and terminates only those that it started,
+//! by their process ids.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -18,72 +19,74 @@
 pub use crate::process::LabProcess;
 use crate::process::{build_folder, daemon, stand_in};
 
-/// The size of a lab.
+/// Numbers of processes in a lab, and how they are set up.
 #[derive(Debug, Clone)]
 pub struct LabOptions {
-    /// Agents, each beside a model engine, in turn in one of two data centres.
+    /// Number of agents with a model engine each, placed alternately in two data centres.
     pub agents: usize,
-    /// Entries.
+    /// Number of entries, placed alternately in the same data centres.
     pub entries: usize,
-    /// Plain services with an agent each.
+    /// Number of plain services, with an agent each.
     pub plain: usize,
-    /// The origin's link in bytes a second; zero is unlimited.
+    /// Rate of the origin's link in bytes per second; zero is unlimited.
     pub origin_rate: u64,
-    /// Each machine's link in bytes a second; zero is unlimited.
+    /// Upload and download rate of each agent in bytes per second; zero is unlimited.
     pub machine_rate: u64,
-    /// How long an engine takes to load weights that are there.
+    /// Milliseconds that an engine takes to load weights after fetching them.
     pub load_ms: u64,
-    /// Further lines for each agent's settings, by section.
+    /// Extra `key = value` lines for each agent's settings, with their section; they replace lines with
+    /// the same key.
     pub agent_lines: Vec<(&'static str, String)>,
-    /// Further lines for each entry's settings, by section.
+    /// The same for each entry's settings.
     pub entry_lines: Vec<(&'static str, String)>,
-    /// Whether engines refuse old fencing numbers.
+    /// Whether engines reject load orders with a fencing number below the highest seen.
     pub checks_fencing: bool,
-    /// The pieces of an engine's answer, and the milliseconds of each.
+    /// Number of pieces in an engine's answer, and the milliseconds that each takes.
     pub pieces: (u64, u64),
-    /// The milliseconds of a plain service's call.
+    /// Milliseconds that a plain service takes for a call.
     pub plain_ms: u64,
-    /// Whether each agent is reached over a link that can be cut.
+    /// Whether agents, and upstreams from their agents, are reached over a [`LabLink`].
     pub links: bool,
-    /// Where the processes' logs go; a folder of the lab's own where there is none.
+    /// Folder for settings and logs. `None` creates a temporary one, which is removed with the lab.
     pub folder: Option<PathBuf>,
 }
 
-/// An agent and the upstream beside it.
+/// An agent and the upstream on the same machine.
 #[derive(Debug)]
 pub struct LabUpstream {
-    /// The agent.
+    /// The agent's process.
     pub agent: LabProcess,
-    /// The engine or plain service.
+    /// The process of the engine or plain service.
     pub upstream: LabProcess,
-    /// The link to the agent, where the lab has links.
+    /// Link through which others reach the agent; `None` without [`LabOptions::links`] or after the
+    /// agent was replaced.
     pub link: Option<LabLink>,
-    /// The link from the agent to the upstream, where the lab has links.
+    /// Link through which the agent reaches the upstream; `None` in the same cases.
     pub order_link: Option<LabLink>,
-    /// What the instance list says of it.
+    /// The agent's record in the instance list.
     pub record: InstanceRecord,
 }
 
-/// The processes of one lab; dropping it ends them all.
+/// The processes of one lab; dropping it kills them all.
 #[derive(Debug)]
 pub struct Lab {
-    /// The key-value service.
+    /// Stand-in for the key-value service.
     pub key_value: LabProcess,
-    /// The instance list.
+    /// Stand-in for the platform's instance list.
     pub instances: LabProcess,
-    /// The origin.
+    /// Stand-in for the origin of weights.
     pub origin: LabProcess,
-    /// The entries.
+    /// The entries, by the index that methods take.
     pub entries: Vec<LabProcess>,
     /// The model engines with their agents.
     pub engines: Vec<LabUpstream>,
     /// The plain services with their agents.
     pub plain: Vec<LabUpstream>,
-    /// A client for calls of the lab's own.
+    /// Client for the lab's calls; it connects within two seconds or fails.
     pub client: HttpClient,
     options: LabOptions,
     folder: PathBuf,
-    next_agent: usize,
+    next_agent_index: usize,
 }
 
 impl Default for LabOptions {
@@ -107,7 +110,9 @@
 }
 
 impl Lab {
-    /// Starts all processes and tells the instance list of them.
+    /// Starts all processes and publishes the agents in the instance list.
+    ///
+    /// Panics where a program was not built or does not start. Returns before the entries know the fleet.
     pub async fn spawn(options: LabOptions) -> Self {
         let folder = options.folder.clone().unwrap_or_else(|| {
             let unique =
@@ -126,7 +131,7 @@
             client: HttpClient::open(Duration::from_secs(2)),
             options,
             folder,
-            next_agent: 0,
+            next_agent_index: 0,
         };
         for _ in 0..lab.options.agents {
             lab.add_engine();
@@ -135,41 +140,41 @@
             let upstream = lab.spawn_upstream("plain", "records-desk");
             lab.plain.push(upstream);
         }
-        for place in 0..lab.options.entries {
-            let entry = lab.spawn_entry(place);
+        for index in 0..lab.options.entries {
+            let entry = lab.spawn_entry(index);
             lab.entries.push(entry);
         }
         lab.publish_instances().await;
         lab
     }
 
-    /// Starts one more engine with its agent; `publish_instances` tells the list of it.
+    /// Starts one more engine with its agent; [`Lab::publish_instances`] must follow.
     pub fn add_engine(&mut self) {
         let upstream = self.spawn_upstream("engine", "mustard-pool");
         self.engines.push(upstream);
     }
 
-    /// Starts a second agent for an engine, as a platform does that takes the first for dead, and
-    /// lists it in the first one's place; returns the first one with its link to the engine.
-    pub async fn replace_agent(&mut self, place: usize) -> (LabProcess, Option<LabLink>) {
-        let engine = &self.engines[place];
+    /// Starts a second agent for an engine, as a platform does that wrongly takes the first one for dead,
+    /// and lists it instead of the first. Returns the first agent with its link to the engine.
+    pub async fn replace_agent(&mut self, index: usize) -> (LabProcess, Option<LabLink>) {
+        let engine = &self.engines[index];
         let settings = self.settings().agent(&engine.record, engine.upstream.address, true);
         let name = format!("{}-again", engine.record.id);
         let agent = daemon(&self.folder, "mustardrill-agent", &name, &settings);
-        let engine = &mut self.engines[place];
+        let engine = &mut self.engines[index];
         engine.record.agent = agent.address.to_string().into();
         engine.link = None;
-        let first = (std::mem::replace(&mut engine.agent, agent), engine.order_link.take());
+        let replaced = (std::mem::replace(&mut engine.agent, agent), engine.order_link.take());
         self.publish_instances().await;
-        first
+        replaced
     }
 
-    /// Starts an entry in the place of one that ended.
-    pub fn restart_entry(&mut self, place: usize) {
-        self.entries[place] = self.spawn_entry(place);
+    /// Starts an entry again under the name of the one with this index.
+    pub fn restart_entry(&mut self, index: usize) {
+        self.entries[index] = self.spawn_entry(index);
     }
 
-    /// Tells the instance list who is there, as the platform would.
+    /// Sets the instance list to the lab's agents, as the platform would.
     pub async fn publish_instances(&self) {
         let upstreams = self.engines.iter().chain(&self.plain);
         let instances = upstreams.map(|upstream| upstream.record.clone()).collect();
@@ -178,7 +183,7 @@
         self.call("PUT", self.instances.address, "/v1/instances", body).await;
     }
 
-    /// Publishes a version at the origin; returns its manifest's digest.
+    /// Publishes `size` bytes of weights, generated from `seed`, at the origin; returns the manifest's digest.
     pub async fn publish(
         &self,
         model: &str,
@@ -194,12 +199,12 @@
         String::from_utf8_lossy(&answer.body).into_owned()
     }
 
-    /// Applies a catalogue file through the operator port of an entry, as `ana`.
+    /// Applies a catalogue file through an entry's operator port, as `ana`; returns status and body.
     pub async fn apply(&self, entry: usize, text: &str) -> (u16, serde_json::Value) {
         self.operate(entry, "POST", "/v1/catalogue/edits", text, OPERATOR_TOKEN).await
     }
 
-    /// Runs an operator's command line against an entry; returns exit code and output.
+    /// Runs `mustardrill-entry catalogue` with `words` against an entry; returns exit code and output.
     pub fn command(&self, entry: usize, words: &[&str]) -> (i32, String) {
         let address = self.entries[entry].second.expect("an entry has an operator port");
         let output = Command::new(build_folder().join("mustardrill-entry"))
@@ -213,7 +218,7 @@
         (output.status.code().unwrap_or(-1), text)
     }
 
-    /// Waits until the agents that an entry sees have its generation in force.
+    /// Waits until an entry and all agents in its status use this generation; false after `limit`.
     pub async fn wait_in_force(&self, entry: usize, generation: u64, limit: Duration) -> bool {
         let started = Instant::now();
         while started.elapsed() < limit {
@@ -228,13 +233,13 @@
         false
     }
 
-    /// Waits until an entry has heard of this many agents.
+    /// Waits until an entry has received heartbeats of this many agents; false after `limit`.
     pub async fn wait_fleet(&self, entry: usize, agents: usize, limit: Duration) -> bool {
         let started = Instant::now();
         while started.elapsed() < limit {
             let (_, status) = self.operate(entry, "GET", "/v1/status", "", OPERATOR_TOKEN).await;
-            let heard = status["agents"].as_array().into_iter().flatten();
-            if heard.filter(|agent| !agent["silent_ms"].is_null()).count() >= agents {
+            let agents_seen = status["agents"].as_array().into_iter().flatten();
+            if agents_seen.filter(|agent| !agent["silent_ms"].is_null()).count() >= agents {
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -242,66 +247,67 @@
         false
     }
 
-    /// Sets what becomes of the bytes to and from an agent.
+    /// Sets the state of the link to an agent; panics where the lab has no links.
     pub fn set_link(&self, upstream: &LabUpstream, state: LinkState) {
         upstream.link.as_ref().expect("the lab has links").set(state);
     }
 
-    /// What an agent says of itself.
+    /// The status that an agent reports on its local port; null where it is malformed.
     pub async fn agent_status(&self, upstream: &LabUpstream) -> serde_json::Value {
         let local = upstream.agent.second.expect("an agent has a local port");
         let answer = self.call("GET", local, "/status", Bytes::new()).await;
         serde_json::from_slice(&answer.body).unwrap_or_default()
     }
 
-    /// Bytes of weights down and up the link of each machine: of one version down, of all up.
+    /// Bytes of weights over each machine's link, by engine: received of this version, sent of all versions.
     pub async fn link_bytes(&self, digest: &str) -> Vec<(u64, u64)> {
         let mut links = Vec::new();
         for engine in &self.engines {
             let status = self.agent_status(engine).await;
             let versions = status["versions"].as_array().into_iter().flatten();
-            let down = versions.filter(|version| version["manifest"] == digest).map(|version| {
-                let bytes = |key: &str| version[key].as_u64().unwrap_or_default();
-                bytes("origin_bytes") + bytes("peer_bytes")
-            });
-            links.push((down.sum(), status["sent_bytes"].as_u64().unwrap_or_default()));
+            let received =
+                versions.filter(|version| version["manifest"] == digest).map(|version| {
+                    let bytes = |key: &str| version[key].as_u64().unwrap_or_default();
+                    bytes("origin_bytes") + bytes("peer_bytes")
+                });
+            links.push((received.sum(), status["sent_bytes"].as_u64().unwrap_or_default()));
         }
         links
     }
 
-    /// What an engine tells of itself; nothing where it does not answer.
+    /// The state that an engine reports; null where it is malformed.
     async fn engine_state(&self, engine: &LabUpstream) -> serde_json::Value {
         let answer = self.call("GET", engine.upstream.address, "/v1/state", Bytes::new()).await;
         serde_json::from_slice(&answer.body).unwrap_or_default()
     }
 
-    /// The load orders that an engine accepted, fencing number and digest, and how many it refused.
+    /// The load orders that an engine accepted (fencing number and digest), and the number it rejected.
     pub async fn orders(&self, engine: &LabUpstream) -> (Vec<(u64, String)>, u64) {
         let state = self.engine_state(engine).await;
         let orders = serde_json::from_value(state["orders"].clone()).unwrap_or_default();
         (orders, state["refused_orders"].as_u64().unwrap_or_default())
     }
 
-    /// How many load orders have come to an engine whole, whatever became of them.
+    /// Number of load orders that an engine received completely, accepted or not.
     pub async fn received_orders(&self, engine: &LabUpstream) -> u64 {
         let state = self.engine_state(engine).await;
         state["received_orders"].as_u64().unwrap_or_default()
     }
 
-    /// What an upstream ran, in order.
+    /// The prompts or calls that an upstream ran, in order; one that ran twice is listed twice.
     pub async fn runs(&self, upstream: &LabUpstream) -> Vec<String> {
         let answer = self.call("GET", upstream.upstream.address, "/admin/runs", Bytes::new()).await;
         serde_json::from_slice(&answer.body).unwrap_or_default()
     }
 
-    /// All logs of the lab's processes.
+    /// The logs of all processes of the lab, one after the other.
     pub fn logs(&self) -> String {
         let files = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let logs = files.filter(|file| file.path().extension().is_some_and(|it| it == "log"));
         logs.filter_map(|file| std::fs::read_to_string(file.path()).ok()).collect()
     }
 
-    /// Calls the operator port of an entry.
+    /// Calls an entry's operator port; returns the status and the body, as JSON or else as a string.
     pub async fn operate(
         &self,
         entry: usize,
@@ -322,7 +328,7 @@
         (answer.status.as_u16(), body)
     }
 
-    /// Calls one of the lab's processes.
+    /// Calls one of the lab's processes; panics where it does not answer within 20 seconds.
     pub async fn call(
         &self,
         method: &str,
@@ -335,12 +341,12 @@
         answer.unwrap_or_else(|error| panic!("{address}{path}: {error}"))
     }
 
-    /// Sets a stand-in's switches, such as `down=1`.
+    /// Sets a stand-in's fault switches, such as `down=1`; those left out are switched off.
     pub async fn switch(&self, address: SocketAddr, switches: &str) {
         self.call("POST", address, &format!("/admin/faults?{switches}"), Bytes::new()).await;
     }
 
-    /// The digest that each engine serves, in the order of the engines.
+    /// The digest that each engine serves, in the order of [`Lab::engines`].
     pub async fn serving(&self) -> Vec<Option<String>> {
         let mut digests = Vec::new();
         for engine in &self.engines {
@@ -349,7 +355,7 @@
         digests
     }
 
-    /// The digest that an engine serves; nothing where it is gone.
+    /// The digest that an engine serves; `None` without weights or where it does not answer.
     pub async fn serving_of(&self, engine: &LabUpstream) -> Option<String> {
         let uri = format!("http://{}/v1/state", engine.upstream.address);
         let sent = request("GET", &uri, Bytes::new());
@@ -358,7 +364,7 @@
         state["serving"][0].as_str().map(str::to_owned)
     }
 
-    /// Waits until `count` engines serve `digest`; returns how long it took.
+    /// Waits until `count` engines serve `digest`; returns the time taken, or `None` after `limit`.
     pub async fn wait_serving(
         &self,
         digest: &str,
@@ -376,7 +382,7 @@
         None
     }
 
-    /// Waits until an entry answers for a model or service.
+    /// Waits until every entry answers a request to this path with success; false after `limit`.
     pub async fn wait_ready(&self, path: &str, limit: Duration) -> bool {
         let started = Instant::now();
         while started.elapsed() < limit {
@@ -394,7 +400,7 @@
         false
     }
 
-    /// The bytes that the origin sent so far.
+    /// Bytes of weights that the origin has sent so far.
     pub async fn origin_sent(&self) -> u64 {
         let answer = self.call("GET", self.origin.address, "/admin/sent", Bytes::new()).await;
         String::from_utf8_lossy(&answer.body).parse().unwrap_or(0)
@@ -405,46 +411,46 @@
         &self.folder
     }
 
-    /// Starts an upstream and its agent, with links before both where the lab has links.
+    /// Starts an upstream and its agent, each behind a link where the options ask for links.
     fn spawn_upstream(&mut self, kind: &str, service: &str) -> LabUpstream {
-        let place = self.next_agent;
-        self.next_agent += 1;
+        let index = self.next_agent_index;
+        self.next_agent_index += 1;
         let arguments = self.upstream_arguments(kind);
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
-        let upstream = stand_in(&self.folder, kind, &format!("{kind}-{place}"), &arguments);
-        let order_link = self.link_to(upstream.address);
-        let reached = order_link.as_ref().map_or(upstream.address, |link| link.address);
-        let mut record = record_of(place, service);
-        let settings = self.settings().agent(&record, reached, kind == "engine");
+        let upstream = stand_in(&self.folder, kind, &format!("{kind}-{index}"), &arguments);
+        let order_link = self.spawn_link(upstream.address);
+        let upstream_address = order_link.as_ref().map_or(upstream.address, |link| link.address);
+        let mut record = instance_record(index, service);
+        let settings = self.settings().agent(&record, upstream_address, kind == "engine");
         let agent = daemon(&self.folder, "mustardrill-agent", record.id.as_str(), &settings);
-        let link = self.link_to(agent.address);
-        let listed = link.as_ref().map_or(agent.address, |link| link.address);
-        record.agent = listed.to_string().into();
+        let link = self.spawn_link(agent.address);
+        let agent_address = link.as_ref().map_or(agent.address, |link| link.address);
+        record.agent = agent_address.to_string().into();
         LabUpstream { agent, upstream, link, order_link, record }
     }
 
     fn upstream_arguments(&self, kind: &str) -> Vec<String> {
         let options = &self.options;
-        let pair = |name: &str, value: String| [format!("--{name}"), value];
+        let argument_pair = |name: &str, value: String| [format!("--{name}"), value];
         let pairs = match kind {
             "engine" => vec![
-                pair("load-ms", options.load_ms.to_string()),
-                pair("checks-fencing", options.checks_fencing.to_string()),
-                pair("pieces", options.pieces.0.to_string()),
-                pair("piece-ms", options.pieces.1.to_string()),
+                argument_pair("load-ms", options.load_ms.to_string()),
+                argument_pair("checks-fencing", options.checks_fencing.to_string()),
+                argument_pair("pieces", options.pieces.0.to_string()),
+                argument_pair("piece-ms", options.pieces.1.to_string()),
             ],
-            _ => vec![pair("work-ms", options.plain_ms.to_string())],
+            _ => vec![argument_pair("work-ms", options.plain_ms.to_string())],
         };
         pairs.into_iter().flatten().collect()
     }
 
-    fn link_to(&self, target: SocketAddr) -> Option<LabLink> {
+    fn spawn_link(&self, target: SocketAddr) -> Option<LabLink> {
         self.options.links.then(|| LabLink::spawn(target).expect("a free port"))
     }
 
-    fn spawn_entry(&self, place: usize) -> LabProcess {
-        let settings = self.settings().entry(place);
-        daemon(&self.folder, "mustardrill-entry", &format!("entry-{place}"), &settings)
+    fn spawn_entry(&self, index: usize) -> LabProcess {
+        let settings = self.settings().entry(index);
+        daemon(&self.folder, "mustardrill-entry", &format!("entry-{index}"), &settings)
     }
 
     fn settings(&self) -> LabSettings<'_> {
@@ -459,22 +465,22 @@
 
 impl Drop for Lab {
     fn drop(&mut self) {
-        // A failed test keeps its logs for whoever looks for the cause.
+        // The logs of a failed test are kept to find the cause.
         if !std::thread::panicking() && self.options.folder.is_none() {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
 }
 
-/// The record of the instance at a place, in turn in one of two data centres.
-fn record_of(place: usize, service: &str) -> InstanceRecord {
-    let (centre, region) = if place.is_multiple_of(2) {
+/// The record of the agent with this index; even and odd ones are in different data centres.
+fn instance_record(index: usize, service: &str) -> InstanceRecord {
+    let (centre, region) = if index.is_multiple_of(2) {
         ("gc-hall-a", "guate-central")
     } else {
         ("xela-hall", "occidente")
     };
     InstanceRecord {
-        id: format!("{service}-{place}").parse().expect("a valid instance name"),
+        id: format!("{service}-{index}").parse().expect("a valid instance name"),
         service: service.parse().expect("a valid service name"),
         data_centre: centre.parse().expect("a valid data centre name"),
         region: region.parse().expect("a valid region name"),
--- a/mustardrill_standins/src/lab_settings.rs
+++ b/mustardrill_standins/src/lab_settings.rs
@@ -1,4 +1,4 @@
-//! The settings files of a lab's processes.
+//! Settings files of a lab's entries and agents.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::lab::{CUSTOMER_TOKEN, LabOptions, OPERATOR_TOKEN, SECOND_OPERATOR_TOKEN};
 
-/// What the settings of a lab's processes are made from.
+/// Options and addresses that the settings files of a lab are written from.
 pub(crate) struct LabSettings<'a> {
     pub(crate) options: &'a LabOptions,
     pub(crate) key_value: SocketAddr,
@@ -15,7 +15,7 @@
 }
 
 impl LabSettings<'_> {
-    /// The settings of the agent that stands beside `upstream`.
+    /// The settings of an agent for the upstream at this address; `engine` says of which kind that is.
     pub(crate) fn agent(
         &self,
         record: &InstanceRecord,
@@ -49,14 +49,14 @@
         write_settings(&sections, &self.options.agent_lines)
     }
 
-    /// The settings of the entry at a place.
-    pub(crate) fn entry(&self, place: usize) -> String {
-        let centre = if place.is_multiple_of(2) { "gc-hall-a" } else { "xela-hall" };
+    /// The settings of the entry with this index; even and odd ones are in different data centres.
+    pub(crate) fn entry(&self, index: usize) -> String {
+        let centre = if index.is_multiple_of(2) { "gc-hall-a" } else { "xela-hall" };
         let sections = [
             (
                 "entry",
                 format!(
-                    "instance = entry-{place}\ndata_centre = {centre}\nlisten = 127.0.0.1:0\noperator_listen = 127.0.0.1:0"
+                    "instance = entry-{index}\ndata_centre = {centre}\nlisten = 127.0.0.1:0\noperator_listen = 127.0.0.1:0"
                 ),
             ),
             ("platform", self.platform_lines()),
@@ -79,21 +79,23 @@
     }
 }
 
-fn write_settings(sections: &[(&str, String)], more: &[(&'static str, String)]) -> String {
+fn write_settings(sections: &[(&str, String)], extra_lines: &[(&'static str, String)]) -> String {
     let mut text = String::new();
     for (section, lines) in sections {
-        let added: Vec<_> = more.iter().filter(|(name, _)| name == section).collect();
-        let names: Vec<_> = added.iter().filter_map(|(_, line)| line.split(" = ").next()).collect();
+        let section_lines: Vec<_> =
+            extra_lines.iter().filter(|(name, _)| name == section).collect();
+        let replaced_keys: Vec<_> =
+            section_lines.iter().filter_map(|(_, line)| line.split(" = ").next()).collect();
         text.push_str(&format!("[{section}]\n"));
-        // A further line takes the place of the usual one with the same key.
+        // An extra line replaces the default line with the same key.
         for line in lines.lines() {
-            if !names.contains(&line.split(" = ").next().unwrap_or_default()) {
+            if !replaced_keys.contains(&line.split(" = ").next().unwrap_or_default()) {
                 text.push_str(&format!("{line}\n"));
             }
         }
-        added.iter().for_each(|(_, line)| text.push_str(&format!("{line}\n")));
+        section_lines.iter().for_each(|(_, line)| text.push_str(&format!("{line}\n")));
     }
-    for (section, line) in more {
+    for (section, line) in extra_lines {
         if !sections.iter().any(|(name, _)| name == section) {
             text.push_str(&format!("[{section}]\n{line}\n"));
         }
--- a/mustardrill_standins/src/lib.rs
+++ b/mustardrill_standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the platform, the origin and the upstreams, speaking ordinary HTTP.
+//! Small HTTP stand-ins for the platform, the origin and the upstreams, for tests and benchmarks.
 //!
-//! Each does just what the brief says of the real one, with switches for its failures. The
-//! programs under `examples/` start them as processes; tests start them within their own.
+//! Each behaves as the real service is specified, with switches for its failures. The programs under
+//! `examples/` run them as processes; tests also run them within their own process.
 #![deny(missing_docs, unsafe_code, clippy::unwrap_used)]
 
 pub mod access;
@@ -26,16 +26,16 @@
 use mustardrill_runtime::http::{HttpHandler, HttpServer};
 use tokio_util::sync::CancellationToken;
 
-/// A running stand-in.
+/// A running stand-in; dropping it stops the server.
 #[derive(Debug)]
 pub struct StandIn {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     stop: CancellationToken,
 }
 
 impl StandIn {
-    /// Starts answering at `address` with `handler`.
+    /// Starts a server for `handler`; port zero picks a free port. Fails where the address is taken.
     pub async fn spawn(
         address: SocketAddr,
         handler: Box<dyn HttpHandler>,
@@ -45,7 +45,7 @@
         Ok(Self { address: server.address, stop })
     }
 
-    /// Ends it; connections that are open end after their request.
+    /// Stops accepting connections; open ones are closed after their current request.
     pub fn stop(&self) {
         self.stop.cancel();
     }
--- a/mustardrill_standins/src/link.rs
+++ b/mustardrill_standins/src/link.rs
@@ -1,4 +1,4 @@
-//! The link before one process: every connection to it, to be cut, silenced or slowed one way.
+//! A TCP proxy in front of one process, whose connections can be cut, silenced or slowed.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -10,33 +10,34 @@
 use tokio::sync::watch;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// What becomes of the bytes on a link.
+/// How a link treats the bytes of its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkState {
-    /// They pass.
+    /// Bytes pass in both directions.
     Open,
-    /// They are held in both directions; nothing is closed.
+    /// Bytes are held in both directions and no connection is closed, as in a network partition.
     Silent,
-    /// What is sent to the process passes, what it answers is held.
+    /// Bytes to the process pass; bytes from it are held.
     Mute,
-    /// They are held on connections that are open, as by a middlebox that forgot them; new ones pass.
+    /// Bytes of connections made before are held, as by a middlebox that has lost its connection table;
+    /// connections made in this state pass.
     Stale,
-    /// Every connection is closed, a new one at once.
+    /// Open connections are closed, and new ones as soon as they are accepted.
     Cut,
-    /// Each piece of a few kilobytes that the process sends takes this many milliseconds more.
+    /// Each block of at most 16 KiB from the process is delayed by this many milliseconds.
     Slow(u64),
 }
 
-/// Connections that wait to be taken.
+/// Connections that the operating system queues until they are accepted.
 const BACKLOG: u32 = 1_024;
 
-/// What is held back on its way to the process.
+/// Bytes that were held on their way to the process at any time; later forwarding does not remove them.
 type HeldBytes = Arc<Mutex<Vec<u8>>>;
 
-/// A running link; dropping it refuses new connections, and then closes those that are open.
+/// A running link. Dropping it refuses new connections first, and then closes the open ones.
 #[derive(Debug)]
 pub struct LabLink {
-    /// Where the process is reached over this link.
+    /// Address under which the process is reached over this link.
     pub address: SocketAddr,
     state: watch::Sender<LinkState>,
     held: HeldBytes,
@@ -49,120 +50,132 @@
     FromProcess,
 }
 
-/// One direction of a connection.
+/// One direction of a connection, to decide whether its bytes pass.
 #[derive(Debug, Clone, Copy)]
-struct Passage {
+struct ConnectionFlow {
     direction: LinkDirection,
-    /// Whether it was made while others were stale.
+    /// Whether the connection was made in the state [`LinkState::Stale`].
     is_fresh: bool,
 }
 
 impl LabLink {
-    /// Starts a link to `target`; within a tokio runtime only.
+    /// Starts a link to `target` on a free port; requires a tokio runtime.
     pub fn spawn(target: SocketAddr) -> std::io::Result<Self> {
         Self::spawn_at((Ipv4Addr::LOCALHOST, 0).into(), target)
     }
 
-    /// Starts a link to `target` that listens at `address`, as a process does that starts again.
+    /// Starts a link to `target` that listens at `address`, as a restarted process does.
     pub fn spawn_at(address: SocketAddr, target: SocketAddr) -> std::io::Result<Self> {
-        // Also where connections of an earlier start are still being closed.
+        // Binding also succeeds while connections of an earlier listener are still being closed.
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         let listener = socket.listen(BACKLOG)?;
         let address = listener.local_addr()?;
-        let (state, seen) = watch::channel(LinkState::Open);
-        let (stop, breaking) = (CancellationToken::new(), CancellationToken::new());
+        let (state, link_state) = watch::channel(LinkState::Open);
+        let (stop, connections_stop) = (CancellationToken::new(), CancellationToken::new());
         let held = HeldBytes::default();
-        // A connection also breaks where nobody is left to change the state.
-        let lasting = (breaking.clone().drop_guard(), state.clone());
-        let (ended, seen) = (stop.clone(), (seen, held.clone()));
+        // Both keep connections alive: they close when the guard is dropped, and also when no sender of
+        // the state is left.
+        let connection_guard = (connections_stop.clone().drop_guard(), state.clone());
+        let (listener_stop, link_state) = (stop.clone(), (link_state, held.clone()));
         tokio::spawn(async move {
-            ended.run_until_cancelled(accept(&listener, target, seen, breaking)).await;
-            // Whoever sees a connection break can make no other, as with a process that has crashed.
-            // A close alone is not enough: a process that is being started holds the listener too.
+            listener_stop
+                .run_until_cancelled(accept_connections(
+                    &listener,
+                    target,
+                    link_state,
+                    connections_stop,
+                ))
+                .await;
+            // The listener is shut down before connections close, so that a client that sees its
+            // connection break cannot connect again, as with a crashed process. Closing it is not
+            // enough: a child process that is being started has inherited the descriptor.
             let _ = rustix::net::shutdown(&listener, rustix::net::Shutdown::Both);
-            drop(lasting);
+            drop(connection_guard);
         });
         Ok(Self { address, state, held, _stop: stop.drop_guard() })
     }
 
-    /// Whether bytes on their way to the process were held back with this text in them.
+    /// Whether the bytes held on their way to the process so far contain this text.
     pub fn has_held(&self, text: &str) -> bool {
         let held = self.held.lock().expect("nobody panics under this lock");
         held.windows(text.len()).any(|part| part == text.as_bytes())
     }
 
-    /// Changes what becomes of the bytes, for open connections as well.
+    /// Changes the state, for open connections as well.
     pub fn set(&self, state: LinkState) {
         self.state.send_replace(state);
     }
 }
 
-async fn accept(
+async fn accept_connections(
     listener: &TcpListener,
     target: SocketAddr,
-    (seen, held): (watch::Receiver<LinkState>, HeldBytes),
+    (link_state, held): (watch::Receiver<LinkState>, HeldBytes),
     stop: CancellationToken,
 ) {
-    while let Ok((near, _)) = listener.accept().await {
-        let (seen, held, stop) = (seen.clone(), held.clone(), stop.clone());
-        tokio::spawn(stop.run_until_cancelled_owned(join(near, target, seen, held)));
+    while let Ok((client, _)) = listener.accept().await {
+        let (link_state, held, stop) = (link_state.clone(), held.clone(), stop.clone());
+        tokio::spawn(
+            stop.run_until_cancelled_owned(proxy_connection(client, target, link_state, held)),
+        );
     }
 }
 
-/// Joins two connections until one ends or the link is cut.
-async fn join(
-    near: TcpStream,
+/// Forwards bytes between a client and the process until both directions end or the link is cut.
+async fn proxy_connection(
+    client: TcpStream,
     target: SocketAddr,
-    mut seen: watch::Receiver<LinkState>,
+    mut link_state: watch::Receiver<LinkState>,
     held: HeldBytes,
 ) {
-    if *seen.borrow() == LinkState::Cut {
+    if *link_state.borrow() == LinkState::Cut {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    // A connection that was made while others are stale is none of them.
-    let is_fresh = *seen.borrow() == LinkState::Stale;
-    let to_process = Passage { direction: LinkDirection::ToProcess, is_fresh };
-    let from_process = Passage { direction: LinkDirection::FromProcess, is_fresh };
-    let there = carry(near_read, far_write, to_process, seen.clone(), Some(held));
-    let back = carry(far_read, near_write, from_process, seen.clone(), None);
+    let Ok(server) = TcpStream::connect(target).await else { return };
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    // Only connections made before the link became stale are affected by it.
+    let is_fresh = *link_state.borrow() == LinkState::Stale;
+    let to_process = ConnectionFlow { direction: LinkDirection::ToProcess, is_fresh };
+    let from_process = ConnectionFlow { direction: LinkDirection::FromProcess, is_fresh };
+    let upward = forward(client_read, server_write, to_process, link_state.clone(), Some(held));
+    let downward = forward(server_read, client_write, from_process, link_state.clone(), None);
     tokio::select! {
         () = async {
-            tokio::join!(there, back);
+            tokio::join!(upward, downward);
         } => {}
         () = async {
-            let _ = seen.wait_for(|state| *state == LinkState::Cut).await;
+            let _ = link_state.wait_for(|state| *state == LinkState::Cut).await;
         } => {}
     }
 }
 
-async fn carry(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    passage: Passage,
-    mut seen: watch::Receiver<LinkState>,
+    flow: ConnectionFlow,
+    mut link_state: watch::Receiver<LinkState>,
     held: Option<HeldBytes>,
 ) {
-    const PIECE: usize = 16 << 10;
-    let mut buffer = vec![0; PIECE];
+    const BLOCK_BYTES: usize = 16 << 10;
+    let mut buffer = vec![0; BLOCK_BYTES];
     while let Ok(count) = from.read(&mut buffer).await {
         if count == 0 {
             break;
         }
-        let is_held = !passage.is_open(*seen.borrow());
+        let is_held = !flow.is_open(*link_state.borrow());
         if let Some(held) = held.as_ref().filter(|_| is_held) {
             let mut held = held.lock().expect("nobody panics under this lock");
             held.extend_from_slice(&buffer[..count]);
         }
-        let passed = seen.wait_for(|state| passage.is_open(*state)).await.map(|state| *state);
-        let Ok(state) = passed else { return };
-        if let (LinkState::Slow(more), LinkDirection::FromProcess) = (state, passage.direction) {
-            tokio::time::sleep(Duration::from_millis(more)).await;
+        let open_state =
+            link_state.wait_for(|state| flow.is_open(*state)).await.map(|state| *state);
+        let Ok(state) = open_state else { return };
+        if let (LinkState::Slow(delay_ms), LinkDirection::FromProcess) = (state, flow.direction) {
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
         if to.write_all(&buffer[..count]).await.is_err() {
             return;
@@ -171,7 +184,7 @@
     let _ = to.shutdown().await;
 }
 
-impl Passage {
+impl ConnectionFlow {
     fn is_open(self, state: LinkState) -> bool {
         match state {
             LinkState::Open | LinkState::Slow(_) => true,
--- a/mustardrill_standins/src/load.rs
+++ b/mustardrill_standins/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers that check every answer: whole, from one version's weights, and their own.
+//! Load driver: callers that check that each answer is complete, from one version's weights, and theirs.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,65 +13,65 @@
 use crate::engine::answer_text;
 use crate::lab::caller_request;
 
-/// How callers call.
+/// What the callers of a [`LoadDriver`] send.
 #[derive(Debug, Clone)]
 pub struct LoadOptions {
-    /// The entries, called in turn.
+    /// Addresses of the entries, called round robin.
     pub entries: Vec<SocketAddr>,
-    /// The path.
+    /// Path of each request.
     pub path: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// The pieces of an engine's answer; the answer is not checked where there are none.
+    /// Number of pieces in an engine's answer; `None` expects the answer of a plain service.
     pub pieces: Option<u64>,
-    /// Whether each request is sent with an idempotency key.
+    /// Whether each request has an idempotency key of its own.
     pub keyed: bool,
-    /// The time limit that each request names.
+    /// Time limit sent with each request; a caller gives up two seconds after it.
     pub timeout: Duration,
 }
 
-/// What became of all requests so far.
+/// Outcomes of the requests sent since the start or the latest reset.
 #[derive(Debug, Clone)]
 pub struct LoadReport {
     /// Requests sent.
     pub sent: u64,
-    /// Answered whole and right.
+    /// Complete and correct answers.
     pub whole: u64,
-    /// Told "not run".
+    /// Refusals that say that the request was not run.
     pub not_run: u64,
-    /// Told "unknown" or failed truthfully.
+    /// Refusals that do not say so: the request may have run, or has failed.
     pub unknown: u64,
-    /// Ended as a cut or without any answer; the caller's library saw an error.
+    /// Broken off or without any answer, so that the HTTP client reported an error or timed out.
     pub lost: u64,
-    /// Answered short or wrong without an error. There must be none, ever.
+    /// Answers that are incomplete or wrong but look successful. There must never be any.
     pub wrong: u64,
-    /// The result codes that were not 1000, with their counts.
+    /// Number of refusals by result code; 1000, a successful answer, is none of them.
     pub codes: std::collections::BTreeMap<String, u64>,
-    /// The weights that answers were made from, with their counts.
+    /// Number of complete answers by the digest of the weights that made them.
     pub weights: std::collections::BTreeMap<String, u64>,
-    /// The time to whole answers, in microseconds.
+    /// Times from request to the end of a complete answer, in microseconds.
     pub times: Histogram<u64>,
-    /// The time to refusals, in microseconds.
+    /// Times from request to refusal, in microseconds.
     pub refusal_times: Histogram<u64>,
 }
 
-/// Callers that run until they are stopped.
+/// Sends requests at a steady rate until it is finished.
 #[derive(Debug)]
 pub struct LoadDriver {
-    counting: Arc<Mutex<Counting>>,
+    counter: Arc<Mutex<RoundCounter>>,
     stop: CancellationToken,
     tracker: TaskTracker,
 }
 
-/// The report, and which requests it counts: those sent since it began.
+/// The report of the current round; requests sent in earlier rounds are not counted in it.
 #[derive(Debug, Default)]
-struct Counting {
+struct RoundCounter {
     report: LoadReport,
     round: u64,
 }
 
-enum Fate {
-    Whole(String),
+enum RequestOutcome {
+    Complete(String),
     Refused(String, bool),
     Lost,
     Wrong,
@@ -95,19 +95,19 @@
 }
 
 impl LoadReport {
-    /// The time within which this share of whole answers came, in milliseconds.
+    /// Quantile of the times of complete answers, in milliseconds; `share` is from 0 to 1.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         self.times.value_at_quantile(share) as f64 / 1_000.0
     }
 
-    fn note(&mut self, fate: Fate, took: Duration) {
-        match fate {
-            Fate::Whole(weights) => {
+    fn record(&mut self, outcome: RequestOutcome, took: Duration) {
+        match outcome {
+            RequestOutcome::Complete(weights) => {
                 self.whole += 1;
                 *self.weights.entry(weights).or_default() += 1;
                 let _ = self.times.record(took.as_micros() as u64);
             }
-            Fate::Refused(code, is_not_run) => {
+            RequestOutcome::Refused(code, is_not_run) => {
                 *self.codes.entry(code).or_default() += 1;
                 let _ = self.refusal_times.record(took.as_micros() as u64);
                 if is_not_run {
@@ -116,32 +116,32 @@
                     self.unknown += 1;
                 }
             }
-            Fate::Lost => self.lost += 1,
-            Fate::Wrong => self.wrong += 1,
+            RequestOutcome::Lost => self.lost += 1,
+            RequestOutcome::Wrong => self.wrong += 1,
         }
     }
 }
 
-impl Counting {
-    fn begin(&mut self) -> u64 {
+impl RoundCounter {
+    fn count_sent(&mut self) -> u64 {
         self.report.sent += 1;
         self.round
     }
 
-    fn end(&mut self, round: u64, fate: Fate, took: Duration) {
+    fn record_outcome(&mut self, round: u64, outcome: RequestOutcome, took: Duration) {
         if round == self.round {
-            self.report.note(fate, took);
+            self.report.record(outcome, took);
         }
     }
 }
 
 impl LoadDriver {
-    /// Starts callers that send at a steady rate, whether or not answers come.
+    /// Starts sending, open loop: the rate does not depend on the answers.
     pub fn spawn(client: HttpClient, options: LoadOptions) -> Self {
-        let counting = Arc::new(Mutex::new(Counting::default()));
+        let counter = Arc::new(Mutex::new(RoundCounter::default()));
         let (stop, tracker) = (CancellationToken::new(), TaskTracker::new());
         let driver =
-            Self { counting: counting.clone(), stop: stop.clone(), tracker: tracker.clone() };
+            Self { counter: counter.clone(), stop: stop.clone(), tracker: tracker.clone() };
         tokio::spawn(async move {
             let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / options.rate));
             let options = Arc::new(options);
@@ -151,32 +151,35 @@
                     () = stop.cancelled() => return,
                 }
                 let (client, options) = (client.clone(), options.clone());
-                let counting = counting.clone();
+                let counter = counter.clone();
                 tracker.spawn(async move {
-                    let round = counting.lock().expect("no panic under this lock").begin();
+                    let round = counter.lock().expect("no panic under this lock").count_sent();
                     let started = Instant::now();
-                    let fate = call(&client, &options, number).await;
+                    let outcome = send_request(&client, &options, number).await;
                     let took = started.elapsed();
-                    counting.lock().expect("no panic under this lock").end(round, fate, took);
+                    counter
+                        .lock()
+                        .expect("no panic under this lock")
+                        .record_outcome(round, outcome, took);
                 });
             }
         });
         driver
     }
 
-    /// What became of the requests so far.
+    /// A copy of the report so far.
     pub fn report(&self) -> LoadReport {
-        self.counting.lock().expect("no panic under this lock").report.clone()
+        self.counter.lock().expect("no panic under this lock").report.clone()
     }
 
-    /// Starts counting anew; requests that are under way are not counted any more.
+    /// Starts an empty report; requests that are under way are left out of it.
     pub fn reset(&self) {
-        let mut counting = self.counting.lock().expect("no panic under this lock");
-        counting.round += 1;
-        counting.report = LoadReport::default();
+        let mut counter = self.counter.lock().expect("no panic under this lock");
+        counter.round += 1;
+        counter.report = LoadReport::default();
     }
 
-    /// Sends nothing more, waits for the answers and returns the report.
+    /// Stops sending, waits up to 30 seconds for outstanding answers and returns the report.
     pub async fn finish(self) -> LoadReport {
         self.stop.cancel();
         self.tracker.close();
@@ -185,7 +188,7 @@
     }
 }
 
-async fn call(client: &HttpClient, options: &LoadOptions, number: u64) -> Fate {
+async fn send_request(client: &HttpClient, options: &LoadOptions, number: u64) -> RequestOutcome {
     let entry = options.entries[number as usize % options.entries.len()];
     let prompt = format!("request {number} of {:08x}", rand::random::<u32>());
     let mut sent = caller_request(entry, &options.path, &prompt);
@@ -196,24 +199,24 @@
         sent.headers_mut().insert("idempotency-key", key);
     }
     let limit = options.timeout + Duration::from_secs(2);
-    let answered = tokio::time::timeout(limit, async {
+    let exchange = tokio::time::timeout(limit, async {
         let (head, body) = client.stream(sent).await.map_err(drop)?.into_parts();
         let body = body.collect().await.map_err(drop)?.to_bytes();
         Ok::<_, ()>((head, body))
     });
-    let Ok(Ok((head, body))) = answered.await else { return Fate::Lost };
-    let text = |name: &str| {
+    let Ok(Ok((head, body))) = exchange.await else { return RequestOutcome::Lost };
+    let header = |name: &str| {
         let value = head.headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
     if !head.status.is_success() {
-        let said: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-        return Fate::Refused(text("mustardrill-code"), said["run"] == "not-run");
+        let refusal: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+        return RequestOutcome::Refused(header("mustardrill-code"), refusal["run"] == "not-run");
     }
-    let weights = text("x-weights");
+    let weights = header("x-weights");
     match options.pieces {
-        Some(pieces) if body != answer_text(&weights, &prompt, pieces) => Fate::Wrong,
-        None if body != format!("done: {prompt}\n") => Fate::Wrong,
-        _ => Fate::Whole(weights),
+        Some(pieces) if body != answer_text(&weights, &prompt, pieces) => RequestOutcome::Wrong,
+        None if body != format!("done: {prompt}\n") => RequestOutcome::Wrong,
+        _ => RequestOutcome::Complete(weights),
     }
 }
--- a/mustardrill_standins/src/origin.rs
+++ b/mustardrill_standins/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin of weights and the weight store: byte ranges, `ETag`s, a link of limited rate.
+//! Stand-in for the origin of weights and the weight store: byte ranges, `ETag`s, a rate-limited link.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,34 +22,34 @@
 use crate::fault::FaultPanel;
 use crate::pace::PacedLink;
 
-/// How much is sent at once; small, so that readers share the link evenly.
-const PIECE: usize = 16_384;
+/// Bytes sent at once; small, so that concurrent readers share the link evenly.
+const PIECE_BYTES: usize = 16_384;
 
-/// The weights that an origin has.
+/// The published versions of an origin, kept in memory, and the link over which it sends them.
 #[derive(Debug)]
 pub struct WeightShelf {
-    versions: Mutex<BTreeMap<String, Published>>,
+    versions: Mutex<BTreeMap<String, PublishedWeights>>,
     link: PacedLink,
     sent: AtomicU64,
-    /// The switches.
+    /// Fault switches, also set over HTTP.
     pub faults: FaultPanel,
 }
 
-/// Answers reads of a shelf.
+/// Serves an origin's versions over HTTP.
 #[derive(Debug, Clone)]
 pub struct OriginHandler {
-    /// The shelf, shared with whoever publishes from a test.
+    /// The versions, shared with tests that publish more.
     pub shelf: Arc<WeightShelf>,
 }
 
 #[derive(Debug, Clone)]
-struct Published {
+struct PublishedWeights {
     manifest: Bytes,
     bytes: Bytes,
 }
 
 impl WeightShelf {
-    /// An empty shelf behind a link of this rate in bytes a second; zero is unlimited.
+    /// Creates an origin without versions; `rate` is its link's in bytes per second, zero is unlimited.
     pub fn new(rate: u64) -> Self {
         Self {
             versions: Mutex::default(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Publishes a version of `size` bytes made from `seed`, and returns its manifest.
+    /// Publishes a version of `size` random bytes drawn from `seed`, and returns its manifest.
     pub fn publish(
         &self,
         model: &str,
@@ -73,17 +73,18 @@
         let model_name = model.parse().expect("a valid model name");
         let version_name = version.parse().expect("a valid version name");
         let manifest = Manifest::describe(model_name, version_name, ByteSize(chunk), &bytes);
-        let published = Published { manifest: manifest.encode().into(), bytes: bytes.into() };
+        let published =
+            PublishedWeights { manifest: manifest.encode().into(), bytes: bytes.into() };
         self.versions().insert(format!("{model}/{version}"), published);
         manifest
     }
 
-    /// How many bytes of weights were sent.
+    /// Bytes of weights sent so far; manifests are not counted.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    fn versions(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, Published>> {
+    fn versions(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, PublishedWeights>> {
         self.versions.lock().expect("nobody panics under this lock")
     }
 }
@@ -91,11 +92,11 @@
 impl HttpHandler for OriginHandler {
     fn handle(&self, request: Request<Incoming>, _: SocketAddr) -> BoxFuture<'static, AnyResponse> {
         let shelf = self.shelf.clone();
-        Box::pin(async move { answer(shelf, &request).await })
+        Box::pin(async move { handle_request(shelf, &request).await })
     }
 }
 
-async fn answer(shelf: Arc<WeightShelf>, request: &Request<Incoming>) -> AnyResponse {
+async fn handle_request(shelf: Arc<WeightShelf>, request: &Request<Incoming>) -> AnyResponse {
     if let Some(answer) = shelf.faults.admin(request) {
         return answer;
     }
@@ -104,7 +105,7 @@
         return text_response(StatusCode::OK, shelf.sent().to_string());
     }
     if path == "/admin/publish" {
-        return publish(&shelf, request);
+        return handle_publish(&shelf, request);
     }
     let faults = shelf.faults.get();
     if faults.down {
@@ -125,7 +126,7 @@
     }
 }
 
-fn publish(shelf: &WeightShelf, request: &Request<Incoming>) -> AnyResponse {
+fn handle_publish(shelf: &WeightShelf, request: &Request<Incoming>) -> AnyResponse {
     let text = |name| query(request.uri(), name);
     let number = |name| text(name).and_then(|text| text.parse::<u64>().ok());
     let (Some(model), Some(version)) = (text("model"), text("version")) else {
@@ -139,15 +140,15 @@
 
 fn send_range(
     shelf: Arc<WeightShelf>,
-    published: &Published,
+    published: &PublishedWeights,
     request: &Request<Incoming>,
 ) -> AnyResponse {
     let range = request.headers().get(hyper::header::RANGE).and_then(|value| value.to_str().ok());
     let range = range.and_then(|text| text.strip_prefix("bytes=")?.split_once('-'));
-    let whole = published.bytes.len();
-    let start = range.and_then(|(start, _)| start.parse().ok()).unwrap_or(0).min(whole);
-    let end = range.and_then(|(_, end)| end.parse::<usize>().ok()).map_or(whole, |end| end + 1);
-    let end = end.clamp(start, whole);
+    let total = published.bytes.len();
+    let start = range.and_then(|(start, _)| start.parse().ok()).unwrap_or(0).min(total);
+    let end = range.and_then(|(_, end)| end.parse::<usize>().ok()).map_or(total, |end| end + 1);
+    let end = end.clamp(start, total);
     let mut bytes = published.bytes.slice(start..end);
     if shelf.faults.get().corrupt && !bytes.is_empty() {
         let mut changed = bytes.to_vec();
@@ -162,14 +163,14 @@
         if shelf.faults.get().stall {
             std::future::pending::<()>().await;
         }
-        let piece = rest.split_to(rest.len().min(PIECE));
-        shelf.link.pass(piece.len()).await;
+        let piece = rest.split_to(rest.len().min(PIECE_BYTES));
+        shelf.link.transmit(piece.len()).await;
         shelf.sent.fetch_add(piece.len() as u64, Ordering::Relaxed);
         Some((Ok::<_, CutError>(Frame::data(piece)), (shelf, rest)))
     });
     let mut response = Response::new(StreamBody::new(pieces).boxed_unsync());
-    let partial = if range.is_some() { StatusCode::PARTIAL_CONTENT } else { StatusCode::OK };
-    *response.status_mut() = partial;
+    let status = if range.is_some() { StatusCode::PARTIAL_CONTENT } else { StatusCode::OK };
+    *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(hyper::header::CONTENT_LENGTH, length.into());
     let etag = blake3::hash(&published.manifest).to_hex();
--- a/mustardrill_standins/src/plain.rs
+++ b/mustardrill_standins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service: runs a call once for each time it is asked, and remembers how often.
+//! Stand-in for a plain service: runs each call as often as it is received, and records every run.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,27 +10,27 @@
 use hyper::{Request, StatusCode};
 use mustardrill_runtime::http::{AnyResponse, HttpHandler, json_response, text_response};
 
-/// The state of one plain service.
+/// Work time and recorded runs of one plain service.
 #[derive(Debug, Default)]
 pub struct PlainState {
     work_time: Duration,
     runs: Mutex<Vec<String>>,
 }
 
-/// Answers calls to a plain service.
+/// Serves a plain service over HTTP.
 #[derive(Debug, Clone)]
 pub struct PlainHandler {
-    /// The state, shared with whoever looks in from a test.
+    /// The state, shared with tests that inspect it.
     pub state: Arc<PlainState>,
 }
 
 impl PlainState {
-    /// A service that takes `work_time` for a call.
+    /// Creates a service that takes `work_time` for each call, any number of calls at once.
     pub fn new(work_time: Duration) -> Self {
         Self { work_time, runs: Mutex::default() }
     }
 
-    /// The calls that were run, in order.
+    /// Bodies of the calls that were run, in order; a call that was run twice is listed twice.
     pub fn runs(&self) -> Vec<String> {
         self.runs.lock().expect("nobody panics under this lock").clone()
     }
--- a/mustardrill_standins/src/program.rs
+++ b/mustardrill_standins/src/program.rs
@@ -1,4 +1,6 @@
-//! What the stand-ins' programs share: `--listen IP:PORT` and options of the form `--name VALUE`.
+//! Command line and server loop shared by the stand-ins' programs.
+//!
+//! All take `--listen IP:PORT` and further options in the form `--name VALUE`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +18,7 @@
 }
 
 impl ProgramOptions {
-    /// Reads the command line; ends the process with a message where it is malformed.
+    /// Reads the command line; a malformed one is reported and ends the process with status 2.
     pub fn read() -> Self {
         Self::parse().unwrap_or_else(|error| {
             eprintln!("{error}");
@@ -24,7 +26,7 @@
         })
     }
 
-    /// The value of an option, or its default.
+    /// The value of an option; the default where it is missing or cannot be parsed.
     pub fn get<T: FromStr>(&self, name: &str, default: T) -> T {
         self.values.get(name).and_then(|text| text.parse().ok()).unwrap_or(default)
     }
@@ -41,7 +43,9 @@
     }
 }
 
-/// Answers with `handler` until the process is ended.
+/// Serves `handler` at the `--listen` address, or a free local port, until Ctrl-C.
+///
+/// Prints `ready address=IP:PORT` once it listens, which the lab waits for.
 pub fn serve(options: &ProgramOptions, handler: Box<dyn HttpHandler>) {
     let address = options.get("listen", SocketAddr::from(([127, 0, 0, 1], 0)));
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
