--- a/mustardrill_standins/examples/demo.rs
+++ b/mustardrill_standins/examples/demo.rs
@@ -1,4 +1,7 @@
-//! The main job from end to end in separate processes: `scripts/demo`.
+//! Demo of a rollout in separate processes, run by `scripts/demo`.
+//!
+//! Distributes a first version to all engines, then a second one under live requests, and compares the
+//! times with a lower bound.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -33,12 +36,12 @@
     keep: bool,
 }
 
-struct Burst {
+struct RolloutResult {
     name: &'static str,
     time: Duration,
     bound: Duration,
     origin_share: f64,
-    /// The most that a machine's link took down and up, in copies.
+    /// The largest numbers of bytes received and sent by any machine, divided by the size of the weights.
     link_shares: (f64, f64),
     report: LoadReport,
 }
@@ -58,8 +61,8 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     runtime.expect("the runtime starts").block_on(async {
         tokio::select! {
-            is_right = run(&options) => if is_right { 0 } else { 1 }.into(),
-            // Dropping the lab ends everything that it started.
+            succeeded = run(&options) => if succeeded { 0 } else { 1 }.into(),
+            // Dropping the lab kills every process that it started.
             _ = tokio::signal::ctrl_c() => 130.into(),
         }
     })
@@ -93,7 +96,7 @@
 }
 
 async fn run(options: &DemoOptions) -> bool {
-    progress("starting the stand-ins, two entries and the agents");
+    print_progress("starting the stand-ins, two entries and the agents");
     let lab = Lab::spawn(LabOptions {
         agents: options.agents,
         origin_rate: options.rate * 2,
@@ -103,17 +106,19 @@
         ..LabOptions::default()
     })
     .await;
-    let first = lab.publish(MODEL, "v1", options.size, options.chunk, options.seed).await;
-    let second = lab.publish(MODEL, "v2", options.size, options.chunk, options.seed + 1).await;
-    progress("waiting until the entries see the fleet");
+    let first_digest = lab.publish(MODEL, "v1", options.size, options.chunk, options.seed).await;
+    let second_digest =
+        lab.publish(MODEL, "v2", options.size, options.chunk, options.seed + 1).await;
+    print_progress("waiting until the entries see the fleet");
     lab.wait_fleet(0, options.agents + 1, Duration::from_secs(10)).await;
 
-    let Some(cold) = burst(&lab, options, "first version", "v1", &first, None).await else {
-        return failed(&lab);
+    let Some(cold) = run_rollout(&lab, options, "first version", "v1", &first_digest, None).await
+    else {
+        return report_failure(&lab);
     };
-    progress("waiting until both entries route to the model");
+    print_progress("waiting until both entries route to the model");
     if !lab.wait_ready(&format!("/v1/models/{MODEL}/draft"), Duration::from_secs(20)).await {
-        return failed(&lab);
+        return report_failure(&lab);
     }
     let driver = LoadDriver::spawn(
         lab.client.clone(),
@@ -126,36 +131,36 @@
             timeout: Duration::from_secs(10),
         },
     );
-    progress("live requests alone, for comparison");
+    print_progress("live requests alone, for comparison");
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let quiet = driver.report();
+    let baseline = driver.report();
     driver.reset();
     let Some(mut swap) =
-        burst(&lab, options, "swap under load", "v2", &second, Some(&driver)).await
+        run_rollout(&lab, options, "swap under load", "v2", &second_digest, Some(&driver)).await
     else {
-        return failed(&lab);
+        return report_failure(&lab);
     };
     swap.report = driver.finish().await;
-    progress("");
-    print_table(options, &[cold, swap], &quiet);
+    print_progress("");
+    print_table(options, &[cold, swap], &baseline);
     if options.keep {
-        keep(&lab).await;
+        keep_running(&lab).await;
     }
     true
 }
 
-async fn burst(
+async fn run_rollout(
     lab: &Lab,
     options: &DemoOptions,
     name: &'static str,
     version: &str,
     digest: &str,
     driver: Option<&LoadDriver>,
-) -> Option<Burst> {
+) -> Option<RolloutResult> {
     let sent_before = lab.origin_sent().await;
     let links_before = lab.link_bytes(digest).await;
     let started = Instant::now();
-    let revision = revision_of(lab).await;
+    let revision = current_revision(lab).await;
     let (status, body) = lab.apply(0, &entry_text(version, revision, options.agents)).await;
     if status != 200 {
         eprintln!("the edit was not accepted: {status} {body}");
@@ -165,7 +170,7 @@
         let serving = lab.serving().await;
         let count = serving.iter().flatten().filter(|found| *found == digest).count();
         let answered = driver.map_or(0, |driver| driver.report().whole);
-        progress(&format!(
+        print_progress(&format!(
             "{name}: {count} of {} serve {version}, {:.1} s, {answered} requests answered",
             options.agents,
             started.elapsed().as_secs_f64()
@@ -179,34 +184,35 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let time = started.elapsed();
-    let drawn = lab.origin_sent().await - sent_before;
+    let origin_sent = lab.origin_sent().await - sent_before;
     let links = lab.link_bytes(digest).await;
-    let grown = |of: fn(&(u64, u64)) -> u64| {
+    let largest_growth = |of: fn(&(u64, u64)) -> u64| {
         let pairs = links.iter().zip(&links_before);
-        let most = pairs.map(|(after, before)| of(after) - of(before)).max();
-        most.unwrap_or_default() as f64 / options.size as f64
+        let largest = pairs.map(|(after, before)| of(after) - of(before)).max();
+        largest.unwrap_or_default() as f64 / options.size as f64
     };
     let waves =
         if driver.is_some() { options.agents.div_ceil((options.agents / 4).max(1)) } else { 1 };
-    Some(Burst {
+    Some(RolloutResult {
         name,
         time,
-        bound: bound(options, waves),
-        origin_share: drawn as f64 / options.size as f64,
-        link_shares: (grown(|link| link.0), grown(|link| link.1)),
+        bound: time_bound(options, waves),
+        origin_share: origin_sent as f64 / options.size as f64,
+        link_shares: (largest_growth(|link| link.0), largest_growth(|link| link.1)),
         report: driver.map(LoadDriver::report).unwrap_or_default(),
     })
 }
 
+/// Lower bound on the time of a rollout, for size S and N agents:
 /// `S / min(origin, machine) + (1 + log2 N) * chunk / machine + waves * load`.
-fn bound(options: &DemoOptions, waves: usize) -> Duration {
+fn time_bound(options: &DemoOptions, waves: usize) -> Duration {
     let rate = options.rate as f64;
     let hops = 1.0 + (options.agents as f64).log2().ceil();
     let transfer = options.size as f64 / rate + hops * options.chunk as f64 / rate;
     Duration::from_secs_f64(transfer) + Duration::from_millis(LOAD_MS) * waves as u32
 }
 
-async fn revision_of(lab: &Lab) -> Option<u64> {
+async fn current_revision(lab: &Lab) -> Option<u64> {
     let token = mustardrill_standins::lab::OPERATOR_TOKEN;
     let (_, body) = lab.operate(0, "GET", "/v1/catalogue?json=1", "", token).await;
     body["catalogue"]["entries"][MODEL]["revision"].as_u64()
@@ -220,7 +226,7 @@
     )
 }
 
-fn print_table(options: &DemoOptions, bursts: &[Burst], quiet: &LoadReport) {
+fn print_table(options: &DemoOptions, results: &[RolloutResult], baseline: &LoadReport) {
     println!(
         "{} agents in two data centres, {} MB, machine links {} MB/s, origin {} MB/s",
         options.agents,
@@ -243,16 +249,16 @@
         "lost",
         "wrong"
     );
-    for burst in bursts {
-        let (time, bound) = (burst.time.as_secs_f64(), burst.bound.as_secs_f64());
-        let report = &burst.report;
+    for result in results {
+        let (time, bound) = (result.time.as_secs_f64(), result.bound.as_secs_f64());
+        let report = &result.report;
         println!(
             "{:<16} {time:>9.2} {bound:>9.2} {:>11.3} {:>13.3} {:>10.3} {:>8.3} {:>7} {:>7} {:>8} {:>6} {:>6}",
-            burst.name,
+            result.name,
             time / bound,
-            burst.origin_share,
-            burst.link_shares.0,
-            burst.link_shares.1,
+            result.origin_share,
+            result.link_shares.0,
+            result.link_shares.1,
             report.sent,
             report.whole,
             report.not_run,
@@ -263,20 +269,20 @@
             println!("                 result codes other than 1000: {:?}", report.codes);
         }
     }
-    let during = bursts.last().map(|burst| burst.report.quantile_ms(0.99)).unwrap_or_default();
-    let alone = quiet.quantile_ms(0.99);
+    let during = results.last().map(|result| result.report.quantile_ms(0.99)).unwrap_or_default();
+    let alone = baseline.quantile_ms(0.99);
     println!(
         "live requests p99: {alone:.1} ms without a burst, {during:.1} ms during the swap, ratio {:.2}",
         during / alone
     );
 }
 
-fn failed(lab: &Lab) -> bool {
+fn report_failure(lab: &Lab) -> bool {
     eprintln!("\nthe burst did not end; settings and logs were in {}", lab.folder().display());
     false
 }
 
-async fn keep(lab: &Lab) {
+async fn keep_running(lab: &Lab) {
     println!("\nentries for callers:");
     lab.entries.iter().for_each(|entry| println!("  http://{}", entry.address));
     println!("operator ports:");
@@ -287,8 +293,9 @@
     std::future::pending::<()>().await;
 }
 
-/// Writes over the line of progress; on a pipe nothing is written.
-fn progress(text: &str) {
+/// Overwrites the progress line of a terminal. Elsewhere it writes lines, without the repeated ones that
+/// give a time.
+fn print_progress(text: &str) {
     use std::io::IsTerminal;
     let mut output = std::io::stderr();
     if output.is_terminal() {
--- a/mustardrill_standins/examples/engine.rs
+++ b/mustardrill_standins/examples/engine.rs
@@ -1,4 +1,7 @@
-//! A model engine as a process: `--listen`, `--capacity`, `--load-ms`, `--checks-fencing`.
+//! Runs the stand-in for a model engine as a process.
+//!
+//! Options: `--listen IP:PORT`, `--capacity N`, `--pieces N`, `--piece-ms N`, `--load-ms N` and
+//! `--checks-fencing true|false`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,10 +11,10 @@
 
 fn main() {
     let options = ProgramOptions::read();
-    let usual = EngineOptions::default();
+    let defaults = EngineOptions::default();
     let engine = EngineOptions {
-        capacity: options.get("capacity", usual.capacity),
-        pieces: options.get("pieces", usual.pieces),
+        capacity: options.get("capacity", defaults.capacity),
+        pieces: options.get("pieces", defaults.pieces),
         piece_time: Duration::from_millis(options.get("piece-ms", 5)),
         load_time: Duration::from_millis(options.get("load-ms", 200)),
         checks_fencing: options.get("checks-fencing", true),
--- a/mustardrill_standins/examples/experiment.rs
+++ b/mustardrill_standins/examples/experiment.rs
@@ -1,4 +1,4 @@
-//! Plays a load pattern with each mechanism of the entries and without it.
+//! Simulates a load pattern with all mechanisms of the entries, and with each one switched off.
 //!
 //! `cargo run --release -p mustardrill_standins --example experiment -- PATTERN.ini [--seeds N]
 //! [--settings ENTRY.ini] [--only NAME]... [--json FILE] [--plot FILE.svg]`
@@ -31,10 +31,10 @@
   -h, --help           this text
 ";
 
-/// Longer than all prompts that an engine may have to read.
+/// Longer than the prefill of all prompts that an engine can have queued.
 const NO_LIMIT: Millis = Millis(1_000_000);
 
-/// A mechanism, and how the settings switch it off.
+/// A mechanism of the entries, and the settings that switch it off.
 struct MechanismSwitch {
     name: &'static str,
     off: fn(&mut DirectSettings),
@@ -63,15 +63,15 @@
     plot: Option<PathBuf>,
 }
 
-/// The plays of one variant.
+/// The simulations of one variant, one for each seed.
 #[derive(Serialize)]
 struct VariantResult {
-    /// The mechanism that is off; nothing with all of them.
+    /// The mechanism that is switched off; `None` with all of them on.
     without: Option<&'static str>,
     plays: Vec<PlayReport>,
 }
 
-/// A mean over plays, and how far single ones lie from it.
+/// Mean over simulations, with the standard deviation.
 struct MeanSpread {
     mean: f64,
     spread: f64,
@@ -92,30 +92,30 @@
         print!("{HELP}");
         return Ok(());
     };
-    let pattern = checked(LoadPattern::read(open(&options.pattern)?))?;
+    let pattern = report_faults(LoadPattern::read(open_settings(&options.pattern)?))?;
     let reader = match &options.settings {
-        Some(path) => open(path)?,
+        Some(path) => open_settings(path)?,
         None => SettingsReader::read("plain entry", PLAIN_ENTRY).map_err(|it| it.to_string())?,
     };
-    let settings = checked(direct::read(reader))?.direct;
-    let chosen: Vec<_> = MECHANISMS.iter().filter(|it| options.chooses(it.name)).collect();
+    let settings = report_faults(direct::read(reader))?.direct;
+    let selected: Vec<_> = MECHANISMS.iter().filter(|it| options.includes(it.name)).collect();
     if let Some(unknown) = options.only.iter().find(|name| !is_mechanism(name)) {
         let known: Vec<_> = MECHANISMS.iter().map(|it| it.name).collect();
         return Err(format!("--only {unknown}: write one of {}", known.join(", ")).into());
     }
-    let plays = (chosen.len() as u64 + 1) * options.seeds;
-    let mut played = 0;
+    let plays = (selected.len() as u64 + 1) * options.seeds;
+    let mut started_count = 0;
     let mut variant = |without, settings: &DirectSettings| {
         let seeds = 1..=options.seeds;
         let plays = seeds.map(|seed| {
-            played += 1;
-            eprint!("\rplay {played} of {plays}");
+            started_count += 1;
+            eprint!("\rplay {started_count} of {plays}");
             play(&pattern, settings, seed)
         });
         VariantResult { without, plays: plays.collect() }
     };
     let mut results = vec![variant(None, &settings)];
-    for mechanism in chosen {
+    for mechanism in selected {
         let mut settings = settings.clone();
         (mechanism.off)(&mut settings);
         results.push(variant(Some(mechanism.name), &settings));
@@ -126,13 +126,13 @@
         std::fs::write(path, serde_json::to_vec_pretty(&results)?)?;
     }
     if let Some(path) = &options.plot {
-        draw(path, &results[0].plays[0].seconds)?;
+        draw_chart(path, &results[0].plays[0].seconds)?;
     }
     Ok(())
 }
 
 impl Options {
-    fn chooses(&self, name: &str) -> bool {
+    fn includes(&self, name: &str) -> bool {
         self.only.is_empty() || self.only.iter().any(|only| only == name)
     }
 }
@@ -165,11 +165,11 @@
     Ok(Some(Options { pattern, seeds, settings, only, json, plot }))
 }
 
-fn open(path: &Path) -> Result<SettingsReader, Box<dyn Error>> {
+fn open_settings(path: &Path) -> Result<SettingsReader, Box<dyn Error>> {
     SettingsReader::open(path).map_err(|fault| fault.to_string().into())
 }
 
-fn checked<T>(outcome: SettingsOutcome<T>) -> Result<T, Box<dyn Error>> {
+fn report_faults<T>(outcome: SettingsOutcome<T>) -> Result<T, Box<dyn Error>> {
     outcome.warnings.iter().for_each(|warning| eprintln!("{warning}"));
     outcome.settings.map_err(|faults| {
         let lines: Vec<_> = faults.iter().map(ToString::to_string).collect();
@@ -192,7 +192,8 @@
     );
     let base: Vec<_> = results[0].plays.iter().map(PlayReport::goodput).collect();
     for result in results {
-        let of = |value: fn(&PlayReport) -> f64| MeanSpread::of(result.plays.iter().map(value));
+        let mean_of =
+            |value: fn(&PlayReport) -> f64| MeanSpread::of(result.plays.iter().map(value));
         let share = |part: fn(&PlayReport) -> u32| {
             let shares = result
                 .plays
@@ -200,22 +201,22 @@
                 .map(|it| f64::from(part(it)) / f64::from(it.total().asked.max(1)));
             MeanSpread::of(shares).mean
         };
-        let goodput = of(PlayReport::goodput);
-        // The callers of a seed are the same, so that plays are compared one by one.
-        let worth = result.plays.iter().zip(&base).map(|(it, base)| base - it.goodput());
-        let worth = MeanSpread::of(worth);
-        let worth = result.without.map_or(String::new(), |_| worth.to_string());
+        let goodput = mean_of(PlayReport::goodput);
+        // A seed gives the same callers in every variant, so simulations are compared seed by seed.
+        let gain = result.plays.iter().zip(&base).map(|(it, base)| base - it.goodput());
+        let gain = MeanSpread::of(gain);
+        let gain = result.without.map_or(String::new(), |_| gain.to_string());
         println!(
             "{:<16} {:>16} {:>9} {:>6.3} {:>8.3} {:>7.3} {:>9.2} {:>8.0} {:>6.1}",
             result.without.unwrap_or("-"),
             goodput.to_string(),
-            worth,
+            gain,
             share(|it| it.total().late),
             share(|it| it.total().refused),
             share(|it| it.total().failed),
-            of(PlayReport::fairness).mean,
-            of(|it| f64::from(it.repeats)).mean,
-            of(|it| f64::from(it.engines_ended)).mean,
+            mean_of(PlayReport::fairness).mean,
+            mean_of(|it| f64::from(it.repeats)).mean,
+            mean_of(|it| f64::from(it.engines_ended)).mean,
         );
     }
 }
@@ -225,8 +226,8 @@
         let values: Vec<_> = values.collect();
         let count = values.len().max(1) as f64;
         let mean = values.iter().sum::<f64>() / count;
-        let squares = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
-        Self { mean, spread: (squares / count).sqrt() }
+        let squared_deviations = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
+        Self { mean, spread: (squared_deviations / count).sqrt() }
     }
 }
 
@@ -237,16 +238,16 @@
     }
 }
 
-/// Draws what became of the callers of each second, and the bound.
-fn draw(path: &Path, seconds: &[SecondCount]) -> Result<(), Box<dyn Error>> {
-    let most = seconds.iter().map(|it| it.count.asked).max().unwrap_or(1);
+/// Draws the outcomes of the calls that arrived in each second, and the bound on timely answers.
+fn draw_chart(path: &Path, seconds: &[SecondCount]) -> Result<(), Box<dyn Error>> {
+    let max_asked = seconds.iter().map(|it| it.count.asked).max().unwrap_or(1);
     let area = SVGBackend::new(path, (900, 400)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(48)
-        .build_cartesian_2d(0.0..seconds.len() as f64, 0.0..f64::from(most) * 1.1)?;
+        .build_cartesian_2d(0.0..seconds.len() as f64, 0.0..f64::from(max_asked) * 1.1)?;
     chart.configure_mesh().x_desc("second").y_desc("requests").draw()?;
     type SecondValue = fn(&SecondCount) -> f64;
     let lines: [(&str, RGBColor, SecondValue); 5] = [
--- a/mustardrill_standins/examples/instances.rs
+++ b/mustardrill_standins/examples/instances.rs
@@ -1,4 +1,4 @@
-//! The lagging instance list as a process: `--listen IP:PORT --lag-ms N`.
+//! Runs the stand-in for the platform's instance list as a process: `--listen IP:PORT --lag-ms N`.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/mustardrill_standins/examples/key_value.rs
+++ b/mustardrill_standins/examples/key_value.rs
@@ -1,4 +1,4 @@
-//! The key-value service as a process: `--listen IP:PORT`.
+//! Runs the stand-in for the key-value service as a process: `--listen IP:PORT`.
 
 use mustardrill_standins::key_value::KeyValueHandler;
 use mustardrill_standins::program::{ProgramOptions, serve};
--- a/mustardrill_standins/examples/origin.rs
+++ b/mustardrill_standins/examples/origin.rs
@@ -1,4 +1,5 @@
-//! The origin, or the weight store, as a process: `--listen IP:PORT --rate BYTES_A_SECOND`.
+//! Runs the stand-in for the origin or the weight store as a process:
+//! `--listen IP:PORT --rate BYTES_PER_SECOND`, where a rate of zero, the default, is unlimited.
 
 use std::sync::Arc;
 
--- a/mustardrill_standins/examples/plain.rs
+++ b/mustardrill_standins/examples/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service as a process: `--listen IP:PORT --work-ms N`.
+//! Runs the stand-in for a plain service as a process: `--listen IP:PORT --work-ms N`.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/mustardrill_standins/examples/readers.rs
+++ b/mustardrill_standins/examples/readers.rs
@@ -1,7 +1,8 @@
-//! How soon an edit is in force, and what the key-value service is asked, by readers.
+//! Measures how soon a catalogue edit is in force, and the load on the key-value service, against the
+//! number of readers (entries and agents).
 //!
-//! `cargo run --release -p mustardrill_standins --example readers [edits|outage]`. Entries and agents run within
-//! this process, each with its own sockets; the key-value service and list are stand-ins.
+//! `cargo run --release -p mustardrill_standins --example readers [edits|outage]`. Entries and agents run
+//! within this process, each with its own sockets; key-value service and instance list are stand-ins.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,11 +23,11 @@
 const TOKEN: &str = "bench-operator";
 const EDITS: usize = 12;
 
-/// Where agents keep who owns an upstream.
+/// Prefix of the keys with which agents hold the ownership of their upstreams.
 const OWNER_KEYS: &str = "mustardrill/owner/";
 
-/// For how many seconds calls are counted after an outage.
-const SETTLE: usize = 20;
+/// Seconds after an outage in which calls are counted.
+const SECONDS_AFTER: usize = 20;
 
 struct Fleet {
     entries: Vec<EntryHandle>,
@@ -40,14 +41,14 @@
 async fn main() {
     let part = std::env::args().nth(1).unwrap_or_default();
     if part.is_empty() || part == "edits" {
-        edits().await;
+        measure_edits().await;
     }
     if part.is_empty() || part == "outage" {
-        outages().await;
+        measure_outages().await;
     }
 }
 
-async fn edits() {
+async fn measure_edits() {
     println!(
         "time from acceptance until in force at every reader, over {EDITS} edits; calls a second at rest"
     );
@@ -63,12 +64,12 @@
         "reads/edit"
     );
     for (entries, agents) in [(3, 1), (3, 7), (3, 97), (3, 337), (10, 90), (34, 306)] {
-        run(entries, agents).await;
+        measure_fleet(entries, agents).await;
     }
 }
 
-/// Calls to the key-value service before, during and after an outage that outlasts every lease.
-async fn outages() {
+/// Counts calls to the key-value service before, during and after an outage that outlasts every lease.
+async fn measure_outages() {
     println!("calls a second at rest, during an outage of 15 s, and after it; leases of 10 s");
     println!(
         "{:>8} {:>8} {:>9} {:>9} {:>9} {:>11} {:>14}",
@@ -76,52 +77,52 @@
     );
     for agents in [10, 100, 337] {
         let fleet = Fleet::spawn(3, agents).await;
-        fleet.wait(0).await;
-        fleet.wait_owned(agents).await;
+        fleet.wait_in_force(0).await;
+        fleet.wait_until_owned(agents).await;
         let rest = fleet.calls_by_second(10).await;
         fleet.store.faults.set(FaultSwitches { down: true, ..FaultSwitches::default() });
         let outage = fleet.calls_by_second(15).await;
         fleet.store.faults.set(FaultSwitches::default());
         let ended = Instant::now();
         let owned = async {
-            fleet.wait_owned(agents).await;
+            fleet.wait_until_owned(agents).await;
             ended.elapsed().as_secs_f64()
         };
-        let (after, owned) = tokio::join!(fleet.calls_by_second(SETTLE), owned);
-        let mean = |bins: &[u64]| bins.iter().sum::<u64>() as f64 / bins.len() as f64;
-        let most = |bins: &[u64]| bins.iter().max().copied().unwrap_or_default();
+        let (after, owned) = tokio::join!(fleet.calls_by_second(SECONDS_AFTER), owned);
+        let mean = |counts: &[u64]| counts.iter().sum::<u64>() as f64 / counts.len() as f64;
+        let maximum = |counts: &[u64]| counts.iter().max().copied().unwrap_or_default();
         println!(
             "{agents:>8} {:>8} {:>9.1} {:>9.1} {:>9} {:>11} {owned:>14.1}",
             3,
             mean(&rest),
             mean(&outage),
-            most(&outage),
-            most(&after)
+            maximum(&outage),
+            maximum(&after)
         );
         fleet.halt();
     }
 }
 
-async fn run(entries: usize, agents: usize) {
+async fn measure_fleet(entries: usize, agents: usize) {
     let fleet = Fleet::spawn(entries, agents).await;
-    fleet.wait(0).await;
+    fleet.wait_in_force(0).await;
     let before = fleet.store.counts();
-    const REST: Duration = Duration::from_secs(6);
-    tokio::time::sleep(REST).await;
+    const REST_TIME: Duration = Duration::from_secs(6);
+    tokio::time::sleep(REST_TIME).await;
     let after = fleet.store.counts();
-    let a_second = |count: u64| count as f64 / REST.as_secs_f64();
-    let (reads, writes) = (a_second(after.0 - before.0), a_second(after.1 - before.1));
+    let per_second = |count: u64| count as f64 / REST_TIME.as_secs_f64();
+    let (reads, writes) = (per_second(after.0 - before.0), per_second(after.1 - before.1));
     let mut times = Vec::new();
     let before = fleet.store.counts().0;
-    let begun = Instant::now();
+    let started = Instant::now();
     for edit in 1..=EDITS {
-        fleet.edit(edit).await;
+        fleet.apply_edit(edit).await;
         let accepted = Instant::now();
-        fleet.wait(edit as u64).await;
+        fleet.wait_in_force(edit as u64).await;
         times.push(accepted.elapsed().as_secs_f64() * 1_000.0);
     }
-    let resting = reads * begun.elapsed().as_secs_f64();
-    let for_edits = (fleet.store.counts().0 - before) as f64 - resting;
+    let background_reads = reads * started.elapsed().as_secs_f64();
+    let edit_reads = (fleet.store.counts().0 - before) as f64 - background_reads;
     times.sort_by(f64::total_cmp);
     println!(
         "{:>8} {entries:>8} {:>10.1} {:>10.1} {reads:>9.1} {writes:>9.1} {:>8.1} {:>12.1}",
@@ -129,7 +130,7 @@
         times[EDITS / 2],
         times[EDITS - 1],
         reads + writes,
-        for_edits / EDITS as f64
+        edit_reads / EDITS as f64
     );
     fleet.halt();
 }
@@ -158,16 +159,16 @@
             _stand_ins: Vec::new(),
         };
         let mut records: Vec<InstanceRecord> = Vec::new();
-        for place in 0..agents {
+        for index in 0..agents {
             let text = format!(
-                "[agent]\ninstance = worker-{place}\nservice = mustard-pool\ndata_centre = centre\nregion = region\nlisten = 127.0.0.1:0\nlog = off\n[upstream]\naddress = {}\n{platform}retry_every = 60s\n",
+                "[agent]\ninstance = worker-{index}\nservice = mustard-pool\ndata_centre = centre\nregion = region\nlisten = 127.0.0.1:0\nlog = off\n[upstream]\naddress = {}\n{platform}retry_every = 60s\n",
                 engine.address
             );
             let reader = SettingsReader::read("agent", &text).expect("the settings read");
             let config = mustardrill_agent::config::read(reader).settings.expect("right settings");
             let handle = mustardrill_agent::spawn(config).await.expect("an agent");
             records.push(InstanceRecord {
-                id: format!("worker-{place}").parse().expect("a valid name"),
+                id: format!("worker-{index}").parse().expect("a valid name"),
                 service: "mustard-pool".parse().expect("a valid name"),
                 data_centre: "centre".parse().expect("a valid name"),
                 region: "region".parse().expect("a valid name"),
@@ -177,11 +178,11 @@
             fleet.agents.push(handle);
         }
         list.set(InstanceListing { instances: records, entries });
-        // So many agents for each entry that every agent is one of somebody's.
+        // The subset of each entry is large enough that every agent is in the subset of some entry.
         let subset = (agents * 3).div_ceil(entries).max(32);
-        for place in 0..entries {
+        for index in 0..entries {
             let text = format!(
-                "[entry]\ninstance = entry-{place}\ndata_centre = centre\nlisten = 127.0.0.1:0\noperator_listen = 127.0.0.1:0\nlog = off\n[routing]\nsubset = {subset}\n[operators]\nana = {TOKEN}\n{platform}"
+                "[entry]\ninstance = entry-{index}\ndata_centre = centre\nlisten = 127.0.0.1:0\noperator_listen = 127.0.0.1:0\nlog = off\n[routing]\nsubset = {subset}\n[operators]\nana = {TOKEN}\n{platform}"
             );
             let reader = SettingsReader::read("entry", &text).expect("the settings read");
             let config = mustardrill_entry::config::read(reader).settings.expect("right settings");
@@ -196,26 +197,26 @@
         self.entries.iter().for_each(EntryHandle::halt);
     }
 
-    /// Waits until every agent has its lease.
-    async fn wait_owned(&self, agents: usize) {
+    /// Waits until every agent owns its upstream.
+    async fn wait_until_owned(&self, agents: usize) {
         while self.store.count_keys(OWNER_KEYS) < agents {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// The calls that the service got in each of the next seconds.
+    /// Numbers of calls to the service in each of the next `seconds`, with those refused in an outage.
     async fn calls_by_second(&self, seconds: usize) -> Vec<u64> {
         let count = || {
             let (reads, writes) = self.store.counts();
             reads + writes + self.store.refused()
         };
-        let mut bins = Vec::new();
+        let mut counts = Vec::new();
         for _ in 0..seconds {
             let before = count();
             tokio::time::sleep(Duration::from_secs(1)).await;
-            bins.push(count() - before);
+            counts.push(count() - before);
         }
-        bins
+        counts
     }
 
     async fn operate(
@@ -233,7 +234,7 @@
         serde_json::from_slice(&answer.expect("an answer").body).unwrap_or_default()
     }
 
-    async fn edit(&self, edit: usize) {
+    async fn apply_edit(&self, edit: usize) {
         let revision = if edit > 1 { format!("revision = {}\n", edit - 1) } else { String::new() };
         let text = format!(
             "[plain desk]\n{revision}service = mustard-pool\nowner = ana\nclass = standard\ncallers = all\nrequests_per_second = 10\nin_flight = {}\n",
@@ -244,25 +245,25 @@
         assert_eq!(answer["generation"].as_u64(), Some(edit as u64), "{answer}");
     }
 
-    /// Waits until every entry and every agent that any entry sees has the generation.
-    async fn wait(&self, generation: u64) {
-        let mut open: Vec<usize> = (0..self.entries.len()).collect();
-        while !open.is_empty() {
-            let mut still = Vec::new();
-            for entry in open {
+    /// Waits until every entry, and every agent in an entry's status, uses the generation.
+    async fn wait_in_force(&self, generation: u64) {
+        let mut pending: Vec<usize> = (0..self.entries.len()).collect();
+        while !pending.is_empty() {
+            let mut not_yet = Vec::new();
+            for entry in pending {
                 let status = self.operate(entry, "GET", "/v1/status", String::new()).await;
                 let agents = status["agents"].as_array().cloned().unwrap_or_default();
                 let has =
                     |value: &serde_json::Value| value["generation"].as_u64() == Some(generation);
-                let is_heard = |agent: &serde_json::Value| !agent["silent_ms"].is_null();
+                let has_answered = |agent: &serde_json::Value| !agent["silent_ms"].is_null();
                 if !(has(&status)
                     && !agents.is_empty()
-                    && agents.iter().all(|it| has(it) && is_heard(it)))
+                    && agents.iter().all(|it| has(it) && has_answered(it)))
                 {
-                    still.push(entry);
+                    not_yet.push(entry);
                 }
             }
-            open = still;
+            pending = not_yet;
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
--- a/mustardrill_standins/examples/slopes.rs
+++ b/mustardrill_standins/examples/slopes.rs
@@ -1,4 +1,6 @@
-//! The slopes behind `docs/CAPACITY.md`: cost against size, real reducers, small fakes.
+//! Measures how costs grow with the size of a fleet: real reducers, driven by small fakes.
+//!
+//! `docs/CAPACITY.md` uses the figures.
 //!
 //! `cargo run --release -p mustardrill_standins --example slopes [-- PART]` with PART one of
 //! entry, agent, claims, messages, routing; all of them without it.
@@ -34,7 +36,7 @@
 use rand::rngs::{SmallRng, StdRng};
 use rand::{Rng, SeedableRng};
 
-/// Requests in one measurement.
+/// Number of requests or heartbeats in one measurement.
 const REQUESTS: u64 = 50_000;
 
 fn main() {
@@ -54,22 +56,22 @@
     }
 }
 
-fn record(place: usize) -> InstanceRecord {
+fn instance_record(index: usize) -> InstanceRecord {
     InstanceRecord {
-        id: format!("worker-{place}").parse().expect("a valid name"),
+        id: format!("worker-{index}").parse().expect("a valid name"),
         service: "mustard-pool".parse().expect("a valid name"),
-        data_centre: format!("centre-{}", place % 7).parse().expect("a valid name"),
-        region: format!("region-{}", place % 2).parse().expect("a valid name"),
-        agent: format!("10.0.{}.{}:7000", place / 250, place % 250).into(),
+        data_centre: format!("centre-{}", index % 7).parse().expect("a valid name"),
+        region: format!("region-{}", index % 2).parse().expect("a valid name"),
+        agent: format!("10.0.{}.{}:7000", index / 250, index % 250).into(),
         leaving: false,
     }
 }
 
-fn digest() -> ManifestDigest {
+fn manifest_digest() -> ManifestDigest {
     ManifestDigest::of(b"weights")
 }
 
-fn document(entries: usize, replicas: usize) -> Arc<CatalogueDocument> {
+fn catalogue_document(entries: usize, replicas: usize) -> Arc<CatalogueDocument> {
     let entry = CatalogueEntry {
         revision: Generation(1),
         service: "mustard-pool".parse().expect("a valid name"),
@@ -79,12 +81,12 @@
         limits: CustomerLimits { requests_per_second: 1_000_000, in_flight: 1_000_000 },
         weights: Some(ModelWeights {
             version: "v1".parse().expect("a valid name"),
-            manifest: digest(),
+            manifest: manifest_digest(),
             replicas: replicas as u32,
         }),
     };
-    let name = |place| format!("model-{place}").parse().expect("a valid name");
-    let entries = (0..entries).map(|place| (name(place), entry.clone())).collect();
+    let name = |index| format!("model-{index}").parse().expect("a valid name");
+    let entries = (0..entries).map(|index| (name(index), entry.clone())).collect();
     Arc::new(CatalogueDocument { generation: Generation(1), entries, edits: Vec::new() })
 }
 
@@ -100,23 +102,23 @@
         sync_every: Millis(400),
     };
     let mut reducer = EntryReducer::new(settings, 1);
-    reducer.reduce(Moment(1), EntryEvent::CatalogueSeen(document(1, workers)));
-    let list = (0..workers).map(record).collect();
+    reducer.reduce(Moment(1), EntryEvent::CatalogueSeen(catalogue_document(1, workers)));
+    let list = (0..workers).map(instance_record).collect();
     reducer.reduce(Moment(1), EntryEvent::InstancesSeen(list));
-    (0..workers).for_each(|place| {
-        reducer.reduce(Moment(2), EntryEvent::Synced(sync(place)));
+    (0..workers).for_each(|index| {
+        reducer.reduce(Moment(2), EntryEvent::Synced(heartbeat(index)));
     });
     reducer
 }
 
-fn sync(place: usize) -> AgentSync {
+fn heartbeat(index: usize) -> AgentSync {
     AgentSync {
-        id: record(place).id,
+        id: instance_record(index).id,
         generation: Generation(1),
         report: UpstreamReport {
             outstanding: 3,
             capacity: 8,
-            serving: vec![digest()],
+            serving: vec![manifest_digest()],
             leaving: false,
         },
         progress: Vec::new(),
@@ -126,7 +128,7 @@
     }
 }
 
-fn incoming(number: u64) -> IncomingRequest {
+fn incoming_request(number: u64) -> IncomingRequest {
     IncomingRequest {
         id: RequestId(number),
         customer: "comedor".parse().expect("a valid name"),
@@ -151,7 +153,8 @@
         let held = resident_kb().saturating_sub(before);
         let started = Instant::now();
         for number in 0..REQUESTS {
-            let effects = reducer.reduce(Moment(3), EntryEvent::RequestArrived(incoming(number)));
+            let effects =
+                reducer.reduce(Moment(3), EntryEvent::RequestArrived(incoming_request(number)));
             for effect in effects {
                 if let EntryEffect::Send(order) = effect {
                     let end = EntryEvent::AttemptEnded(order.attempt, AttemptEnd::Whole, 1);
@@ -162,8 +165,8 @@
         let request = started.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64;
         let started = Instant::now();
         for number in 0..REQUESTS {
-            let place = number as usize % workers.min(subset);
-            black_box(reducer.reduce(Moment(5), EntryEvent::Synced(sync(place))));
+            let index = number as usize % workers.min(subset);
+            black_box(reducer.reduce(Moment(5), EntryEvent::Synced(heartbeat(index))));
         }
         let heartbeat = started.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64;
         println!("{workers:>8} {subset:>8} {request:>12.2} {heartbeat:>14.2} {held:>10}");
@@ -171,7 +174,7 @@
 }
 
 fn agent_reducer(workers: usize) -> AgentReducer {
-    let own = record(0);
+    let own = instance_record(0);
     let settings = AgentSettings {
         own: TransferPeer { id: own.id, data_centre: own.data_centre },
         service: own.service,
@@ -195,9 +198,10 @@
         is_engine: true,
     };
     let mut reducer = AgentReducer::new(Moment(1), settings, 1);
-    reducer.reduce(Moment(1), AgentEvent::InstancesSeen((0..workers).map(record).collect()));
-    reducer.reduce(Moment(1), AgentEvent::CatalogueSeen(document(20, workers / 20)));
-    let serving = vec![digest()];
+    reducer
+        .reduce(Moment(1), AgentEvent::InstancesSeen((0..workers).map(instance_record).collect()));
+    reducer.reduce(Moment(1), AgentEvent::CatalogueSeen(catalogue_document(20, workers / 20)));
+    let serving = vec![manifest_digest()];
     reducer.reduce(Moment(1), AgentEvent::EngineSeen(Some(EngineReport { serving })));
     reducer
 }
@@ -220,7 +224,7 @@
             let event = AgentEvent::RequestArrived {
                 attempt,
                 class: RequestClass::Standard,
-                pinned: Some(digest()),
+                pinned: Some(manifest_digest()),
                 deadline: Moment(u64::MAX / 2),
             };
             black_box(reducer.reduce(Moment(3), event));
@@ -235,7 +239,7 @@
         let tick = started.elapsed().as_secs_f64() * 1e6 / ticks as f64;
         let started = Instant::now();
         for number in 0..20 {
-            let list = (0..workers - number % 2).map(record).collect();
+            let list = (0..workers - number % 2).map(instance_record).collect();
             black_box(reducer.reduce(Moment(2_000_000), AgentEvent::InstancesSeen(list)));
         }
         let list = started.elapsed().as_secs_f64() * 1e6 / 20.0;
@@ -243,7 +247,8 @@
     }
 }
 
-/// Claims through the keepers of their shards against one service whose calls take five ms.
+/// Simulates claims through the coordinators of their shards, against one key-value service whose calls
+/// take five milliseconds.
 fn claim_slopes() {
     println!(
         "claims: writes a second and waits, five ms a call, ten seconds simulated; with two keepers for a shard where lists differ"
@@ -252,39 +257,40 @@
         "{:>8} {:>10} {:>10} {:>10} {:>10} {:>9} {:>9}",
         "keepers", "claims/s", "writes/s", "reads/s", "conflicts", "p50 ms", "p99 ms"
     );
-    for (keepers, rate) in
+    for (coordinators, rate) in
         [(1, 10), (1, 120), (1, 1_200), (1, 5_000), (1, 12_000), (2, 120), (2, 1_200)]
     {
-        claim_run(keepers, rate);
+        simulate_claims(coordinators, rate);
     }
 }
 
-fn claim_run(keepers: usize, rate: u64) {
+fn simulate_claims(coordinators: usize, rate: u64) {
     const CALL_MS: u64 = 5;
     const RUN_MS: u64 = 10_000;
     let mut batches: Vec<_> =
-        (0..8 * keepers).map(|_| ClaimBatch::new(ClaimSettings::default())).collect();
+        (0..8 * coordinators).map(|_| ClaimBatch::new(ClaimSettings::default())).collect();
     let mut keys: BTreeMap<ShardIndex, (u64, ClaimDocument)> = BTreeMap::new();
     let mut calls: Vec<(u64, usize, ClaimEffect)> = Vec::new();
-    let mut begun = BTreeMap::new();
+    let mut started_at = BTreeMap::new();
     let (mut writes, mut reads, mut conflicts) = (0_u64, 0_u64, 0_u64);
     let mut waits = hdrhistogram::Histogram::<u64>::new(3).expect("three digits are allowed");
-    let mut random = StdRng::seed_from_u64(1);
+    let mut rng = StdRng::seed_from_u64(1);
     let mut unavailable = 0;
     for now in 1..=RUN_MS {
-        let mut fresh: Vec<(usize, Vec<ClaimEffect>)> = Vec::new();
+        let mut new_effects: Vec<(usize, Vec<ClaimEffect>)> = Vec::new();
         let due = now * rate / 1_000 - (now - 1) * rate / 1_000;
         for _ in 0..due {
-            let attempt = AttemptId(random.random());
-            begun.insert(attempt, now);
-            let key = RequestKey(random.random());
-            // A batch for each shard, or two where half of the entries see another list.
+            let attempt = AttemptId(rng.random());
+            started_at.insert(attempt, now);
+            let key = RequestKey(rng.random());
+            // A batch for each shard, or two where half of the entries see a different list of entries and
+            // so assign the shard to another coordinator.
             let shard = mustardrill_core::coordinator::shard_of(key, 8).0 as usize;
-            let entry = shard * keepers + random.random_range(0..keepers);
-            fresh.push((entry, batches[entry].claim(Moment(now), now / 1_000, key, attempt)));
+            let entry = shard * coordinators + rng.random_range(0..coordinators);
+            new_effects.push((entry, batches[entry].claim(Moment(now), now / 1_000, key, attempt)));
         }
         for (entry, batch) in batches.iter_mut().enumerate() {
-            fresh.push((entry, batch.tick(Moment(now), now / 1_000)));
+            new_effects.push((entry, batch.tick(Moment(now), now / 1_000)));
         }
         let (ready, rest) = std::mem::take(&mut calls).into_iter().partition(|call| call.0 <= now);
         calls = rest;
@@ -309,16 +315,16 @@
                 }
                 ClaimEffect::Settle(..) => continue,
             };
-            fresh.push((
+            new_effects.push((
                 entry,
                 batches[entry].handle_response(Moment(now), now / 1_000, shard, answer),
             ));
         }
-        for (entry, effects) in fresh {
+        for (entry, effects) in new_effects {
             for effect in effects {
                 match effect {
                     ClaimEffect::Settle(attempt, ClaimOutcome::Granted) => {
-                        let _ = waits.record(now - begun[&attempt]);
+                        let _ = waits.record(now - started_at[&attempt]);
                     }
                     ClaimEffect::Settle(..) => unavailable += 1,
                     call => calls.push((now + CALL_MS, entry, call)),
@@ -328,7 +334,7 @@
     }
     let seconds = RUN_MS as f64 / 1_000.0;
     println!(
-        "{keepers:>8} {rate:>10} {:>10.1} {:>10.1} {:>9.1}% {:>9} {:>9}   refused {unavailable}",
+        "{coordinators:>8} {rate:>10} {:>10.1} {:>10.1} {:>9.1}% {:>9} {:>9}   refused {unavailable}",
         writes as f64 / seconds,
         reads as f64 / seconds,
         conflicts as f64 * 100.0 / writes.max(1) as f64,
@@ -341,8 +347,8 @@
     println!("bytes of messages as encoded, without HTTP/2 frames (about 60 bytes each way)");
     for customers in [0, 10, 100] {
         let demand: Vec<_> = (0..customers)
-            .map(|place| proto::Demand {
-                customer: format!("customer-{place}"),
+            .map(|index| proto::Demand {
+                customer: format!("customer-{index}"),
                 target: "renewal-drafts".into(),
                 asked: 30,
             })
@@ -383,11 +389,14 @@
         println!("exchange of holdings of {chunks} chunks: {} each way", exchange.encoded_len());
     }
     for entries in [10, 100, 500] {
-        println!("catalogue of {entries} entries: {} bytes", document(entries, 4).encode().len());
+        println!(
+            "catalogue of {entries} entries: {} bytes",
+            catalogue_document(entries, 4).encode().len()
+        );
     }
 }
 
-/// Waits under the same trace with lagging reports: this choice, round robin, random.
+/// Compares times in the system under one trace with lagging reports: two choices, round robin, random.
 fn routing_comparison() {
     println!(
         "choice of upstream: time in the system in ms, the same trace of 60000 requests, reports 400 ms old"
@@ -395,46 +404,46 @@
     println!("{:>9} {:>14} {:>9} {:>9} {:>9}", "upstreams", "policy", "p50", "p99", "p99/best");
     for upstreams in [10, 100, 600] {
         let rows = ["two choices", "round robin", "random"]
-            .map(|policy| (policy, routing_run(upstreams, policy)));
+            .map(|policy| (policy, simulate_routing(upstreams, policy)));
         let best = rows.iter().map(|(_, waits)| waits.value_at_quantile(0.99)).min().unwrap_or(1);
         for (policy, waits) in rows {
-            let (half, tail) = (waits.value_at_quantile(0.5), waits.value_at_quantile(0.99));
+            let (p50, p99) = (waits.value_at_quantile(0.5), waits.value_at_quantile(0.99));
             println!(
-                "{upstreams:>9} {policy:>14} {half:>9} {tail:>9} {:>9.2}",
-                tail as f64 / best as f64
+                "{upstreams:>9} {policy:>14} {p50:>9} {p99:>9} {:>9.2}",
+                p99 as f64 / best as f64
             );
         }
     }
 }
 
-fn routing_run(upstreams: usize, policy: &str) -> hdrhistogram::Histogram<u64> {
+fn simulate_routing(upstreams: usize, policy: &str) -> hdrhistogram::Histogram<u64> {
     const CAPACITY: usize = 4;
     const REPORT_MS: u64 = 400;
     const TRACE: usize = 60_000;
-    let mut random = StdRng::seed_from_u64(7);
+    let mut rng = StdRng::seed_from_u64(7);
     let mut choice = SmallRng::seed_from_u64(8);
-    let ids: Vec<InstanceId> = (0..upstreams).map(|place| record(place).id).collect();
+    let ids: Vec<InstanceId> = (0..upstreams).map(|index| instance_record(index).id).collect();
     let mut table = RoutingTable::new(RoutingSettings::default());
     let mut waits = hdrhistogram::Histogram::new(3).expect("three digits are allowed");
-    // Each upstream has slots that are free from a time on; a tenth of them are half as fast.
+    // The time from which each slot of each upstream is free; a tenth of the upstreams are half as fast.
     let mut slots = vec![vec![0_u64; CAPACITY]; upstreams];
     let mut ends: BTreeMap<(u64, u64), usize> = BTreeMap::new();
     let mut outstanding = vec![0_u32; upstreams];
     let (mut now, mut micros, mut reported) = (1, 0.0, u64::MAX);
     for number in 0..TRACE {
         let mean = 100.0 * 1.1 / (upstreams * CAPACITY) as f64 / 0.8;
-        micros += -mean * (1.0 - random.random::<f64>()).ln();
+        micros += -mean * (1.0 - rng.random::<f64>()).ln();
         now = now.max(1 + micros as u64);
         while let Some(entry) = ends.first_entry().filter(|entry| entry.key().0 <= now) {
-            let place = entry.remove();
-            outstanding[place] -= 1;
-            table.record_ended(Moment(now), &ids[place], true);
+            let index = entry.remove();
+            outstanding[index] -= 1;
+            table.record_ended(Moment(now), &ids[index], true);
         }
         if reported == u64::MAX || now - reported >= REPORT_MS {
             reported = now;
-            for (place, id) in ids.iter().enumerate() {
+            for (index, id) in ids.iter().enumerate() {
                 let report = UpstreamReport {
-                    outstanding: outstanding[place],
+                    outstanding: outstanding[index],
                     capacity: CAPACITY as u32,
                     serving: Vec::new(),
                     leaving: false,
@@ -442,8 +451,8 @@
                 table.record_report(Moment(now), id, true, report);
             }
         }
-        let work = (50.0 + random.random::<f64>() * 100.0) as u64;
-        let place = match policy {
+        let work = (50.0 + rng.random::<f64>() * 100.0) as u64;
+        let index = match policy {
             "two choices" => {
                 let (id, _) =
                     table.choose(Moment(now), &ids, &[], None, &mut choice).expect("an upstream");
@@ -453,18 +462,18 @@
             "round robin" => number % upstreams,
             _ => choice.random_range(0..upstreams),
         };
-        let work = if place.is_multiple_of(10) { work * 2 } else { work };
-        let slot = slots[place].iter_mut().min().expect("an upstream has slots");
+        let work = if index.is_multiple_of(10) { work * 2 } else { work };
+        let slot = slots[index].iter_mut().min().expect("an upstream has slots");
         *slot = (*slot).max(now) + work;
         let end = *slot;
-        outstanding[place] += 1;
-        ends.insert((end, number as u64), place);
+        outstanding[index] += 1;
+        ends.insert((end, number as u64), index);
         let _ = waits.record(end - now);
     }
     waits
 }
 
-/// The memory of this process, in kilobytes.
+/// Resident memory of this process, in kilobytes.
 fn resident_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:"));
