--- a/mustardrill_standins/examples/demo.rs
+++ b/mustardrill_standins/examples/demo.rs
@@ -110,14 +110,14 @@
     let second_digest =
         lab.publish(MODEL, "v2", options.size, options.chunk, options.seed + 1).await;
     print_progress("waiting until the entries see the fleet");
-    lab.wait_fleet(0, options.agents + 1, Duration::from_secs(10)).await;
+    lab.wait_for_agents(0, options.agents + 1, Duration::from_secs(10)).await;
 
     let Some(cold) = run_rollout(&lab, options, "first version", "v1", &first_digest, None).await
     else {
         return report_failure(&lab);
     };
     print_progress("waiting until both entries route to the model");
-    if !lab.wait_ready(&format!("/v1/models/{MODEL}/draft"), Duration::from_secs(20)).await {
+    if !lab.wait_until_ready(&format!("/v1/models/{MODEL}/draft"), Duration::from_secs(20)).await {
         return report_failure(&lab);
     }
     let driver = LoadDriver::spawn(
@@ -127,7 +127,7 @@
             path: format!("/v1/models/{MODEL}/draft"),
             rate: options.requests,
             pieces: Some(PIECES),
-            keyed: false,
+            has_idempotency_key: false,
             timeout: Duration::from_secs(10),
         },
     );
@@ -161,7 +161,8 @@
     let links_before = lab.link_bytes(digest).await;
     let started = Instant::now();
     let revision = current_revision(lab).await;
-    let (status, body) = lab.apply(0, &entry_text(version, revision, options.agents)).await;
+    let (status, body) =
+        lab.apply_catalogue(0, &entry_text(version, revision, options.agents)).await;
     if status != 200 {
         eprintln!("the edit was not accepted: {status} {body}");
         return None;
@@ -169,7 +170,7 @@
     loop {
         let serving = lab.serving().await;
         let count = serving.iter().flatten().filter(|found| *found == digest).count();
-        let answered = driver.map_or(0, |driver| driver.report().whole);
+        let answered = driver.map_or(0, |driver| driver.report().complete);
         print_progress(&format!(
             "{name}: {count} of {} serve {version}, {:.1} s, {answered} requests answered",
             options.agents,
@@ -214,7 +215,7 @@
 
 async fn current_revision(lab: &Lab) -> Option<u64> {
     let token = mustardrill_standins::lab::OPERATOR_TOKEN;
-    let (_, body) = lab.operate(0, "GET", "/v1/catalogue?json=1", "", token).await;
+    let (_, body) = lab.call_operator(0, "GET", "/v1/catalogue?json=1", "", token).await;
     body["catalogue"]["entries"][MODEL]["revision"].as_u64()
 }
 
@@ -260,7 +261,7 @@
             result.link_shares.0,
             result.link_shares.1,
             report.sent,
-            report.whole,
+            report.complete,
             report.not_run,
             report.lost + report.unknown,
             report.wrong
@@ -286,7 +287,7 @@
     println!("\nentries for callers:");
     lab.entries.iter().for_each(|entry| println!("  http://{}", entry.address));
     println!("operator ports:");
-    lab.entries.iter().filter_map(|entry| entry.second).for_each(|it| println!("  {it}"));
+    lab.entries.iter().filter_map(|entry| entry.second_address).for_each(|it| println!("  {it}"));
     println!("customer token: {}", mustardrill_standins::lab::CUSTOMER_TOKEN);
     println!("operator token: {}", mustardrill_standins::lab::OPERATOR_TOKEN);
     println!("settings and logs: {}\nCtrl-C ends all of it.", lab.folder().display());
--- a/mustardrill_standins/examples/experiment.rs
+++ b/mustardrill_standins/examples/experiment.rs
@@ -11,7 +11,9 @@
 use mustardrill_core::direct::DirectSettings;
 use mustardrill_entry::direct;
 use mustardrill_runtime::settings::{SettingsOutcome, SettingsReader};
-use mustardrill_standins::experiment::{LoadPattern, PLAIN_ENTRY, PlayReport, SecondCount, play};
+use mustardrill_standins::experiment::{
+    DEFAULT_ENTRY_SETTINGS, LoadPattern, SecondCount, SimulationReport, simulate,
+};
 use mustardrill_types::Millis;
 use plotters::prelude::*;
 use serde::Serialize;
@@ -68,7 +70,7 @@
 struct VariantResult {
     /// The mechanism that is switched off; `None` with all of them on.
     without: Option<&'static str>,
-    plays: Vec<PlayReport>,
+    plays: Vec<SimulationReport>,
 }
 
 /// Mean over simulations, with the standard deviation.
@@ -95,7 +97,8 @@
     let pattern = report_faults(LoadPattern::read(open_settings(&options.pattern)?))?;
     let reader = match &options.settings {
         Some(path) => open_settings(path)?,
-        None => SettingsReader::read("plain entry", PLAIN_ENTRY).map_err(|it| it.to_string())?,
+        None => SettingsReader::read("plain entry", DEFAULT_ENTRY_SETTINGS)
+            .map_err(|it| it.to_string())?,
     };
     let settings = report_faults(direct::read(reader))?.direct;
     let selected: Vec<_> = MECHANISMS.iter().filter(|it| options.includes(it.name)).collect();
@@ -110,7 +113,7 @@
         let plays = seeds.map(|seed| {
             started_count += 1;
             eprint!("\rplay {started_count} of {plays}");
-            play(&pattern, settings, seed)
+            simulate(&pattern, settings, seed)
         });
         VariantResult { without, plays: plays.collect() }
     };
@@ -190,18 +193,18 @@
         "repeats",
         "ended"
     );
-    let base: Vec<_> = results[0].plays.iter().map(PlayReport::goodput).collect();
+    let base: Vec<_> = results[0].plays.iter().map(SimulationReport::goodput).collect();
     for result in results {
         let mean_of =
-            |value: fn(&PlayReport) -> f64| MeanSpread::of(result.plays.iter().map(value));
-        let share = |part: fn(&PlayReport) -> u32| {
+            |value: fn(&SimulationReport) -> f64| MeanSpread::of(result.plays.iter().map(value));
+        let share = |part: fn(&SimulationReport) -> u32| {
             let shares = result
                 .plays
                 .iter()
                 .map(|it| f64::from(part(it)) / f64::from(it.total().asked.max(1)));
             MeanSpread::of(shares).mean
         };
-        let goodput = mean_of(PlayReport::goodput);
+        let goodput = mean_of(SimulationReport::goodput);
         // A seed gives the same callers in every variant, so simulations are compared seed by seed.
         let gain = result.plays.iter().zip(&base).map(|(it, base)| base - it.goodput());
         let gain = MeanSpread::of(gain);
@@ -214,7 +217,7 @@
             share(|it| it.total().late),
             share(|it| it.total().refused),
             share(|it| it.total().failed),
-            mean_of(PlayReport::fairness).mean,
+            mean_of(SimulationReport::fairness).mean,
             mean_of(|it| f64::from(it.repeats)).mean,
             mean_of(|it| f64::from(it.engines_ended)).mean,
         );
--- a/mustardrill_standins/examples/origin.rs
+++ b/mustardrill_standins/examples/origin.rs
@@ -3,11 +3,11 @@
 
 use std::sync::Arc;
 
-use mustardrill_standins::origin::{OriginHandler, WeightShelf};
+use mustardrill_standins::origin::{OriginHandler, OriginStore};
 use mustardrill_standins::program::{ProgramOptions, serve};
 
 fn main() {
     let options = ProgramOptions::read();
-    let shelf = Arc::new(WeightShelf::new(options.get("rate", 0)));
-    serve(&options, Box::new(OriginHandler { shelf }));
+    let store = Arc::new(OriginStore::new(options.get("rate", 0)));
+    serve(&options, Box::new(OriginHandler { store }));
 }
--- a/mustardrill_standins/examples/overhead.rs
+++ b/mustardrill_standins/examples/overhead.rs
@@ -56,11 +56,11 @@
         ..LabOptions::default()
     };
     let lab = Lab::spawn(options).await;
-    assert!(lab.wait_fleet(0, plain, WAIT_LIMIT).await, "the entries never saw the fleet");
+    assert!(lab.wait_for_agents(0, plain, WAIT_LIMIT).await, "the entries never saw the fleet");
     let file = plain_entry_text("surveys", "urgent") + &plain_entry_text("pings", "background");
-    let (status, body) = lab.apply(0, &file).await;
+    let (status, body) = lab.apply_catalogue(0, &file).await;
     assert_eq!(status, 200, "{body}");
-    assert!(lab.wait_ready("/v1/services/surveys/x", WAIT_LIMIT).await, "never ready");
+    assert!(lab.wait_until_ready("/v1/services/surveys/x", WAIT_LIMIT).await, "never ready");
     lab
 }
 
@@ -181,7 +181,7 @@
         let (urgent_report, background_report) =
             (urgent.report(), background.as_ref().map(LoadDriver::report).unwrap_or_default());
         let goodput =
-            (urgent_report.whole + background_report.whole) as f64 / RUN_TIME.as_secs_f64();
+            (urgent_report.complete + background_report.complete) as f64 / RUN_TIME.as_secs_f64();
         let p99_ms = urgent_report.quantile_ms(0.99);
         if unloaded_p99_ms == 0.0 {
             unloaded_p99_ms = p99_ms;
@@ -235,7 +235,7 @@
             path: format!("/v1/services/{name}/x"),
             rate,
             pieces: None,
-            keyed: false,
+            has_idempotency_key: false,
             timeout: Duration::from_secs(1),
         },
     )
@@ -255,13 +255,13 @@
     };
     let lab = Lab::spawn(options).await;
     let digest = lab.publish("drafts", "v1", 1_000_000, 1 << 16, 1).await;
-    assert!(lab.wait_fleet(0, 1, WAIT_LIMIT).await, "the entries never saw the fleet");
+    assert!(lab.wait_for_agents(0, 1, WAIT_LIMIT).await, "the entries never saw the fleet");
     let entry = plain_entry_text("drafts", "urgent").replace("[plain", "[model");
     let file = entry.replace("records-desk", "mustard-pool") + "version = v1\nreplicas = 1\n";
-    let (status, body) = lab.apply(0, &file).await;
+    let (status, body) = lab.apply_catalogue(0, &file).await;
     assert_eq!(status, 200, "{body}");
-    assert!(lab.wait_serving(&digest, 1, WAIT_LIMIT).await.is_some(), "never served");
-    assert!(lab.wait_ready("/v1/models/drafts/x", WAIT_LIMIT).await, "never ready");
+    assert!(lab.wait_until_serving(&digest, 1, WAIT_LIMIT).await.is_some(), "never served");
+    assert!(lab.wait_until_ready("/v1/models/drafts/x", WAIT_LIMIT).await, "never ready");
     let (entry, agent) = (&lab.entries[0], &lab.engines[0].agent);
     let before = (cpu_seconds(entry), cpu_seconds(agent));
     let started = Instant::now();
@@ -307,7 +307,7 @@
             ..LabOptions::default()
         };
         let lab = Lab::spawn(options).await;
-        assert!(lab.wait_fleet(0, agents, WAIT_LIMIT).await, "the entry never saw the fleet");
+        assert!(lab.wait_for_agents(0, agents, WAIT_LIMIT).await, "the entry never saw the fleet");
         let agent_seconds = || lab.plain.iter().map(|it| cpu_seconds(&it.agent)).sum::<f64>();
         let before = (cpu_seconds(&lab.entries[0]), agent_seconds());
         let started = Instant::now();
--- a/mustardrill_standins/examples/readers.rs
+++ b/mustardrill_standins/examples/readers.rs
@@ -77,7 +77,7 @@
     );
     for agents in [10, 100, 337] {
         let fleet = Fleet::spawn(3, agents).await;
-        fleet.wait_in_force(0).await;
+        fleet.wait_until_in_force(0).await;
         fleet.wait_until_owned(agents).await;
         let rest = fleet.calls_by_second(10).await;
         fleet.store.faults.set(FaultSwitches { down: true, ..FaultSwitches::default() });
@@ -105,7 +105,7 @@
 
 async fn measure_fleet(entries: usize, agents: usize) {
     let fleet = Fleet::spawn(entries, agents).await;
-    fleet.wait_in_force(0).await;
+    fleet.wait_until_in_force(0).await;
     let before = fleet.store.counts();
     const REST_TIME: Duration = Duration::from_secs(6);
     tokio::time::sleep(REST_TIME).await;
@@ -118,7 +118,7 @@
     for edit in 1..=EDITS {
         fleet.apply_edit(edit).await;
         let accepted = Instant::now();
-        fleet.wait_in_force(edit as u64).await;
+        fleet.wait_until_in_force(edit as u64).await;
         times.push(accepted.elapsed().as_secs_f64() * 1_000.0);
     }
     let background_reads = reads * started.elapsed().as_secs_f64();
@@ -219,7 +219,7 @@
         counts
     }
 
-    async fn operate(
+    async fn call_operator(
         &self,
         entry: usize,
         method: &str,
@@ -240,18 +240,19 @@
             "[plain desk]\n{revision}service = mustard-pool\nowner = ana\nclass = standard\ncallers = all\nrequests_per_second = 10\nin_flight = {}\n",
             edit + 10
         );
-        let answer =
-            self.operate(edit % self.entries.len(), "POST", "/v1/catalogue/edits", text).await;
+        let answer = self
+            .call_operator(edit % self.entries.len(), "POST", "/v1/catalogue/edits", text)
+            .await;
         assert_eq!(answer["generation"].as_u64(), Some(edit as u64), "{answer}");
     }
 
     /// Waits until every entry, and every agent in an entry's status, uses the generation.
-    async fn wait_in_force(&self, generation: u64) {
+    async fn wait_until_in_force(&self, generation: u64) {
         let mut pending: Vec<usize> = (0..self.entries.len()).collect();
         while !pending.is_empty() {
             let mut not_yet = Vec::new();
             for entry in pending {
-                let status = self.operate(entry, "GET", "/v1/status", String::new()).await;
+                let status = self.call_operator(entry, "GET", "/v1/status", String::new()).await;
                 let agents = status["agents"].as_array().cloned().unwrap_or_default();
                 let has =
                     |value: &serde_json::Value| value["generation"].as_u64() == Some(generation);
--- a/mustardrill_standins/src/experiment/callers.rs
+++ b/mustardrill_standins/src/experiment/callers.rs
@@ -44,7 +44,7 @@
             deadline: self.moment() + caller.deadline,
             size,
             entry: self.caller_rng.random_range(0..self.entries.len()),
-            retries_left: caller.returns,
+            retries_left: caller.retry_limit,
             attempt: 0,
             engine: None,
             answer_left: caller.answer,
@@ -53,7 +53,7 @@
             outcome: None,
         });
         self.schedule(caller.deadline, SimulationEvent::DeadlineReached { call });
-        self.schedule(self.pattern.way, SimulationEvent::RequestSent { call });
+        self.schedule(self.pattern.one_way_delay, SimulationEvent::RequestSent { call });
         self.schedule_caller(kind);
     }
 
@@ -65,7 +65,7 @@
         let kind = &self.pattern.kinds[state.kind];
         // All requests of a kind that crashes engines have the same content, as one request that is
         // made again and again; the contents of all others differ.
-        let content = if kind.ends_engines { state.kind as u64 } else { !(call as u64) };
+        let content = if kind.crashes_engines { state.kind as u64 } else { !(call as u64) };
         let request = DirectRequest {
             number: self.number(call),
             attempt_id: call.to_string().into(),
@@ -85,7 +85,7 @@
     /// The request number of the current try of a call.
     pub(super) fn number(&self, call: usize) -> RequestNumber {
         let state = &self.calls[call];
-        let retry = self.pattern.kinds[state.kind].returns - state.retries_left;
+        let retry = self.pattern.kinds[state.kind].retry_limit - state.retries_left;
         RequestNumber(call as u64 * NUMBERS_PER_CALL + u64::from(retry) % NUMBERS_PER_CALL)
     }
 
@@ -98,7 +98,7 @@
         let state = &self.calls[call];
         let id = RunId { call, attempt: state.attempt };
         if let Some((engine, _)) = &state.engine {
-            self.engines[*engine].model.drop_run(id);
+            self.engines[*engine].model.cancel_run(id);
         }
         let entry = self.calls[call].entry;
         self.reduce(entry, DirectEvent::CallerGone(number));
@@ -109,7 +109,7 @@
     }
 
     pub(super) fn receive_event(&mut self, call: usize) {
-        let received_at = self.moment() + self.pattern.way;
+        let received_at = self.moment() + self.pattern.one_way_delay;
         let stride = self.pattern.profile.steps_per_pass;
         let state = &mut self.calls[call];
         let kind = &self.pattern.kinds[state.kind];
@@ -138,7 +138,8 @@
         }
         state.retries_left -= 1;
         // Callers wait at most a third of the time left to their deadline.
-        let pause = plan.retry_after.min(Millis(time_left.0 / 3)).0 + 2 * self.pattern.way.0;
+        let pause =
+            plan.retry_after.min(Millis(time_left.0 / 3)).0 + 2 * self.pattern.one_way_delay.0;
         state.entry = self.rng.random_range(0..self.entries.len());
         self.schedule(Millis(pause), SimulationEvent::RequestSent { call });
     }
--- a/mustardrill_standins/src/experiment/engine.rs
+++ b/mustardrill_standins/src/experiment/engine.rs
@@ -23,29 +23,29 @@
     /// Answer tokens left to decode.
     pub answer_left: u32,
     /// Whether the engine crashes when it would decode the first token.
-    pub ends_engine: bool,
+    pub crashes_engine: bool,
 }
 
 /// What an engine reports at the end of a pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineEvent {
     /// An event of an answer that continues.
-    Event(RunId),
+    EventSent(RunId),
     /// The last event of an answer.
-    Whole(RunId),
+    Completed(RunId),
     /// The engine crashed; all its runs are lost.
-    Ended,
+    Crashed,
 }
 
 /// One modelled engine. The simulation starts and finishes its passes.
 #[derive(Debug)]
 pub struct EngineModel {
     profile: EngineProfile,
-    chunk: u32,
+    prefill_chunk: u32,
     waiting: VecDeque<EngineRun>,
     running: Vec<EngineRun>,
     /// Factor on the duration of each pass; 1.0 is the profile's speed.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Whether a pass has started and not finished.
     pub is_busy: bool,
 }
@@ -54,20 +54,20 @@
 const SLOTS_PER_QUEUE_PLACE: u32 = 4;
 
 impl EngineModel {
-    /// Creates an idle engine that prefills at most `chunk` prompt tokens in a step.
-    pub fn new(profile: &EngineProfile, chunk: u32) -> Self {
+    /// Creates an idle engine that prefills at most `prefill_chunk` prompt tokens in a step.
+    pub fn new(profile: &EngineProfile, prefill_chunk: u32) -> Self {
         Self {
             profile: profile.clone(),
-            chunk,
+            prefill_chunk,
             waiting: VecDeque::new(),
             running: Vec::new(),
-            pace: 1.0,
+            slowdown: 1.0,
             is_busy: false,
         }
     }
 
     /// Queues a request; returns false, and drops it, where slots and queue are full.
-    pub fn take(&mut self, run: EngineRun) -> bool {
+    pub fn try_enqueue(&mut self, run: EngineRun) -> bool {
         let run_count = (self.waiting.len() + self.running.len()) as u32;
         let has_room = run_count < self.profile.slots + self.profile.slots / SLOTS_PER_QUEUE_PLACE;
         if has_room {
@@ -77,20 +77,20 @@
     }
 
     /// Removes a run whose caller has left; does nothing where it has finished.
-    pub fn drop_run(&mut self, id: RunId) {
+    pub fn cancel_run(&mut self, id: RunId) {
         self.waiting.retain(|run| run.id != id);
         self.running.retain(|run| run.id != id);
     }
 
     /// Removes and returns all runs, queued and running, as a crash loses them.
-    pub fn take_all(&mut self) -> Vec<RunId> {
+    pub fn drain_runs(&mut self) -> Vec<RunId> {
         self.is_busy = false;
         let runs = self.waiting.drain(..).chain(self.running.drain(..));
         runs.map(|run| run.id).collect()
     }
 
     /// Starts a pass and returns its duration in milliseconds; `None` where there is no work.
-    pub fn begin_pass(&mut self) -> Option<f64> {
+    pub fn start_pass(&mut self) -> Option<f64> {
         while self.running.len() < self.profile.slots as usize
             && let Some(run) = self.waiting.pop_front()
         {
@@ -104,11 +104,11 @@
         let forecast = EngineForecast::new(&self.profile);
         let decode_ms = if decoding > 0 { forecast.pass_ms(decoding) } else { 0.0 };
         let prefill_ms = forecast.prefill_ms(self.prefill_tokens(decoding));
-        Some((decode_ms + prefill_ms).max(self.profile.step_ms) * self.pace)
+        Some((decode_ms + prefill_ms).max(self.profile.step_ms) * self.slowdown)
     }
 
     /// Finishes the pass and returns its events, in the order in which the runs were admitted.
-    pub fn end_pass(&mut self) -> Vec<EngineEvent> {
+    pub fn finish_pass(&mut self) -> Vec<EngineEvent> {
         let decoding = self.running.iter().filter(|run| run.prompt_left == 0).count() as u32;
         let mut prefill_tokens = self.prefill_tokens(decoding);
         let mut events = Vec::new();
@@ -119,14 +119,14 @@
                 prefill_tokens -= prefilled;
                 continue;
             }
-            if run.ends_engine {
-                return vec![EngineEvent::Ended];
+            if run.crashes_engine {
+                return vec![EngineEvent::Crashed];
             }
             run.answer_left = run.answer_left.saturating_sub(self.profile.steps_per_pass);
             events.push(if run.answer_left == 0 {
-                EngineEvent::Whole(run.id)
+                EngineEvent::Completed(run.id)
             } else {
-                EngineEvent::Event(run.id)
+                EngineEvent::EventSent(run.id)
             });
         }
         self.running.retain(|run| run.answer_left > 0);
@@ -137,6 +137,6 @@
     fn prefill_tokens(&self, decoding: u32) -> u32 {
         let steps = if decoding > 0 { self.profile.steps_per_pass } else { 1 };
         let pending = self.running.iter().map(|run| run.prompt_left).sum::<u32>();
-        pending.min(self.chunk * steps)
+        pending.min(self.prefill_chunk * steps)
     }
 }
--- a/mustardrill_standins/src/experiment/evaluation.rs
+++ b/mustardrill_standins/src/experiment/evaluation.rs
@@ -4,20 +4,20 @@
 use mustardrill_types::Millis;
 
 use crate::experiment::call::CallOutcome;
-use crate::experiment::report::{PlayReport, SecondCount};
+use crate::experiment::report::{SecondCount, SimulationReport};
 use crate::experiment::simulation::{PatternSimulation, START};
 
 impl PatternSimulation<'_> {
     /// Counts the outcomes of all calls and sets the bound of each second.
     ///
     /// A call without an outcome at the end of the simulation counts as failed.
-    pub(super) fn into_report(mut self) -> PlayReport {
+    pub(super) fn into_report(mut self) -> SimulationReport {
         let seconds = self.pattern.span.0.div_ceil(1_000) as usize;
         self.report.seconds = vec![SecondCount::default(); seconds];
         for call in &self.calls {
             let kind = &self.pattern.kinds[call.kind];
             // Requests that crash engines cannot be answered, so they are left out of the counts.
-            if kind.ends_engines {
+            if kind.crashes_engines {
                 continue;
             }
             let second = (call.arrived_at.since(START).0 / 1_000) as usize;
--- a/mustardrill_standins/src/experiment/mod.rs
+++ b/mustardrill_standins/src/experiment/mod.rs
@@ -16,13 +16,13 @@
 
 pub use engine::{EngineEvent, EngineModel, EngineRun, RunId};
 pub use pattern::{CallerKind, DisturbanceKind, LoadPattern, PatternDisturbance};
-pub use report::{KindCount, PlayReport, SecondCount};
-pub use simulation::play;
+pub use report::{OutcomeCounts, SecondCount, SimulationReport};
+pub use simulation::simulate;
 
 /// Settings of an entry for simulations without a settings file; all other keys have their defaults.
 ///
 /// Nothing listens at these addresses.
-pub const PLAIN_ENTRY: &str = "\
+pub const DEFAULT_ENTRY_SETTINGS: &str = "\
 [entry]
 platform = prepared
 instance = entry-0
--- a/mustardrill_standins/src/experiment/pattern.rs
+++ b/mustardrill_standins/src/experiment/pattern.rs
@@ -22,11 +22,11 @@
     /// Speed and slots of each engine; load times and mean sizes are derived from the pattern.
     pub profile: EngineProfile,
     /// Prompt tokens that an engine prefills at most in one step.
-    pub chunk: u32,
+    pub prefill_chunk: u32,
     /// One-way delay of every message, request and event.
-    pub way: Millis,
+    pub one_way_delay: Millis,
     /// Share of messages between entries that are lost, from 0 to 1.
-    pub word_loss: f64,
+    pub message_loss: f64,
     /// The kinds of callers, at least one.
     pub kinds: Vec<CallerKind>,
     /// The disturbances, each with a start and a duration.
@@ -53,9 +53,9 @@
     /// Priority from 0, the most urgent, to 9.
     pub priority: u8,
     /// How often a caller retries after a refusal.
-    pub returns: u32,
+    pub retry_limit: u32,
     /// Whether such a request crashes each engine that starts to answer it.
-    pub ends_engines: bool,
+    pub crashes_engines: bool,
 }
 
 /// A temporary change of the load or of some engines: a section `[disturbance NAME]`.
@@ -121,9 +121,9 @@
             span: reader.value("pattern", "span", Millis(20_000)),
             entries: reader.bounded("fleet", "entries", 4, 1, 1_000),
             engines: reader.bounded("fleet", "engines", 9, 1, 10_000),
-            chunk: reader.bounded("engine", "chunk", 512, 1, 1_000_000),
-            way: reader.value("fleet", "way", Millis(2)),
-            word_loss: reader.bounded("fleet", "word_loss", 0.0, 0.0, 1.0),
+            prefill_chunk: reader.bounded("engine", "chunk", 512, 1, 1_000_000),
+            one_way_delay: reader.value("fleet", "way", Millis(2)),
+            message_loss: reader.bounded("fleet", "word_loss", 0.0, 0.0, 1.0),
             profile: read_profile(&mut reader, &kinds),
             kinds,
             disturbances,
@@ -162,8 +162,8 @@
             gap: reader.value(section, "gap", Millis(300)),
             deadline: reader.value(section, "deadline", Millis(6_000)),
             priority: reader.bounded(section, "priority", 1, 0, 9),
-            returns: reader.bounded(section, "returns", 1, 0, 100),
-            ends_engines: reader.value(section, "ends_engines", false),
+            retry_limit: reader.bounded(section, "returns", 1, 0, 100),
+            crashes_engines: reader.value(section, "ends_engines", false),
         }
     }
 }
--- a/mustardrill_standins/src/experiment/report.rs
+++ b/mustardrill_standins/src/experiment/report.rs
@@ -5,7 +5,7 @@
 
 /// Numbers of calls by outcome, as the callers saw it.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct KindCount {
+pub struct OutcomeCounts {
     /// Calls made; the sum of the outcomes below.
     pub asked: u32,
     /// Complete answers with every event in time.
@@ -22,16 +22,16 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Serialize)]
 pub struct SecondCount {
     /// Their outcomes, whenever those were reached.
-    pub count: KindCount,
+    pub count: OutcomeCounts,
     /// Upper bound on answers in time, from the calls and the engines' capacity in this second.
     pub bound: f64,
 }
 
 /// The result of one simulation.
 #[derive(Debug, Default, Clone, Serialize)]
-pub struct PlayReport {
+pub struct SimulationReport {
     /// Outcomes by the name of the caller kind.
-    pub kinds: FastMap<Box<str>, KindCount>,
+    pub kinds: FastMap<Box<str>, OutcomeCounts>,
     /// Outcomes by the second of arrival.
     pub seconds: Vec<SecondCount>,
     /// Engine crashes caused by a request; crashes of a disturbance are not counted.
@@ -42,10 +42,10 @@
     pub repeats: u32,
 }
 
-impl PlayReport {
+impl SimulationReport {
     /// The sum over all kinds of callers.
-    pub fn total(&self) -> KindCount {
-        self.kinds.values().fold(KindCount::default(), |sum, count| KindCount {
+    pub fn total(&self) -> OutcomeCounts {
+        self.kinds.values().fold(OutcomeCounts::default(), |sum, count| OutcomeCounts {
             asked: sum.asked + count.asked,
             in_time: sum.in_time + count.in_time,
             late: sum.late + count.late,
@@ -66,7 +66,7 @@
 
     /// The lowest share of complete answers of any kind, divided by the share over all kinds; at most 1.
     pub fn fairness(&self) -> f64 {
-        let share = |count: &KindCount| {
+        let share = |count: &OutcomeCounts| {
             f64::from(count.in_time + count.late) / f64::from(count.asked.max(1))
         };
         let all = share(&self.total()).max(f64::MIN_POSITIVE);
--- a/mustardrill_standins/src/experiment/simulation.rs
+++ b/mustardrill_standins/src/experiment/simulation.rs
@@ -18,7 +18,7 @@
 use crate::experiment::engine::{EngineEvent, EngineModel, EngineRun, RunId};
 use crate::experiment::fleet::{engine_record, entry_id, initial_update};
 use crate::experiment::pattern::{DisturbanceKind, LoadPattern};
-use crate::experiment::report::PlayReport;
+use crate::experiment::report::SimulationReport;
 
 /// Time on the entries' clocks at which a simulation starts.
 pub(super) const START: Moment = Moment(1_000_000);
@@ -34,7 +34,7 @@
 
 /// Simulates a pattern. A seed gives the same callers whatever the settings, so that the results of
 /// different settings can be compared.
-pub fn play(pattern: &LoadPattern, settings: &DirectSettings, seed: u64) -> PlayReport {
+pub fn simulate(pattern: &LoadPattern, settings: &DirectSettings, seed: u64) -> SimulationReport {
     let mut simulation = PatternSimulation::new(pattern, settings, seed);
     simulation.run();
     simulation.into_report()
@@ -62,8 +62,8 @@
 /// What an engine or its machine reports to an entry about an attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum AttemptReport {
-    Event,
-    Whole,
+    EventSent,
+    Completed,
     Full,
     NotSent,
     Crashed,
@@ -95,7 +95,7 @@
     /// Indices of the engines that each disturbance affects, while it is active.
     affected_engines: Vec<Vec<usize>>,
     pub(super) calls: Vec<CallState>,
-    pub(super) report: PlayReport,
+    pub(super) report: SimulationReport,
 }
 
 impl<'a> PatternSimulation<'a> {
@@ -107,7 +107,7 @@
             EntryState { reducer, broadcaster: LoadBroadcaster::default() }
         };
         let engine = |_| EngineState {
-            model: EngineModel::new(&pattern.profile, pattern.chunk),
+            model: EngineModel::new(&pattern.profile, pattern.prefill_chunk),
             incarnation: 1,
             is_up: true,
         };
@@ -123,7 +123,7 @@
             engines: (0..pattern.engines).map(engine).collect(),
             affected_engines: vec![Vec::new(); pattern.disturbances.len()],
             calls: Vec::new(),
-            report: PlayReport::default(),
+            report: SimulationReport::default(),
         };
         simulation.schedule_initial();
         simulation
@@ -233,9 +233,9 @@
             // The engine also prefills the part of the answer that earlier attempts delivered.
             prompt_left: state.size.prompt_tokens + delivered_tokens,
             answer_left: state.answer_left,
-            ends_engine: self.pattern.kinds[state.kind].ends_engines,
+            crashes_engine: self.pattern.kinds[state.kind].crashes_engines,
         };
-        self.schedule(self.pattern.way, SimulationEvent::RunArrives { engine, run });
+        self.schedule(self.pattern.one_way_delay, SimulationEvent::RunArrives { engine, run });
     }
 
     fn engine_index(&self, upstream: &InstanceId) -> Option<usize> {
@@ -251,12 +251,12 @@
         if !state.is_up {
             return self.report_attempt(id, AttemptReport::NotSent);
         }
-        if !state.model.take(run) {
+        if !state.model.try_enqueue(run) {
             self.report.turned_away += 1;
             return self.report_attempt(id, AttemptReport::Full);
         }
         if !state.model.is_busy {
-            self.begin_pass(engine);
+            self.start_pass(engine);
         }
     }
 
@@ -265,10 +265,10 @@
         state.outcome.is_none() && state.attempt == id.attempt
     }
 
-    fn begin_pass(&mut self, engine: usize) {
+    fn start_pass(&mut self, engine: usize) {
         let state = &mut self.engines[engine];
         let incarnation = state.incarnation;
-        if let Some(span_ms) = state.model.begin_pass() {
+        if let Some(span_ms) = state.model.start_pass() {
             self.schedule_us(
                 (span_ms * 1e3) as u64,
                 SimulationEvent::PassEnds { engine, incarnation },
@@ -281,32 +281,32 @@
         if !state.is_up || state.incarnation != incarnation {
             return;
         }
-        for event in state.model.end_pass() {
+        for event in state.model.finish_pass() {
             match event {
-                EngineEvent::Event(id) => self.report_attempt(id, AttemptReport::Event),
-                EngineEvent::Whole(id) => self.report_attempt(id, AttemptReport::Whole),
-                EngineEvent::Ended => {
+                EngineEvent::EventSent(id) => self.report_attempt(id, AttemptReport::EventSent),
+                EngineEvent::Completed(id) => self.report_attempt(id, AttemptReport::Completed),
+                EngineEvent::Crashed => {
                     self.report.engines_ended += 1;
                     self.crash_engine(engine);
                     return self.schedule(RESTART_DELAY, SimulationEvent::EngineStarts { engine });
                 }
             }
         }
-        self.begin_pass(engine);
+        self.start_pass(engine);
     }
 
     fn crash_engine(&mut self, engine: usize) {
         let state = &mut self.engines[engine];
         state.is_up = false;
         state.incarnation += 1;
-        for id in state.model.take_all() {
+        for id in state.model.drain_runs() {
             self.report_attempt(id, AttemptReport::Crashed);
         }
     }
 
     fn start_engine(&mut self, engine: usize) {
         self.engines[engine].is_up = true;
-        self.schedule(self.pattern.way, SimulationEvent::EngineRegistered { engine });
+        self.schedule(self.pattern.one_way_delay, SimulationEvent::EngineRegistered { engine });
     }
 
     fn register_engine(&mut self, engine: usize) {
@@ -326,7 +326,7 @@
 
     /// Reports to the entry of an attempt, after the one-way delay.
     fn report_attempt(&mut self, id: RunId, report: AttemptReport) {
-        self.schedule(self.pattern.way, SimulationEvent::AttemptReported { id, report });
+        self.schedule(self.pattern.one_way_delay, SimulationEvent::AttemptReported { id, report });
     }
 
     fn handle_attempt_report(&mut self, id: RunId, report: AttemptReport) {
@@ -336,12 +336,12 @@
         let number = self.number(id.call);
         let entry = self.calls[id.call].entry;
         let outcome = match report {
-            AttemptReport::Event => {
+            AttemptReport::EventSent => {
                 let event = DirectEvent::AnswerStarted(number, None, Some(WeightVersion(1)));
                 self.reduce(entry, event);
                 return self.receive_event(id.call);
             }
-            AttemptReport::Whole => {
+            AttemptReport::Completed => {
                 self.receive_event(id.call);
                 let is_late = self.calls[id.call].is_late;
                 self.finish_call(
@@ -372,14 +372,14 @@
             if let Some(load_update) = load_update.clone().filter(|_| self.draw_delivery()) {
                 let load = PeerLoad { from: entry_id(entry), update: load_update };
                 self.schedule(
-                    self.pattern.way,
+                    self.pattern.one_way_delay,
                     SimulationEvent::PeerLoadArrives { entry: other, load },
                 );
             }
             for report in reports.clone() {
                 if self.draw_delivery() {
                     let event = SimulationEvent::CrashReportArrives { entry: other, report };
-                    self.schedule(self.pattern.way, event);
+                    self.schedule(self.pattern.one_way_delay, event);
                 }
             }
         }
@@ -387,7 +387,7 @@
     }
 
     fn draw_delivery(&mut self) -> bool {
-        self.pattern.word_loss == 0.0 || self.rng.random::<f64>() >= self.pattern.word_loss
+        self.pattern.message_loss == 0.0 || self.rng.random::<f64>() >= self.pattern.message_loss
     }
 
     fn start_disturbance(&mut self, index: usize) {
@@ -399,7 +399,7 @@
         for engine in &engines {
             match disturbance.kind {
                 DisturbanceKind::Burst => {}
-                DisturbanceKind::Slow => self.engines[*engine].model.pace = disturbance.factor,
+                DisturbanceKind::Slow => self.engines[*engine].model.slowdown = disturbance.factor,
                 DisturbanceKind::Crash => self.crash_engine(*engine),
             }
         }
@@ -411,7 +411,7 @@
         for engine in std::mem::take(&mut self.affected_engines[index]) {
             match kind {
                 DisturbanceKind::Burst => {}
-                DisturbanceKind::Slow => self.engines[engine].model.pace = 1.0,
+                DisturbanceKind::Slow => self.engines[engine].model.slowdown = 1.0,
                 DisturbanceKind::Crash => self.start_engine(engine),
             }
         }
--- a/mustardrill_standins/src/instances.rs
+++ b/mustardrill_standins/src/instances.rs
@@ -38,7 +38,7 @@
     }
 
     /// The list that readers see now: the latest that is at least as old as the lag.
-    pub fn shown(&self) -> InstanceListing {
+    pub fn visible(&self) -> InstanceListing {
         let mut listings = self.listings.lock().expect("nobody panics under this lock");
         let is_visible = |(set_at, _): &(Instant, InstanceListing)| set_at.elapsed() >= self.lag;
         let Some(newest) = listings.iter().rposition(is_visible) else {
@@ -54,7 +54,7 @@
         let list = self.list.clone();
         Box::pin(async move {
             if request.method() == Method::GET {
-                return json_response(StatusCode::OK, &list.shown());
+                return json_response(StatusCode::OK, &list.visible());
             }
             let body = request.into_body().collect().await;
             let body = body.map(|body| body.to_bytes()).unwrap_or_default();
--- a/mustardrill_standins/src/lab.rs
+++ b/mustardrill_standins/src/lab.rs
@@ -46,7 +46,7 @@
     /// Milliseconds that a plain service takes for a call.
     pub plain_ms: u64,
     /// Whether agents, and upstreams from their agents, are reached over a [`LabLink`].
-    pub links: bool,
+    pub has_links: bool,
     /// Folder for settings and logs. `None` creates a temporary one, which is removed with the lab.
     pub folder: Option<PathBuf>,
 }
@@ -58,11 +58,11 @@
     pub agent: LabProcess,
     /// The process of the engine or plain service.
     pub upstream: LabProcess,
-    /// Link through which others reach the agent; `None` without [`LabOptions::links`] or after the
+    /// Link through which others reach the agent; `None` without [`LabOptions::has_links`] or after the
     /// agent was replaced.
     pub link: Option<LabLink>,
     /// Link through which the agent reaches the upstream; `None` in the same cases.
-    pub order_link: Option<LabLink>,
+    pub upstream_link: Option<LabLink>,
     /// The agent's record in the instance list.
     pub record: InstanceRecord,
 }
@@ -103,7 +103,7 @@
             checks_fencing: true,
             pieces: (8, 5),
             plain_ms: 2,
-            links: false,
+            has_links: false,
             folder: None,
         }
     }
@@ -164,7 +164,7 @@
         let engine = &mut self.engines[index];
         engine.record.agent = agent.address.to_string().into();
         engine.link = None;
-        let replaced = (std::mem::replace(&mut engine.agent, agent), engine.order_link.take());
+        let replaced = (std::mem::replace(&mut engine.agent, agent), engine.upstream_link.take());
         self.publish_instances().await;
         replaced
     }
@@ -200,13 +200,13 @@
     }
 
     /// Applies a catalogue file through an entry's operator port, as `ana`; returns status and body.
-    pub async fn apply(&self, entry: usize, text: &str) -> (u16, serde_json::Value) {
-        self.operate(entry, "POST", "/v1/catalogue/edits", text, OPERATOR_TOKEN).await
+    pub async fn apply_catalogue(&self, entry: usize, text: &str) -> (u16, serde_json::Value) {
+        self.call_operator(entry, "POST", "/v1/catalogue/edits", text, OPERATOR_TOKEN).await
     }
 
     /// Runs `mustardrill-entry catalogue` with `words` against an entry; returns exit code and output.
-    pub fn command(&self, entry: usize, words: &[&str]) -> (i32, String) {
-        let address = self.entries[entry].second.expect("an entry has an operator port");
+    pub fn run_catalogue_command(&self, entry: usize, words: &[&str]) -> (i32, String) {
+        let address = self.entries[entry].second_address.expect("an entry has an operator port");
         let output = Command::new(build_folder().join("mustardrill-entry"))
             .arg("catalogue")
             .args(words)
@@ -219,10 +219,16 @@
     }
 
     /// Waits until an entry and all agents in its status use this generation; false after `limit`.
-    pub async fn wait_in_force(&self, entry: usize, generation: u64, limit: Duration) -> bool {
+    pub async fn wait_until_in_force(
+        &self,
+        entry: usize,
+        generation: u64,
+        limit: Duration,
+    ) -> bool {
         let started = Instant::now();
         while started.elapsed() < limit {
-            let (_, status) = self.operate(entry, "GET", "/v1/status", "", OPERATOR_TOKEN).await;
+            let (_, status) =
+                self.call_operator(entry, "GET", "/v1/status", "", OPERATOR_TOKEN).await;
             let agents = status["agents"].as_array().cloned().unwrap_or_default();
             let has = |value: &serde_json::Value| value["generation"].as_u64() == Some(generation);
             if has(&status) && !agents.is_empty() && agents.iter().all(has) {
@@ -234,10 +240,11 @@
     }
 
     /// Waits until an entry has received heartbeats of this many agents; false after `limit`.
-    pub async fn wait_fleet(&self, entry: usize, agents: usize, limit: Duration) -> bool {
+    pub async fn wait_for_agents(&self, entry: usize, agents: usize, limit: Duration) -> bool {
         let started = Instant::now();
         while started.elapsed() < limit {
-            let (_, status) = self.operate(entry, "GET", "/v1/status", "", OPERATOR_TOKEN).await;
+            let (_, status) =
+                self.call_operator(entry, "GET", "/v1/status", "", OPERATOR_TOKEN).await;
             let agents_seen = status["agents"].as_array().into_iter().flatten();
             if agents_seen.filter(|agent| !agent["silent_ms"].is_null()).count() >= agents {
                 return true;
@@ -254,7 +261,7 @@
 
     /// The status that an agent reports on its local port; null where it is malformed.
     pub async fn agent_status(&self, upstream: &LabUpstream) -> serde_json::Value {
-        let local = upstream.agent.second.expect("an agent has a local port");
+        let local = upstream.agent.second_address.expect("an agent has a local port");
         let answer = self.call("GET", local, "/status", Bytes::new()).await;
         serde_json::from_slice(&answer.body).unwrap_or_default()
     }
@@ -308,7 +315,7 @@
     }
 
     /// Calls an entry's operator port; returns the status and the body, as JSON or else as a string.
-    pub async fn operate(
+    pub async fn call_operator(
         &self,
         entry: usize,
         method: &str,
@@ -316,7 +323,7 @@
         text: &str,
         token: &str,
     ) -> (u16, serde_json::Value) {
-        let address = self.entries[entry].second.expect("an entry has an operator port");
+        let address = self.entries[entry].second_address.expect("an entry has an operator port");
         let mut sent = request(method, &format!("http://{address}{path}"), text.to_owned());
         let value = format!("Bearer {token}").parse().expect("a token makes a header");
         sent.headers_mut().insert("authorization", value);
@@ -342,7 +349,7 @@
     }
 
     /// Sets a stand-in's fault switches, such as `down=1`; those left out are switched off.
-    pub async fn switch(&self, address: SocketAddr, switches: &str) {
+    pub async fn set_faults(&self, address: SocketAddr, switches: &str) {
         self.call("POST", address, &format!("/admin/faults?{switches}"), Bytes::new()).await;
     }
 
@@ -365,7 +372,7 @@
     }
 
     /// Waits until `count` engines serve `digest`; returns the time taken, or `None` after `limit`.
-    pub async fn wait_serving(
+    pub async fn wait_until_serving(
         &self,
         digest: &str,
         count: usize,
@@ -383,7 +390,7 @@
     }
 
     /// Waits until every entry answers a request to this path with success; false after `limit`.
-    pub async fn wait_ready(&self, path: &str, limit: Duration) -> bool {
+    pub async fn wait_until_ready(&self, path: &str, limit: Duration) -> bool {
         let started = Instant::now();
         while started.elapsed() < limit {
             let mut is_ready = true;
@@ -418,15 +425,15 @@
         let arguments = self.upstream_arguments(kind);
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
         let upstream = stand_in(&self.folder, kind, &format!("{kind}-{index}"), &arguments);
-        let order_link = self.spawn_link(upstream.address);
-        let upstream_address = order_link.as_ref().map_or(upstream.address, |link| link.address);
+        let upstream_link = self.spawn_link(upstream.address);
+        let upstream_address = upstream_link.as_ref().map_or(upstream.address, |link| link.address);
         let mut record = instance_record(index, service);
         let settings = self.settings().agent(&record, upstream_address, kind == "engine");
         let agent = daemon(&self.folder, "mustardrill-agent", record.id.as_str(), &settings);
         let link = self.spawn_link(agent.address);
         let agent_address = link.as_ref().map_or(agent.address, |link| link.address);
         record.agent = agent_address.to_string().into();
-        LabUpstream { agent, upstream, link, order_link, record }
+        LabUpstream { agent, upstream, link, upstream_link, record }
     }
 
     fn upstream_arguments(&self, kind: &str) -> Vec<String> {
@@ -445,7 +452,7 @@
     }
 
     fn spawn_link(&self, target: SocketAddr) -> Option<LabLink> {
-        self.options.links.then(|| LabLink::spawn(target).expect("a free port"))
+        self.options.has_links.then(|| LabLink::spawn(target).expect("a free port"))
     }
 
     fn spawn_entry(&self, index: usize) -> LabProcess {
--- a/mustardrill_standins/src/load.rs
+++ b/mustardrill_standins/src/load.rs
@@ -25,7 +25,7 @@
     /// Number of pieces in an engine's answer; `None` expects the answer of a plain service.
     pub pieces: Option<u64>,
     /// Whether each request has an idempotency key of its own.
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
     /// Time limit sent with each request; a caller gives up two seconds after it.
     pub timeout: Duration,
 }
@@ -36,7 +36,7 @@
     /// Requests sent.
     pub sent: u64,
     /// Complete and correct answers.
-    pub whole: u64,
+    pub complete: u64,
     /// Refusals that say that the request was not run.
     pub not_run: u64,
     /// Refusals that do not say so: the request may have run, or has failed.
@@ -81,7 +81,7 @@
     fn default() -> Self {
         Self {
             sent: 0,
-            whole: 0,
+            complete: 0,
             not_run: 0,
             unknown: 0,
             lost: 0,
@@ -103,7 +103,7 @@
     fn record(&mut self, outcome: RequestOutcome, took: Duration) {
         match outcome {
             RequestOutcome::Complete(weights) => {
-                self.whole += 1;
+                self.complete += 1;
                 *self.weights.entry(weights).or_default() += 1;
                 let _ = self.times.record(took.as_micros() as u64);
             }
@@ -194,7 +194,7 @@
     let mut sent = caller_request(entry, &options.path, &prompt);
     let timeout = options.timeout.as_millis() as u64;
     sent.headers_mut().insert("mustardrill-timeout-ms", timeout.into());
-    if options.keyed {
+    if options.has_idempotency_key {
         let key = prompt.replace(' ', "-").parse().expect("a key makes a header");
         sent.headers_mut().insert("idempotency-key", key);
     }
--- a/mustardrill_standins/src/origin.rs
+++ b/mustardrill_standins/src/origin.rs
@@ -27,7 +27,7 @@
 
 /// The published versions of an origin, kept in memory, and the link over which it sends them.
 #[derive(Debug)]
-pub struct WeightShelf {
+pub struct OriginStore {
     versions: Mutex<BTreeMap<String, PublishedWeights>>,
     link: PacedLink,
     sent: AtomicU64,
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone)]
 pub struct OriginHandler {
     /// The versions, shared with tests that publish more.
-    pub shelf: Arc<WeightShelf>,
+    pub store: Arc<OriginStore>,
 }
 
 #[derive(Debug, Clone)]
@@ -48,7 +48,7 @@
     bytes: Bytes,
 }
 
-impl WeightShelf {
+impl OriginStore {
     /// Creates an origin without versions; `rate` is its link's in bytes per second, zero is unlimited.
     pub fn new(rate: u64) -> Self {
         Self {
@@ -91,23 +91,23 @@
 
 impl HttpHandler for OriginHandler {
     fn handle(&self, request: Request<Incoming>, _: SocketAddr) -> BoxFuture<'static, AnyResponse> {
-        let shelf = self.shelf.clone();
-        Box::pin(async move { handle_request(shelf, &request).await })
+        let store = self.store.clone();
+        Box::pin(async move { handle_request(store, &request).await })
     }
 }
 
-async fn handle_request(shelf: Arc<WeightShelf>, request: &Request<Incoming>) -> AnyResponse {
-    if let Some(answer) = shelf.faults.admin(request) {
+async fn handle_request(store: Arc<OriginStore>, request: &Request<Incoming>) -> AnyResponse {
+    if let Some(answer) = store.faults.admin(request) {
         return answer;
     }
     let path = request.uri().path();
     if path == "/admin/sent" {
-        return text_response(StatusCode::OK, shelf.sent().to_string());
+        return text_response(StatusCode::OK, store.sent().to_string());
     }
     if path == "/admin/publish" {
-        return handle_publish(&shelf, request);
+        return handle_publish(&store, request);
     }
-    let faults = shelf.faults.get();
+    let faults = store.faults.get();
     if faults.down {
         return text_response(StatusCode::SERVICE_UNAVAILABLE, "down\n");
     }
@@ -116,17 +116,17 @@
     else {
         return text_response(StatusCode::NOT_FOUND, "no such call\n");
     };
-    let Some(published) = shelf.versions().get(name).cloned() else {
+    let Some(published) = store.versions().get(name).cloned() else {
         return text_response(StatusCode::NOT_FOUND, "no such version\n");
     };
     match part {
         "manifest" => Response::new(whole_body(published.manifest)),
-        "bytes" => send_range(shelf, &published, request),
+        "bytes" => send_range(store, &published, request),
         _ => text_response(StatusCode::NOT_FOUND, "no such part\n"),
     }
 }
 
-fn handle_publish(shelf: &WeightShelf, request: &Request<Incoming>) -> AnyResponse {
+fn handle_publish(store: &OriginStore, request: &Request<Incoming>) -> AnyResponse {
     let text = |name| query(request.uri(), name);
     let number = |name| text(name).and_then(|text| text.parse::<u64>().ok());
     let (Some(model), Some(version)) = (text("model"), text("version")) else {
@@ -134,12 +134,12 @@
     };
     let size = number("size").unwrap_or(1 << 20) as usize;
     let chunk = number("chunk").unwrap_or(1 << 16);
-    let manifest = shelf.publish(model, version, size, chunk, number("seed").unwrap_or(1));
+    let manifest = store.publish(model, version, size, chunk, number("seed").unwrap_or(1));
     text_response(StatusCode::OK, manifest.digest().to_string())
 }
 
 fn send_range(
-    shelf: Arc<WeightShelf>,
+    store: Arc<OriginStore>,
     published: &PublishedWeights,
     request: &Request<Incoming>,
 ) -> AnyResponse {
@@ -150,23 +150,23 @@
     let end = range.and_then(|(_, end)| end.parse::<usize>().ok()).map_or(total, |end| end + 1);
     let end = end.clamp(start, total);
     let mut bytes = published.bytes.slice(start..end);
-    if shelf.faults.get().corrupt && !bytes.is_empty() {
+    if store.faults.get().corrupt && !bytes.is_empty() {
         let mut changed = bytes.to_vec();
         changed[0] ^= 1;
         bytes = changed.into();
     }
     let length = bytes.len() as u64;
-    let pieces = stream::unfold((shelf, bytes), |(shelf, mut rest)| async move {
+    let pieces = stream::unfold((store, bytes), |(store, mut rest)| async move {
         if rest.is_empty() {
             return None;
         }
-        if shelf.faults.get().stall {
+        if store.faults.get().stall {
             std::future::pending::<()>().await;
         }
         let piece = rest.split_to(rest.len().min(PIECE_BYTES));
-        shelf.link.transmit(piece.len()).await;
-        shelf.sent.fetch_add(piece.len() as u64, Ordering::Relaxed);
-        Some((Ok::<_, CutError>(Frame::data(piece)), (shelf, rest)))
+        store.link.transmit(piece.len()).await;
+        store.sent.fetch_add(piece.len() as u64, Ordering::Relaxed);
+        Some((Ok::<_, CutError>(Frame::data(piece)), (store, rest)))
     });
     let mut response = Response::new(StreamBody::new(pieces).boxed_unsync());
     let status = if range.is_some() { StatusCode::PARTIAL_CONTENT } else { StatusCode::OK };
--- a/mustardrill_standins/src/process.rs
+++ b/mustardrill_standins/src/process.rs
@@ -15,7 +15,7 @@
     /// Address of its main listener, from the `ready` line of its log.
     pub address: SocketAddr,
     /// Address of its second listener: an entry's operator port or an agent's local port.
-    pub second: Option<SocketAddr>,
+    pub second_address: Option<SocketAddr>,
     child: Child,
 }
 
@@ -27,12 +27,12 @@
     }
 
     /// Suspends the process (SIGSTOP); its connections stay open.
-    pub fn freeze(&self) {
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
     /// Resumes a suspended process (SIGCONT).
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
@@ -60,7 +60,7 @@
 
 impl Drop for LabProcess {
     fn drop(&mut self) {
-        self.thaw();
+        self.resume();
         self.kill();
     }
 }
@@ -113,7 +113,7 @@
         .map(|field| field.rsplit('=').next().unwrap_or(field))
         .filter_map(|field| field.parse().ok());
     let address = addresses.next().unwrap_or_else(|| panic!("{name} did not start: {line}"));
-    LabProcess { name: name.to_owned(), address, second: addresses.next(), child }
+    LabProcess { name: name.to_owned(), address, second_address: addresses.next(), child }
 }
 
 /// The `ready` line of a log; the whole log where the program ended or timed out without one.
--- a/mustardrill_standins/src/scenario.rs
+++ b/mustardrill_standins/src/scenario.rs
@@ -14,7 +14,7 @@
 
 /// Result of a load order that arrived after the next lease holder's order.
 #[derive(Debug)]
-pub struct LateOrder {
+pub struct LateOrderResult {
     /// Accepted load orders: fencing number and digest.
     pub orders: Vec<(u64, String)>,
     /// Number of load orders that the engine rejected.
@@ -26,32 +26,43 @@
 
 /// Suspends an agent while its load order is held in the link; another agent replaces it and orders a
 /// newer version; then the held order arrives and the first agent resumes.
-pub async fn late_order(checks_fencing: bool) -> LateOrder {
-    let options =
-        LabOptions { agents: 1, plain: 0, links: true, checks_fencing, ..LabOptions::default() };
+pub async fn late_order(checks_fencing: bool) -> LateOrderResult {
+    let options = LabOptions {
+        agents: 1,
+        plain: 0,
+        has_links: true,
+        checks_fencing,
+        ..LabOptions::default()
+    };
     let mut lab = Lab::spawn(options).await;
     let mut digests = Vec::new();
     for (index, version) in ["v1", "v2", "v3"].into_iter().enumerate() {
         digests
             .push(lab.publish(MODEL, version, WEIGHT_BYTES, CHUNK_BYTES, index as u64 + 1).await);
     }
-    assert!(lab.wait_fleet(0, 1, WAIT_LIMIT).await, "the entry never saw the agent");
+    assert!(lab.wait_for_agents(0, 1, WAIT_LIMIT).await, "the entry never saw the agent");
     apply_version(&lab, "v1", None).await;
-    assert!(lab.wait_serving(&digests[0], 1, WAIT_LIMIT).await.is_some(), "v1 is never served");
-    lab.engines[0].order_link.as_ref().expect("the lab has links").set(LinkState::Silent);
+    assert!(
+        lab.wait_until_serving(&digests[0], 1, WAIT_LIMIT).await.is_some(),
+        "v1 is never served"
+    );
+    lab.engines[0].upstream_link.as_ref().expect("the lab has links").set(LinkState::Silent);
     apply_version(&lab, "v2", Some(1)).await;
     wait_until_order_held(&lab).await;
-    lab.engines[0].agent.freeze();
+    lab.engines[0].agent.suspend();
     let (first_agent, link) = lab.replace_agent(0).await;
     apply_version(&lab, "v3", Some(2)).await;
-    assert!(lab.wait_serving(&digests[2], 1, WAIT_LIMIT).await.is_some(), "v3 is never served");
+    assert!(
+        lab.wait_until_serving(&digests[2], 1, WAIT_LIMIT).await.is_some(),
+        "v3 is never served"
+    );
     let received = lab.received_orders(&lab.engines[0]).await;
     link.as_ref().expect("the lab has links").set(LinkState::Open);
     wait_until_order_received(&lab, received).await;
-    first_agent.thaw();
+    first_agent.resume();
     let served_for = observe_engine(&lab, &digests[1], &digests[2]).await;
     let (orders, refused) = lab.orders(&lab.engines[0]).await;
-    LateOrder { orders, refused, served_for }
+    LateOrderResult { orders, refused, served_for }
 }
 
 async fn apply_version(lab: &Lab, version: &str, revision: Option<u64>) {
@@ -60,13 +71,13 @@
         "[model {MODEL}]\n{revision}service = mustard-pool\nowner = ana\nclass = urgent\ncallers = all\n\
          requests_per_second = 1000\nin_flight = 100\nversion = {version}\nreplicas = 1\n"
     );
-    let (status, body) = lab.apply(0, &text).await;
+    let (status, body) = lab.apply_catalogue(0, &text).await;
     assert_eq!(status, 200, "{body}");
 }
 
 /// Waits until the link between agent and engine holds a load order.
 async fn wait_until_order_held(lab: &Lab) {
-    let link = lab.engines[0].order_link.as_ref().expect("the lab has links");
+    let link = lab.engines[0].upstream_link.as_ref().expect("the lab has links");
     let held = async {
         while !link.has_held("/v1/load") {
             tokio::time::sleep(Duration::from_millis(10)).await;
--- a/mustardrill_standins/tests/common/mod.rs
+++ b/mustardrill_standins/tests/common/mod.rs
@@ -44,13 +44,13 @@
     let agents = options.agents;
     let lab = Lab::spawn(options).await;
     let digest = lab.publish(MODEL, "v1", SIZE, CHUNK, 1).await;
-    assert!(lab.wait_fleet(0, agents + 1, LONG).await, "the entries never saw the fleet");
+    assert!(lab.wait_for_agents(0, agents + 1, LONG).await, "the entries never saw the fleet");
     let file = format!("{}\n{}", model_file("v1", 0, agents), plain_file());
-    let (status, body) = lab.apply(0, &file).await;
+    let (status, body) = lab.apply_catalogue(0, &file).await;
     assert_eq!(status, 200, "{body}");
-    assert!(lab.wait_serving(&digest, agents, LONG).await.is_some(), "v1 was never served");
-    assert!(lab.wait_ready(&format!("/v1/models/{MODEL}/x"), LONG).await, "never ready");
-    assert!(lab.wait_ready("/v1/services/desk/x", LONG).await, "never ready");
+    assert!(lab.wait_until_serving(&digest, agents, LONG).await.is_some(), "v1 was never served");
+    assert!(lab.wait_until_ready(&format!("/v1/models/{MODEL}/x"), LONG).await, "never ready");
+    assert!(lab.wait_until_ready("/v1/services/desk/x", LONG).await, "never ready");
     (lab, digest)
 }
 
@@ -69,7 +69,7 @@
             path: format!("/v1/models/{MODEL}/draft"),
             rate,
             pieces: Some(PIECES),
-            keyed: false,
+            has_idempotency_key: false,
             timeout,
         },
     )
@@ -85,7 +85,7 @@
             path: "/v1/services/desk/file".into(),
             rate,
             pieces: None,
-            keyed: true,
+            has_idempotency_key: true,
             timeout: Duration::from_secs(3),
         },
     )
@@ -110,6 +110,6 @@
     assert!(counts.values().all(|count| *count == 1), "{counts:?}");
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
     let ran = counts.len() as u64;
-    assert!(ran >= report.whole && ran <= report.whole + report.unknown, "{ran} {report:?}");
+    assert!(ran >= report.complete && ran <= report.complete + report.unknown, "{ran} {report:?}");
     report
 }
--- a/mustardrill_standins/tests/crashes.rs
+++ b/mustardrill_standins/tests/crashes.rs
@@ -43,7 +43,7 @@
     let before = ended(&mut lab);
     lab.restart_entry(1);
     let path = format!("/v1/models/{MODEL}/x");
-    assert!(lab.wait_ready(&path, Duration::from_secs(20)).await, "{}", lab.logs());
+    assert!(lab.wait_until_ready(&path, Duration::from_secs(20)).await, "{}", lab.logs());
     for entry in [0, 1] {
         for key in [None, Some("a-new-key")] {
             let answer = draft(&lab, entry, key, CRASH_PROMPT).await.expect("it is told at once");
--- a/mustardrill_standins/tests/engine.rs
+++ b/mustardrill_standins/tests/engine.rs
@@ -6,16 +6,16 @@
 use mustardrill_runtime::http::{HttpClient, request};
 use mustardrill_standins::StandIn;
 use mustardrill_standins::engine::{EngineHandler, EngineOptions, EngineState};
-use mustardrill_standins::origin::{OriginHandler, WeightShelf};
+use mustardrill_standins::origin::{OriginHandler, OriginStore};
 
 const LONG: Duration = Duration::from_secs(20);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_of_higher_priority_is_answered_first() {
     let local = ([127, 0, 0, 1], 0).into();
-    let shelf = Arc::new(WeightShelf::new(0));
-    let manifest = shelf.publish("drafts", "v1", 4_096, 1_024, 1);
-    let origin = StandIn::spawn(local, Box::new(OriginHandler { shelf })).await.unwrap();
+    let store = Arc::new(OriginStore::new(0));
+    let manifest = store.publish("drafts", "v1", 4_096, 1_024, 1);
+    let origin = StandIn::spawn(local, Box::new(OriginHandler { store })).await.unwrap();
     // Twenty pieces of 20 ms each, one at a time: the first ones are far from done when the last
     // one comes, on any machine.
     let piece_time = Duration::from_millis(20);
--- a/mustardrill_standins/tests/experiment.rs
+++ b/mustardrill_standins/tests/experiment.rs
@@ -4,7 +4,7 @@
 use mustardrill_entry::direct;
 use mustardrill_runtime::settings::SettingsReader;
 use mustardrill_standins::experiment::{
-    EngineEvent, EngineModel, EngineRun, LoadPattern, PLAIN_ENTRY, RunId, play,
+    DEFAULT_ENTRY_SETTINGS, EngineEvent, EngineModel, EngineRun, LoadPattern, RunId, simulate,
 };
 use mustardrill_types::Millis;
 
@@ -21,7 +21,7 @@
 ";
 
 fn settings() -> DirectSettings {
-    let reader = SettingsReader::read("entry.ini", PLAIN_ENTRY).unwrap();
+    let reader = SettingsReader::read("entry.ini", DEFAULT_ENTRY_SETTINGS).unwrap();
     direct::read(reader).settings.unwrap().direct
 }
 
@@ -34,18 +34,18 @@
 #[test]
 fn callers_of_a_calm_pattern_are_answered_in_time_and_alike_for_a_seed() {
     let pattern = pattern(CALM);
-    let report = play(&pattern, &settings(), 1);
+    let report = simulate(&pattern, &settings(), 1);
     let total = report.total();
     assert!(total.asked > 20, "{total:?}");
     assert_eq!(total.in_time, total.asked, "{total:?}");
-    assert_eq!(report.seconds, play(&pattern, &settings(), 1).seconds);
-    assert_ne!(report.seconds, play(&pattern, &settings(), 2).seconds);
+    assert_eq!(report.seconds, simulate(&pattern, &settings(), 1).seconds);
+    assert_ne!(report.seconds, simulate(&pattern, &settings(), 2).seconds);
 }
 
 #[test]
 fn no_more_is_answered_in_time_than_the_engines_can() {
     let overload = CALM.replace("rate = 10", "rate = 300");
-    let report = play(&pattern(&overload), &settings(), 1);
+    let report = simulate(&pattern(&overload), &settings(), 1);
     let total = report.total();
     assert!(f64::from(total.asked) > 2.0 * report.bound(), "{total:?} {}", report.bound());
     // A run that began before the last second ends after it.
@@ -60,7 +60,7 @@
 fn entries_that_do_not_hear_each_other_send_to_full_engines() {
     let pattern = pattern(&CALM.replace("rate = 10", "rate = 90"));
     let deaf = DirectSettings { peer_load_timeout: Millis(0), ..settings() };
-    let (hearing, deaf) = (play(&pattern, &settings(), 1), play(&pattern, &deaf, 1));
+    let (hearing, deaf) = (simulate(&pattern, &settings(), 1), simulate(&pattern, &deaf, 1));
     assert!(
         deaf.turned_away > hearing.turned_away + 20,
         "{} {}",
@@ -75,7 +75,7 @@
     let text = CALM.replace("[kind draft]", "word_loss = 0.2\n[kind draft]")
         + "[kind cause]\nrate = 2\nends_engines = true\n";
     for seed in 1..=5 {
-        let report = play(&pattern(&text), &settings(), seed);
+        let report = simulate(&pattern(&text), &settings(), seed);
         assert!(report.engines_ended >= 2, "it came: {}", report.engines_ended);
         // Three from which it is learned, and three more.
         assert!(report.engines_ended <= 6, "{} with seed {seed}", report.engines_ended);
@@ -85,15 +85,20 @@
 #[test]
 fn an_engine_takes_as_long_as_the_forecast_says_for_one_request() {
     let pattern = pattern(CALM);
-    let mut engine = EngineModel::new(&pattern.profile, pattern.chunk);
+    let mut engine = EngineModel::new(&pattern.profile, pattern.prefill_chunk);
     let id = RunId { call: 0, attempt: 1 };
-    assert!(engine.take(EngineRun { id, prompt_left: 600, answer_left: 60, ends_engine: false }));
+    assert!(engine.try_enqueue(EngineRun {
+        id,
+        prompt_left: 600,
+        answer_left: 60,
+        crashes_engine: false
+    }));
     let mut took = 0.0;
     let mut first = None;
-    while let Some(span) = engine.begin_pass() {
+    while let Some(span) = engine.start_pass() {
         took += span;
-        let events = engine.end_pass();
-        assert!(events.iter().all(|event| !matches!(event, EngineEvent::Ended)));
+        let events = engine.finish_pass();
+        assert!(events.iter().all(|event| !matches!(event, EngineEvent::Crashed)));
         if !events.is_empty() {
             first.get_or_insert(took);
         }
--- a/mustardrill_standins/tests/liars.rs
+++ b/mustardrill_standins/tests/liars.rs
@@ -161,7 +161,7 @@
     let options = LabOptions { agents: 3, entry_lines: vec![keep], ..LabOptions::default() };
     let (lab, digest) = serving_lab(options).await;
     let liar = add_liar(&lab, &[&digest]).await;
-    assert!(lab.wait_fleet(0, 5, LONG).await);
+    assert!(lab.wait_for_agents(0, 5, LONG).await);
     let load = callers(&lab, 100.0);
     for _ in 0..500 {
         if liar.lies.load(Ordering::Relaxed) >= 12 {
@@ -172,7 +172,7 @@
     let report = load.finish().await;
     assert!(liar.lies.load(Ordering::Relaxed) >= 12, "the liar was hardly asked");
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -180,12 +180,12 @@
     let (lab, v1) = serving_lab(LabOptions { agents: 3, ..LabOptions::default() }).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let liar = add_liar(&lab, &[&v1]).await;
-    assert!(lab.wait_fleet(0, 5, LONG).await);
+    assert!(lab.wait_for_agents(0, 5, LONG).await);
     // The entry knows of the liar; agents read the list, which lags by 100 ms, every 100 ms.
     tokio::time::sleep(Duration::from_secs(1)).await;
     // Four replicas: the liar is one of those that are to serve, and so a peer.
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
-    assert!(lab.wait_serving(&v2, 3, LONG).await.is_some(), "v2 was never served");
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
+    assert!(lab.wait_until_serving(&v2, 3, LONG).await.is_some(), "v2 was never served");
     let sent = liar.chunks.load(Ordering::Relaxed);
     // Each of three asks it a few times, until it is avoided.
     assert!((1..=30).contains(&sent), "{sent} chunks were drawn from the liar");
--- a/mustardrill_standins/tests/links.rs
+++ b/mustardrill_standins/tests/links.rs
@@ -23,7 +23,7 @@
 const FEW: f64 = 20.0;
 
 fn linked(options: LabOptions) -> LabOptions {
-    LabOptions { links: true, ..options }
+    LabOptions { has_links: true, ..options }
 }
 
 fn paced(agents: usize) -> LabOptions {
@@ -44,11 +44,11 @@
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let before = lab.origin_sent().await;
     let load = callers(&lab, FEW);
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 6)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 6)).await.0, 200);
     tokio::time::sleep(Duration::from_millis(400)).await;
     lab.set_link(&lab.engines[2], state);
     // Its own calls go out over the others' links, so it gets the weights as well.
-    assert!(lab.wait_serving(&v2, 6, LONG).await.is_some(), "v2 was never served by all");
+    assert!(lab.wait_until_serving(&v2, 6, LONG).await.is_some(), "v2 was never served by all");
     let share = (lab.origin_sent().await - before) as f64 / SIZE as f64;
     lab.set_link(&lab.engines[2], LinkState::Open);
     let report = load.finish().await;
@@ -88,7 +88,7 @@
     }
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -101,7 +101,7 @@
     // Whoever was sent there is answered by another engine, while the link stays as it is.
     let report = tokio::time::timeout(LONG / 2, load.finish()).await;
     let report = report.expect("requests were held until their deadline");
-    assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
+    assert_eq!(report.complete, report.sent, "{:?} lost {}", report.codes, report.lost);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/mustardrill_standins/tests/outages.rs
+++ b/mustardrill_standins/tests/outages.rs
@@ -23,16 +23,16 @@
 
 async fn flap(lab: &Lab) {
     for trouble in TROUBLES {
-        lab.switch(lab.key_value.address, trouble).await;
+        lab.set_faults(lab.key_value.address, trouble).await;
         tokio::time::sleep(PHASE).await;
-        lab.switch(lab.key_value.address, "").await;
+        lab.set_faults(lab.key_value.address, "").await;
         tokio::time::sleep(PHASE / 2).await;
     }
 }
 
 /// An edit of the plain service from whatever revision it has now; returns what was told.
 async fn edit(lab: &Lab, number: u64) -> Told {
-    let (_, body) = lab.operate(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
+    let (_, body) = lab.call_operator(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
     let Some(revision) = body["catalogue"]["entries"]["desk"]["revision"].as_u64() else {
         return Told::Refused;
     };
@@ -40,7 +40,7 @@
         .replace("[plain desk]", &format!("[plain desk]\nrevision = {revision}"))
         .replace("in_flight = 500", &format!("in_flight = {}", 400 + number));
     let path = format!("/v1/catalogue/edits?id={}", edit_id(number));
-    told(lab.operate(number as usize % 2, "POST", &path, &text, OPERATOR_TOKEN).await.0)
+    told(lab.call_operator(number as usize % 2, "POST", &path, &text, OPERATOR_TOKEN).await.0)
 }
 
 fn edit_id(number: u64) -> String {
@@ -59,7 +59,7 @@
 async fn settle(lab: &Lab, number: u64) -> Told {
     let path = format!("/v1/catalogue/edits/{}", edit_id(number));
     for _ in 0..200 {
-        let answer = told(lab.operate(1, "GET", &path, "", OPERATOR_TOKEN).await.0);
+        let answer = told(lab.call_operator(1, "GET", &path, "", OPERATOR_TOKEN).await.0);
         if answer != Told::NotYetKnown {
             return answer;
         }
@@ -76,9 +76,12 @@
     flap(&lab).await;
     tokio::time::sleep(PHASE).await;
     let report = load.finish().await;
-    assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
+    assert_eq!(report.complete, report.sent, "{:?} lost {}", report.codes, report.lost);
     let report = told_the_truth(&lab, keyed).await;
-    assert!(report.whole > 0 && report.not_run > 0, "both good and bad times were met: {report:?}");
+    assert!(
+        report.complete > 0 && report.not_run > 0,
+        "both good and bad times were met: {report:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -106,6 +109,6 @@
     }
     assert!(accepted > 0, "{answers:?}");
     // One generation for the lab's own edit and one for each accepted one: none was made twice.
-    let (_, body) = lab.operate(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
+    let (_, body) = lab.call_operator(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
     assert_eq!(body["catalogue"]["generation"].as_u64(), Some(accepted + 1), "{answers:?}");
 }
--- a/mustardrill_standins/tests/path.rs
+++ b/mustardrill_standins/tests/path.rs
@@ -71,36 +71,36 @@
     let path = file.to_str().unwrap();
     let write = |text: &str| std::fs::write(&file, text).unwrap();
 
-    let (exit, shown) = lab.command(0, &["show"]);
+    let (exit, shown) = lab.run_catalogue_command(0, &["show"]);
     assert_eq!(exit, 0, "{shown}");
     write(&shown.replace("class = urgent", "class = background"));
-    let (exit, text) = lab.command(0, &["diff", path]);
+    let (exit, text) = lab.run_catalogue_command(0, &["diff", path]);
     assert!(exit == 0 && text.contains("class: urgent -> background"), "{exit} {text}");
-    let (exit, text) = lab.command(0, &["apply", path, "--edit-id", "abc1"]);
+    let (exit, text) = lab.run_catalogue_command(0, &["apply", path, "--edit-id", "abc1"]);
     assert!(exit == 0 && text.contains("generation 2"), "{exit} {text}");
-    let (exit, text) = lab.command(0, &["apply", path, "--edit-id", "abc1"]);
+    let (exit, text) = lab.run_catalogue_command(0, &["apply", path, "--edit-id", "abc1"]);
     assert!(exit == 0 && text.contains("generation 2"), "a retry is the same edit: {exit} {text}");
-    let (exit, text) = lab.command(0, &["settle", "abc1"]);
+    let (exit, text) = lab.run_catalogue_command(0, &["settle", "abc1"]);
     assert!(exit == 0 && text.contains("accepted"), "{exit} {text}");
-    let (exit, text) = lab.command(0, &["settle", "abc2"]);
+    let (exit, text) = lab.run_catalogue_command(0, &["settle", "abc2"]);
     assert!(exit == 3 && text.contains("not-yet-known"), "{exit} {text}");
-    let (exit, text) = lab.command(0, &["check", path]);
+    let (exit, text) = lab.run_catalogue_command(0, &["check", path]);
     assert!(exit == 1 && text.contains("5124 NoChange"), "{exit} {text}");
     write(&shown.replace("class = urgent", "class = urgnet"));
-    let (exit, text) = lab.command(0, &["apply", path]);
+    let (exit, text) = lab.run_catalogue_command(0, &["apply", path]);
     assert!(exit == 1 && text.contains("did you mean urgent?"), "{exit} {text}");
-    let (exit, text) = lab.command(0, &["undo", "abc1"]);
+    let (exit, text) = lab.run_catalogue_command(0, &["undo", "abc1"]);
     assert!(exit == 0 && text.contains("generation 3"), "{exit} {text}");
-    let (exit, text) = lab.command(0, &["history", "--json"]);
+    let (exit, text) = lab.run_catalogue_command(0, &["history", "--json"]);
     let history: serde_json::Value = serde_json::from_str(&text).unwrap();
     assert!(exit == 0 && history.as_array().unwrap().len() == 3, "{exit} {text}");
-    assert!(lab.wait_in_force(0, 3, common::LONG).await);
-    let (exit, text) = lab.command(0, &["status"]);
+    assert!(lab.wait_until_in_force(0, 3, common::LONG).await);
+    let (exit, text) = lab.run_catalogue_command(0, &["status"]);
     assert!(exit == 0 && text.contains("in force at 3 of 3"), "{exit} {text}");
     assert!(text.contains("model drafts: 2 wanted: 2 serving"), "{text}");
-    let (exit, text) = lab.command(0, &["apply", "no-such-file.ini"]);
+    let (exit, text) = lab.run_catalogue_command(0, &["apply", "no-such-file.ini"]);
     assert!(exit == 2 && text.contains("can't be read"), "{exit} {text}");
-    let (status, _) = lab.operate(0, "GET", "/v1/status", "", "no-operator").await;
+    let (status, _) = lab.call_operator(0, "GET", "/v1/status", "", "no-operator").await;
     assert_eq!(status, 401);
 }
 
@@ -163,14 +163,14 @@
     })
     .await;
     lab.publish(MODEL, "v1", 1_000, 1_024, 1).await;
-    assert!(lab.wait_fleet(0, 1, common::LONG).await);
+    assert!(lab.wait_for_agents(0, 1, common::LONG).await);
     lab.key_value.kill();
-    let (status, body) = lab.apply(0, &model_file("v1", 0, 1)).await;
+    let (status, body) = lab.apply_catalogue(0, &model_file("v1", 0, 1)).await;
     assert_eq!((status, body["outcome"].as_str()), (409, Some("refused")), "{body}");
     assert!(body["message"].as_str().unwrap().contains("nothing was written"), "{body}");
     let file = lab.folder().join("plain.ini");
     std::fs::write(&file, plain_file()).unwrap();
     lab.entries[0].kill();
-    let (exit, text) = lab.command(0, &["apply", file.to_str().unwrap()]);
+    let (exit, text) = lab.run_catalogue_command(0, &["apply", file.to_str().unwrap()]);
     assert!(exit == 4 && text.contains("no answer from the entry"), "{exit} {text}");
 }
--- a/mustardrill_standins/tests/prepared/fleet.rs
+++ b/mustardrill_standins/tests/prepared/fleet.rs
@@ -99,7 +99,7 @@
     }
 
     pub async fn ready(&self) -> bool {
-        let uri = format!("http://{}/v1/readiness", self.entry.second.unwrap());
+        let uri = format!("http://{}/v1/readiness", self.entry.second_address.unwrap());
         let call = self.client.call(request("GET", &uri, ""), Duration::from_secs(1), 1_000);
         call.await.is_ok_and(|answer| answer.status == StatusCode::OK)
     }
--- a/mustardrill_standins/tests/prepared/leaving.rs
+++ b/mustardrill_standins/tests/prepared/leaving.rs
@@ -188,9 +188,9 @@
     let fleet = LinkedFleet::start(19, 2, 3).await;
     fleet.store.set_mode(StoreMode::Busy);
     fleet.call_for(Duration::from_millis(500), "away").await;
-    fleet.entries[0].freeze();
+    fleet.entries[0].suspend();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    fleet.entries[0].thaw();
+    fleet.entries[0].resume();
     let mut calls = vec![fleet.call_for(Duration::from_millis(1_000), "thawed").await];
     calls.extend(fleet.call_at_forgetful_return(Duration::from_millis(500)).await);
     assert!(calls.iter().all(|(good, all)| good == all), "answered well, of all: {calls:?}");
--- a/mustardrill_standins/tests/prepared/main.rs
+++ b/mustardrill_standins/tests/prepared/main.rs
@@ -147,7 +147,7 @@
     let all = async |fleet: &Fleet, version| {
         fleet.engines.iter().all(|engine| engine.version() == version)
     };
-    fleet.entry.freeze();
+    fleet.entry.suspend();
     fleet.store.write("op/version/m0", &json!({"model": "m0", "version": 2}));
     fleet.until("all have version 2", async || all(&fleet, 2).await).await;
     fleet.entry.kill();
--- a/mustardrill_standins/tests/prepared/rewound.rs
+++ b/mustardrill_standins/tests/prepared/rewound.rs
@@ -27,11 +27,11 @@
     }
     tokio::time::sleep(Duration::from_millis(400)).await;
     let before = fleet.store.revision();
-    fleet.entry.freeze();
+    fleet.entry.suspend();
     fleet.store.return_to(&copy);
     fleet.store.write("op/config", &configuration(4, fleet.origin_address, &["key-1"]));
     write_beyond(&fleet.store, before);
-    fleet.entry.thaw();
+    fleet.entry.resume();
     let took = fleet
         .until("key-2 is refused", async || {
             fleet.call("h1", "/notices/x", "key-2").await.status == StatusCode::UNAUTHORIZED
--- a/mustardrill_standins/tests/prepared/soak.rs
+++ b/mustardrill_standins/tests/prepared/soak.rs
@@ -342,7 +342,7 @@
         };
         let remedy = match kind {
             0 | 1 if running => {
-                self.processes[place].process.as_ref().unwrap().freeze();
+                self.processes[place].process.as_ref().unwrap().suspend();
                 Some(Remedy::Thaw(place))
             }
             2 if running => {
@@ -751,12 +751,12 @@
             match remedy {
                 Remedy::Thaw(place) => {
                     if let Some(process) = &self.processes[place].process {
-                        process.thaw();
+                        process.resume();
                     }
                 }
                 Remedy::Restart(place) => {
                     if let Some(mut process) = self.processes[place].process.take() {
-                        process.thaw();
+                        process.resume();
                         process.kill();
                     }
                     self.processes[place].start(&self.folder.clone());
--- a/mustardrill_standins/tests/prepared/versions.rs
+++ b/mustardrill_standins/tests/prepared/versions.rs
@@ -300,10 +300,10 @@
     tokio::time::sleep(Duration::from_millis(2_200).saturating_sub(named.elapsed())).await;
     let _burst = fleet.burst(16, "burst").await;
     tokio::time::sleep(after).await;
-    fleet.entries[0].freeze();
+    fleet.entries[0].suspend();
     let rest = (fleet.bound + Duration::from_millis(100)).saturating_sub(named.elapsed());
     tokio::time::sleep(rest).await;
-    fleet.entries[0].thaw();
+    fleet.entries[0].resume();
     tokio::time::sleep(Duration::from_millis(500)).await;
     let begun = fleet.engines[0].beginnings();
     let burst = begun.iter().filter(|it| it.attempt.starts_with("burst")).count();
--- a/mustardrill_standins/tests/requests.rs
+++ b/mustardrill_standins/tests/requests.rs
@@ -38,15 +38,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_key_value_service_only_claims_are_refused() {
     let (lab, _) = serving_lab(LabOptions { agents: 2, ..LabOptions::default() }).await;
-    lab.switch(lab.key_value.address, "down=1").await;
+    lab.set_faults(lab.key_value.address, "down=1").await;
     let load = callers(&lab, 50.0);
     let refused = file(&lab, 0, "notice-1", "a hull").await;
     assert_eq!(code(&refused), "2014");
     assert!(refused.headers.contains_key("retry-after"));
     tokio::time::sleep(Duration::from_millis(500)).await;
     let report = load.finish().await;
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
-    lab.switch(lab.key_value.address, "").await;
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
+    lab.set_faults(lab.key_value.address, "").await;
     let mut last = String::new();
     for _ in 0..200 {
         last = code(&file(&lab, 1, "notice-1", "a hull").await).to_owned();
@@ -64,15 +64,15 @@
     let (lab, _) = serving_lab(LabOptions { agents: 1, plain: 2, ..LabOptions::default() }).await;
     let load = keyed_callers(&lab, 100.0);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    lab.switch(lab.key_value.address, "lose_answers=1").await;
+    lab.set_faults(lab.key_value.address, "lose_answers=1").await;
     tokio::time::sleep(Duration::from_millis(700)).await;
-    lab.switch(lab.key_value.address, "").await;
+    lab.set_faults(lab.key_value.address, "").await;
     tokio::time::sleep(Duration::from_millis(700)).await;
     let report = load.finish().await;
     let counts = runs(&lab).await;
     assert!(counts.values().all(|count| *count == 1), "{counts:?}");
     assert_eq!((report.wrong, report.lost), (0, 0));
-    assert_eq!(counts.len() as u64, report.whole + report.unknown, "{:?}", report.codes);
+    assert_eq!(counts.len() as u64, report.complete + report.unknown, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -84,7 +84,7 @@
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -95,9 +95,9 @@
     tokio::time::sleep(Duration::from_millis(400)).await;
     lab.plain[0].agent.kill();
     tokio::time::sleep(Duration::from_millis(400)).await;
-    lab.plain[1].agent.freeze();
+    lab.plain[1].agent.suspend();
     tokio::time::sleep(Duration::from_millis(700)).await;
-    lab.plain[1].agent.thaw();
+    lab.plain[1].agent.resume();
     tokio::time::sleep(Duration::from_millis(700)).await;
     told_the_truth(&lab, load).await;
 }
@@ -107,17 +107,17 @@
     let (lab, _) = serving_lab(LabOptions { agents: 1, plain: 3, ..LabOptions::default() }).await;
     let load = keyed_callers(&lab, 150.0);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    lab.entries[0].freeze();
+    lab.entries[0].suspend();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    lab.entries[0].thaw();
+    lab.entries[0].resume();
     tokio::time::sleep(Duration::from_millis(700)).await;
     let report = load.finish().await;
     let counts = runs(&lab).await;
     assert!(counts.values().all(|count| *count == 1), "{counts:?}");
     assert_eq!(report.wrong, 0, "{:?}", report.codes);
     let ran = counts.len() as u64;
-    let may_have_run = report.whole + report.unknown + report.lost;
-    assert!(ran >= report.whole && ran <= may_have_run, "{ran} {report:?}");
+    let may_have_run = report.complete + report.unknown + report.lost;
+    assert!(ran >= report.complete && ran <= may_have_run, "{ran} {report:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -126,11 +126,11 @@
     let load = keyed_callers(&lab, 100.0);
     tokio::time::sleep(Duration::from_millis(300)).await;
     // Engines' agents keep claims too; two of five are frozen and come back.
-    lab.engines[0].agent.freeze();
-    lab.engines[1].agent.freeze();
+    lab.engines[0].agent.suspend();
+    lab.engines[1].agent.suspend();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    lab.engines[0].agent.thaw();
-    lab.engines[1].agent.thaw();
+    lab.engines[0].agent.resume();
+    lab.engines[1].agent.resume();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     told_the_truth(&lab, load).await;
 }
@@ -141,12 +141,12 @@
     let load = callers(&lab, 100.0);
     tokio::time::sleep(Duration::from_millis(300)).await;
     // This engine ends every answer with an error after its first piece.
-    lab.switch(lab.engines[0].upstream.address, "corrupt=1").await;
+    lab.set_faults(lab.engines[0].upstream.address, "corrupt=1").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    lab.switch(lab.engines[0].upstream.address, "").await;
+    lab.set_faults(lab.engines[0].upstream.address, "").await;
     let report = load.finish().await;
     assert_eq!(report.wrong, 0);
-    assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
+    assert_eq!(report.complete, report.sent, "{:?} lost {}", report.codes, report.lost);
 }
 
 /// As fast as the machine goes: nothing is refused or lost for the sake of speed alone.
@@ -179,12 +179,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_from_other_weights_reaches_no_caller() {
     let (lab, digest) = serving_lab(LabOptions { agents: 3, ..LabOptions::default() }).await;
-    lab.switch(lab.engines[0].upstream.address, "wrong_weights=1").await;
+    lab.set_faults(lab.engines[0].upstream.address, "wrong_weights=1").await;
     let load = callers(&lab, 100.0);
     tokio::time::sleep(Duration::from_millis(800)).await;
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost), (0, 0));
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
     assert_eq!(report.weights.keys().collect::<Vec<_>>(), [&digest]);
     assert!(lab.logs().contains("reason=wrong-weights"));
 }
@@ -204,9 +204,9 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(lab.runs(&lab.engines[2]).await.len(), before, "new work after two seconds");
     let report = load.finish().await;
-    assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
+    assert_eq!(report.complete, report.sent, "{:?} lost {}", report.codes, report.lost);
     let report = keyed.finish().await;
-    assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
+    assert_eq!(report.complete, report.sent, "{:?} lost {}", report.codes, report.lost);
     for _ in 0..500 {
         if lab.engines[2].agent.has_ended() {
             return;
@@ -246,12 +246,12 @@
     let (lab, _) = serving_lab(options).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let load = callers(&lab, 200.0);
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
-    assert!(lab.wait_serving(&v2, 4, LONG).await.is_some(), "v2 was never served");
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
+    assert!(lab.wait_until_serving(&v2, 4, LONG).await.is_some(), "v2 was never served");
     tokio::time::sleep(Duration::from_secs(1)).await;
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost, report.unknown), (0, 0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -259,12 +259,12 @@
     const LIMIT: f64 = 50.0;
     let options = LabOptions { agents: 1, plain: 2, entries: 3, ..LabOptions::default() };
     let (lab, _) = serving_lab(options).await;
-    let (_, body) = lab.operate(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
+    let (_, body) = lab.call_operator(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
     let revision = body["catalogue"]["entries"]["desk"]["revision"].as_u64().unwrap();
     let text = plain_file()
         .replace("requests_per_second = 100000", &format!("requests_per_second = {LIMIT}"))
         .replace("[plain desk]\n", &format!("[plain desk]\nrevision = {revision}\n"));
-    let (status, body) = lab.apply(0, &text).await;
+    let (status, body) = lab.apply_catalogue(0, &text).await;
     assert_eq!(status, 200, "{body}");
     // Four in five calls come by one entry, and four times of what the limit allows.
     let address = |place: usize| lab.entries[place].address;
@@ -274,7 +274,7 @@
         path: "/v1/services/desk/x".into(),
         rate: LIMIT * 4.0,
         pieces: None,
-        keyed: false,
+        has_idempotency_key: false,
         timeout: Duration::from_secs(5),
     };
     let load = LoadDriver::spawn(lab.client.clone(), options);
@@ -285,7 +285,7 @@
     let report = load.report();
     let allowed = LIMIT * started.elapsed().as_secs_f64();
     load.finish().await;
-    let share = report.whole as f64 / allowed;
+    let share = report.complete as f64 / allowed;
     assert!((0.6..=1.4).contains(&share), "{share} of the limit was admitted: {report:?}");
     assert!(report.codes.keys().all(|code| code == "2010"), "{:?}", report.codes);
 }
--- a/mustardrill_standins/tests/weights.rs
+++ b/mustardrill_standins/tests/weights.rs
@@ -39,13 +39,13 @@
     let (mut lab, v1) = serving_lab(options).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let before = lab.origin_sent().await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 10)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 10)).await.0, 200);
     tokio::time::sleep(Duration::from_millis(500)).await;
     for place in [3, 7] {
         lab.engines[place].agent.kill();
         lab.engines[place].upstream.kill();
     }
-    assert!(lab.wait_serving(&v2, 8, LONG).await.is_some(), "the others never served v2");
+    assert!(lab.wait_until_serving(&v2, 8, LONG).await.is_some(), "the others never served v2");
     let share = (lab.origin_sent().await - before) as f64 / SIZE as f64;
     assert!(share <= 1.25, "{share} copies came from the origin");
     no_wrong_byte(&lab, &[&v1, &v2]).await;
@@ -55,23 +55,23 @@
 async fn a_burst_goes_on_while_the_key_value_service_is_down() {
     let (lab, _) = serving_lab(paced(4)).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
-    lab.switch(lab.key_value.address, "down=1").await;
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
+    lab.set_faults(lab.key_value.address, "down=1").await;
     let load = callers(&lab, 50.0);
     // The outage outlasts the leases of three seconds.
     tokio::time::sleep(Duration::from_millis(3_500)).await;
-    assert!(lab.wait_serving(&v2, 4, LONG).await.is_some(), "v2 was never served");
+    assert!(lab.wait_until_serving(&v2, 4, LONG).await.is_some(), "v2 was never served");
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost, report.unknown), (0, 0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn changed_bytes_at_the_origin_are_never_loaded() {
     let (lab, v1) = serving_lab(paced(4)).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
-    lab.switch(lab.origin.address, "corrupt=1").await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
+    lab.set_faults(lab.origin.address, "corrupt=1").await;
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
     let load = callers(&lab, 50.0);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let serving = lab.serving().await;
@@ -82,26 +82,26 @@
         troubles.push(status["versions"][0]["trouble"].as_str().unwrap_or_default().to_owned());
     }
     assert!(troubles.iter().any(|it| it.contains("another digest")), "{troubles:?}");
-    lab.switch(lab.origin.address, "").await;
-    assert!(lab.wait_serving(&v2, 4, LONG).await.is_some(), "v2 was never served");
+    lab.set_faults(lab.origin.address, "").await;
+    assert!(lab.wait_until_serving(&v2, 4, LONG).await.is_some(), "v2 was never served");
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stalled_origin_and_a_frozen_agent_only_cost_time() {
     let (lab, v1) = serving_lab(paced(6)).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 6)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 6)).await.0, 200);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    lab.switch(lab.origin.address, "stall=1").await;
-    lab.engines[2].agent.freeze();
+    lab.set_faults(lab.origin.address, "stall=1").await;
+    lab.engines[2].agent.suspend();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    lab.switch(lab.origin.address, "").await;
-    assert!(lab.wait_serving(&v2, 5, LONG).await.is_some(), "the others never served v2");
-    lab.engines[2].agent.thaw();
-    assert!(lab.wait_serving(&v2, 6, LONG).await.is_some(), "the frozen one never served v2");
+    lab.set_faults(lab.origin.address, "").await;
+    assert!(lab.wait_until_serving(&v2, 5, LONG).await.is_some(), "the others never served v2");
+    lab.engines[2].agent.resume();
+    assert!(lab.wait_until_serving(&v2, 6, LONG).await.is_some(), "the frozen one never served v2");
     no_wrong_byte(&lab, &[&v1, &v2]).await;
 }
 
@@ -110,14 +110,14 @@
     let (lab, v1) = serving_lab(paced(8)).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let before = lab.origin_sent().await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 8)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 8)).await.0, 200);
     tokio::time::sleep(Duration::from_millis(400)).await;
     // Every other agent stands in the second data centre; frozen, it answers nobody.
     let cut = || lab.engines.iter().skip(1).step_by(2);
-    cut().for_each(|engine| engine.agent.freeze());
-    assert!(lab.wait_serving(&v2, 4, LONG).await.is_some(), "the near half never served v2");
-    cut().for_each(|engine| engine.agent.thaw());
-    assert!(lab.wait_serving(&v2, 8, LONG).await.is_some(), "the far half never served v2");
+    cut().for_each(|engine| engine.agent.suspend());
+    assert!(lab.wait_until_serving(&v2, 4, LONG).await.is_some(), "the near half never served v2");
+    cut().for_each(|engine| engine.agent.resume());
+    assert!(lab.wait_until_serving(&v2, 8, LONG).await.is_some(), "the far half never served v2");
     let share = (lab.origin_sent().await - before) as f64 / SIZE as f64;
     assert!(share <= 2.0, "{share} copies came from the origin");
     no_wrong_byte(&lab, &[&v1, &v2]).await;
@@ -128,11 +128,11 @@
     let (lab, v1) = serving_lab(paced(4)).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let v3 = lab.publish(MODEL, "v3", SIZE, CHUNK, 3).await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
     let load = callers(&lab, 50.0);
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(lab.apply(1, &model_file("v3", 2, 4)).await.0, 200);
-    assert!(lab.wait_serving(&v3, 4, LONG).await.is_some(), "v3 was never served");
+    assert_eq!(lab.apply_catalogue(1, &model_file("v3", 2, 4)).await.0, 200);
+    assert!(lab.wait_until_serving(&v3, 4, LONG).await.is_some(), "v3 was never served");
     no_wrong_byte(&lab, &[&v1, &v2, &v3]).await;
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost, report.unknown), (0, 0, 0), "{:?}", report.codes);
@@ -144,12 +144,12 @@
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     lab.add_engine();
     lab.publish_instances().await;
-    assert!(lab.wait_fleet(0, 6, LONG).await);
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 5)).await.0, 200);
+    assert!(lab.wait_for_agents(0, 6, LONG).await);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 5)).await.0, 200);
     tokio::time::sleep(Duration::from_millis(400)).await;
     lab.add_engine();
     lab.publish_instances().await;
-    assert!(lab.wait_serving(&v2, 5, LONG).await.is_some(), "v2 was never served");
+    assert!(lab.wait_until_serving(&v2, 5, LONG).await.is_some(), "v2 was never served");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -159,7 +159,7 @@
         serving_lab(LabOptions { agents: 2, agent_lines: vec![limit], ..LabOptions::default() })
             .await;
     lab.publish(MODEL, "v2", 4_000_000, CHUNK, 2).await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 2)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 2)).await.0, 200);
     let mut trouble = String::new();
     for _ in 0..500 {
         let status = lab.agent_status(&lab.engines[0]).await;
@@ -178,9 +178,9 @@
     // The links carry the weights in three seconds; a status is heard twice a second.
     let (lab, _) = serving_lab(LabOptions { machine_rate: SIZE / 3, ..paced(4) }).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
     assert!(status_says(&lab, |model| model.contains("; fetched in about")).await, "no estimate");
-    assert!(lab.wait_serving(&v2, 4, LONG).await.is_some(), "v2 was never served");
+    assert!(lab.wait_until_serving(&v2, 4, LONG).await.is_some(), "v2 was never served");
     let is_over = |model: &str| model.contains("4 serving") && !model.contains("fetched in");
     assert!(status_says(&lab, is_over).await, "the estimate outlived the burst");
 }
@@ -189,7 +189,7 @@
 async fn status_says(lab: &Lab, is_right: impl Fn(&str) -> bool) -> bool {
     let said = async {
         loop {
-            let (_, text) = lab.command(0, &["status"]);
+            let (_, text) = lab.run_catalogue_command(0, &["status"]);
             if text.lines().any(|line| line.starts_with("model") && is_right(line)) {
                 return;
             }
