--- a/mustardrill_standins/src/engine.rs
+++ b/mustardrill_standins/src/engine.rs
@@ -54,7 +54,7 @@
     options: EngineOptions,
     loaded: Mutex<LoadState>,
     slots: SlotQueue,
-    load_history: Mutex<Vec<(Instant, usize)>>,
+    queue_history: Mutex<Vec<(Instant, usize)>>,
     runs: Mutex<Vec<String>>,
     finished: AtomicU64,
     client: HttpClient,
@@ -108,7 +108,7 @@
     pub fn new(options: EngineOptions) -> Self {
         Self {
             slots: SlotQueue::new(options.capacity),
-            load_history: Mutex::default(),
+            queue_history: Mutex::default(),
             options,
             loaded: Mutex::default(),
             runs: Mutex::default(),
@@ -160,9 +160,10 @@
         text_response(StatusCode::OK, "")
     }
 
-    /// Records a fencing number and returns whether it is not outdated.
+    /// Records a fencing number; returns false, and counts the order as refused, where it is below the
+    /// highest seen.
     ///
-    /// It is called before and after a load, as a number can become outdated meanwhile.
+    /// Called before and after a load, as a number can become outdated meanwhile.
     fn accept_fence(&self, fence: u64) -> bool {
         let mut loaded = self.loaded();
         if self.options.checks_fencing && fence < loaded.fence {
@@ -210,11 +211,11 @@
     fn lagging_load(&self) -> usize {
         const LAG: Duration = Duration::from_millis(500);
         let running = self.options.capacity - self.slots.slots.available_permits();
-        let mut load_history = self.load_history.lock().expect("nobody panics under this lock");
-        load_history.push((Instant::now(), self.slots.queued() + running));
-        let latest = load_history.iter().rposition(|(since, _)| since.elapsed() >= LAG);
-        load_history.drain(..latest.unwrap_or(0));
-        load_history[0].1
+        let mut queue_history = self.queue_history.lock().expect("nobody panics under this lock");
+        queue_history.push((Instant::now(), self.slots.queued() + running));
+        let latest = queue_history.iter().rposition(|(since, _)| since.elapsed() >= LAG);
+        queue_history.drain(..latest.unwrap_or(0));
+        queue_history[0].1
     }
 
     fn stream_answer(
--- a/mustardrill_standins/src/experiment/report.rs
+++ b/mustardrill_standins/src/experiment/report.rs
@@ -12,9 +12,9 @@
     pub in_time: u32,
     /// Complete answers with at least one late event.
     pub late: u32,
-    /// Refused as not run, with no retry left.
+    /// Refused as not run, with no retry or no time left.
     pub refused: u32,
-    /// All others: abandoned at the deadline, broken off, or refused after the answer started.
+    /// All others: abandoned at the deadline, or refused when the request may have run.
     pub failed: u32,
 }
 
--- a/mustardrill_standins/src/experiment/simulation.rs
+++ b/mustardrill_standins/src/experiment/simulation.rs
@@ -84,8 +84,11 @@
     pub(super) pattern: &'a LoadPattern,
     /// Microseconds since the start of the simulation.
     pub(super) now: u64,
+    /// Due time in microseconds and number of each scheduled event.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Scheduled events by number.
     events: FastMap<u64, SimulationEvent>,
+    /// Number of the event scheduled last; events due at the same time run in this order.
     last_number: u64,
     /// Draws arrivals and request sizes only, so that the callers do not depend on the settings.
     pub(super) caller_rng: StdRng,
--- a/mustardrill_standins/src/process.rs
+++ b/mustardrill_standins/src/process.rs
@@ -116,7 +116,7 @@
     LabProcess { name: name.to_owned(), address, second_address: addresses.next(), child }
 }
 
-/// The `ready` line of a log; the whole log where the program ended or timed out without one.
+/// The `ready` line of a log; the complete log where the program ended or timed out without one.
 fn ready_line(path: &Path, child: &mut Child) -> String {
     const POLL_INTERVAL: Duration = Duration::from_millis(2);
     let started_at = Instant::now();
