--- a/mustardrill_standins/examples/slopes.rs
+++ b/mustardrill_standins/examples/slopes.rs
@@ -102,9 +102,9 @@
         sync_every: Millis(400),
     };
     let mut reducer = EntryReducer::new(settings, 1);
-    reducer.reduce(Moment(1), EntryEvent::CatalogueSeen(catalogue_document(1, workers)));
+    reducer.reduce(Moment(1), EntryEvent::CatalogueReceived(catalogue_document(1, workers)));
     let list = (0..workers).map(instance_record).collect();
-    reducer.reduce(Moment(1), EntryEvent::InstancesSeen(list));
+    reducer.reduce(Moment(1), EntryEvent::InstancesReceived(list));
     (0..workers).for_each(|index| {
         reducer.reduce(Moment(2), EntryEvent::Synced(heartbeat(index)));
     });
@@ -123,7 +123,7 @@
         },
         progress: Vec::new(),
         demand: Vec::new(),
-        entries: 1,
+        reporting_entries: 1,
         crashes: Vec::new(),
     }
 }
@@ -157,7 +157,7 @@
                 reducer.reduce(Moment(3), EntryEvent::RequestArrived(incoming_request(number)));
             for effect in effects {
                 if let EntryEffect::Send(order) = effect {
-                    let end = EntryEvent::AttemptEnded(order.attempt, AttemptEnd::Whole, 1);
+                    let end = EntryEvent::AttemptEnded(order.attempt, AttemptEnd::Complete, 1);
                     black_box(reducer.reduce(Moment(4), end));
                 }
             }
@@ -193,16 +193,16 @@
         staging_limit: ByteSize(u64::MAX),
         floor_percent: 75,
         exchange_every: Millis(100),
-        wave_patience: Millis(60_000),
+        wave_timeout: Millis(60_000),
         retry_every: Millis(500),
         is_engine: true,
     };
     let mut reducer = AgentReducer::new(Moment(1), settings, 1);
     reducer
-        .reduce(Moment(1), AgentEvent::InstancesSeen((0..workers).map(instance_record).collect()));
-    reducer.reduce(Moment(1), AgentEvent::CatalogueSeen(catalogue_document(20, workers / 20)));
+        .reduce(Moment(1), AgentEvent::InstancesRead((0..workers).map(instance_record).collect()));
+    reducer.reduce(Moment(1), AgentEvent::CatalogueReceived(catalogue_document(20, workers / 20)));
     let serving = vec![manifest_digest()];
-    reducer.reduce(Moment(1), AgentEvent::EngineSeen(Some(EngineReport { serving })));
+    reducer.reduce(Moment(1), AgentEvent::EnginePolled(Some(EngineReport { serving })));
     reducer
 }
 
@@ -240,7 +240,7 @@
         let started = Instant::now();
         for number in 0..20 {
             let list = (0..workers - number % 2).map(instance_record).collect();
-            black_box(reducer.reduce(Moment(2_000_000), AgentEvent::InstancesSeen(list)));
+            black_box(reducer.reduce(Moment(2_000_000), AgentEvent::InstancesRead(list)));
         }
         let list = started.elapsed().as_secs_f64() * 1e6 / 20.0;
         println!("{workers:>10} {request:>12.2} {tick:>10.2} {list:>12.0} {held:>10}");
