--- a/mustardrill_proto/src/generated.rs
+++ b/mustardrill_proto/src/generated.rs
@@ -13,13 +13,13 @@
     /// empty for a plain service
     #[prost(string, tag = "2")]
     pub model: ::prost::alloc::string::String,
-    /// pinned weights; empty for a plain service
+    /// digest of the pinned weights' manifest; empty for a plain service
     #[prost(bytes = "bytes", tag = "3")]
     pub manifest: ::prost::bytes::Bytes,
-    /// 0 goes first
+    /// 0 is the most urgent
     #[prost(uint32, tag = "4")]
     pub priority: u32,
-    /// until the caller's deadline
+    /// time until the caller's deadline
     #[prost(uint64, tag = "5")]
     pub remaining_ms: u64,
     #[prost(bool, tag = "6")]
@@ -32,10 +32,10 @@
     pub headers: ::prost::alloc::vec::Vec<Header>,
     #[prost(bytes = "bytes", tag = "10")]
     pub body: ::prost::bytes::Bytes,
-    /// bytes of the answer the caller already has
+    /// number of bytes of the answer that the caller has already received
     #[prost(uint64, tag = "11")]
     pub resume_from: u64,
-    /// on the agent's own clock, as far as the entry knows; 0 if unknown
+    /// the deadline on the agent's clock, as estimated by the entry; 0 if unknown
     #[prost(uint64, tag = "12")]
     pub agent_deadline_ms: u64,
 }
@@ -62,34 +62,34 @@
         Ended(super::UpstreamEnd),
     }
 }
-/// The upstream ended while it had the attempt.
+/// The upstream crashed or was terminated while it ran the attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct UpstreamEnd {
-    /// which start of it, as the agent counts them
+    /// the upstream's incarnation, as counted by the agent
     #[prost(uint64, tag = "1")]
     pub start: u64,
 }
-/// What is told of a request under which an upstream ended. Processes share no clock, so that ages are told.
+/// Report about a request during which an upstream crashed. Times are sent as ages, since processes share no clock.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct CrashRow {
     #[prost(enumeration = "CrashKind", tag = "1")]
     pub kind: i32,
-    /// of the request
+    /// digest of the request
     #[prost(bytes = "bytes", tag = "2")]
     pub digest: ::prost::bytes::Bytes,
-    /// of a crash
+    /// for a crash: the upstream's id
     #[prost(string, tag = "3")]
     pub upstream: ::prost::alloc::string::String,
-    /// of a crash: which start of the upstream
+    /// for a crash: the upstream's incarnation
     #[prost(uint64, tag = "4")]
     pub start: u64,
-    /// of a crash: since the request was sent to it
+    /// for a crash: time since the request was sent to the upstream
     #[prost(uint64, tag = "5")]
     pub sent_ago_ms: u64,
-    /// since the upstream ended, or the answer
+    /// time since the upstream crashed, or since the answer ended
     #[prost(uint64, tag = "6")]
     pub ended_ago_ms: u64,
-    /// of a quarantine
+    /// for a quarantine: time until it ends
     #[prost(uint64, tag = "7")]
     pub left_ms: u64,
 }
@@ -104,10 +104,10 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ExecuteEnd {
-    /// of the whole answer, resumed bytes included
+    /// bytes of the complete answer, including those that were skipped by resuming
     #[prost(uint64, tag = "1")]
     pub length: u64,
-    /// of the bytes sent with this attempt
+    /// digest of the bytes sent by this attempt
     #[prost(bytes = "bytes", tag = "2")]
     pub digest: ::prost::bytes::Bytes,
 }
@@ -119,7 +119,7 @@
     pub reason: ::prost::alloc::string::String,
     #[prost(uint64, tag = "3")]
     pub retry_after_ms: u64,
-    /// what is served where the pinned weights are not; may be empty
+    /// manifests served in place of the pinned weights; may be empty
     #[prost(bytes = "bytes", repeated, tag = "4")]
     pub serving: ::prost::alloc::vec::Vec<::prost::bytes::Bytes>,
 }
@@ -129,18 +129,18 @@
     pub entry: ::prost::alloc::string::String,
     #[prost(uint64, tag = "2")]
     pub generation: u64,
-    /// empty unless the agent is known to be behind
+    /// empty unless the agent is known to have an older generation
     #[prost(bytes = "bytes", tag = "3")]
     pub catalogue: ::prost::bytes::Bytes,
     #[prost(message, repeated, tag = "4")]
     pub demand: ::prost::alloc::vec::Vec<Demand>,
-    /// whether demand is told, and the sum asked for: once a round
+    /// whether `demand` is set and the reply should contain the sum; once per round of heartbeats
     #[prost(bool, tag = "5")]
     pub with_demand: bool,
     #[prost(message, repeated, tag = "6")]
     pub crashes: ::prost::alloc::vec::Vec<CrashRow>,
 }
-/// How much a customer asked of an entry of the catalogue lately.
+/// Recent number of requests of a customer for one entry of the catalogue.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Demand {
     #[prost(string, tag = "1")]
@@ -168,16 +168,16 @@
     pub progress: ::prost::alloc::vec::Vec<Progress>,
     #[prost(uint64, tag = "8")]
     pub clock_ms: u64,
-    /// empty unless the entry is behind
+    /// empty unless the entry has an older generation
     #[prost(bytes = "bytes", tag = "9")]
     pub catalogue: ::prost::bytes::Bytes,
-    /// the sum over the entries heard of lately
+    /// the sum over the entries that sent demand recently
     #[prost(message, repeated, tag = "10")]
     pub demand: ::prost::alloc::vec::Vec<Demand>,
-    /// how many these are
+    /// number of these entries
     #[prost(uint32, tag = "11")]
     pub entries: u32,
-    /// what the agent heard lately
+    /// reports that the agent received recently
     #[prost(message, repeated, tag = "12")]
     pub crashes: ::prost::alloc::vec::Vec<CrashRow>,
 }
@@ -201,7 +201,7 @@
     pub state: ::prost::alloc::string::String,
     #[prost(string, tag = "9")]
     pub trouble: ::prost::alloc::string::String,
-    /// until all chunks are held, where that can be told
+    /// estimated time until all chunks are held; absent if it can't be estimated
     #[prost(uint64, optional, tag = "10")]
     pub remaining_ms: ::core::option::Option<u64>,
 }
@@ -213,13 +213,13 @@
     pub instance: ::prost::alloc::string::String,
     #[prost(bytes = "bytes", tag = "3")]
     pub bitmap: ::prost::bytes::Bytes,
-    /// whether the asking instance serves this version
+    /// whether the calling instance serves this version
     #[prost(bool, tag = "4")]
     pub serving: bool,
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Holding {
-    /// whether the instance serves this version
+    /// whether `instance` serves this version
     #[prost(bool, tag = "5")]
     pub serving: bool,
     #[prost(bytes = "bytes", tag = "1")]
@@ -261,10 +261,10 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct FetchRefusal {
-    /// at its upload budget; otherwise it lacks the chunk
+    /// true if the upload budget is used up; false if the instance lacks the chunk
     #[prost(bool, tag = "1")]
     pub busy: bool,
-    /// instances that hold the chunk
+    /// other instances that hold the chunk
     #[prost(string, repeated, tag = "2")]
     pub others: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
 }
@@ -275,7 +275,7 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct FetchManifestReply {
-    /// empty where the callee lacks it
+    /// empty if the called agent lacks the manifest
     #[prost(bytes = "bytes", tag = "1")]
     pub data: ::prost::bytes::Bytes,
 }
@@ -287,7 +287,7 @@
     pub attempt: ::prost::bytes::Bytes,
     #[prost(bool, tag = "3")]
     pub release: bool,
-    /// on the agent's own clock: an ask that comes later is void; 0 if unknown
+    /// on the agent's own clock; a claim that arrives later is rejected; 0 if unknown
     #[prost(uint64, tag = "4")]
     pub agent_deadline_ms: u64,
 }
@@ -299,11 +299,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum CrashKind {
-    /// the upstream ended while it had the request
+    /// the upstream crashed or was terminated while it ran the request
     Crashed = 0,
-    /// the request was answered whole
+    /// the request was answered completely
     Sound = 1,
-    /// the request is run no more
+    /// the request is quarantined and not run any more
     Quarantined = 2,
 }
 impl CrashKind {
@@ -331,7 +331,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum ClaimOutcome {
-    /// can't be agreed now, or the release is noted
+    /// no agreement is possible now, or the release has been recorded
     Unavailable = 0,
     Granted = 1,
     Taken = 2,
@@ -369,7 +369,7 @@
     )]
     use tonic::codegen::*;
     use tonic::codegen::http::Uri;
-    /// What an agent offers to entries and to other agents.
+    /// Calls that an agent serves for entries and other agents.
     #[derive(Debug, Clone)]
     pub struct AgentClient<T> {
         inner: tonic::client::Grpc<T>,
@@ -439,7 +439,7 @@
             self.inner = self.inner.max_encoding_message_size(limit);
             self
         }
-        /// Runs one request on the agent's upstream; the last frame is an end or a refusal.
+        /// Runs a request on the agent's upstream and streams the answer. The last frame is an end or a refusal.
         pub async fn execute(
             &mut self,
             request: impl tonic::IntoRequest<super::ExecuteRequest>,
@@ -463,7 +463,7 @@
             req.extensions_mut().insert(GrpcMethod::new("mustardrill.Agent", "Execute"));
             self.inner.server_streaming(req, path, codec).await
         }
-        /// Heartbeat of an entry: carries the catalogue down and the load up.
+        /// Heartbeat sent by an entry. The request carries the catalogue to the agent, the reply carries the agent's load.
         pub async fn sync(
             &mut self,
             request: impl tonic::IntoRequest<super::SyncRequest>,
@@ -482,7 +482,7 @@
             req.extensions_mut().insert(GrpcMethod::new("mustardrill.Agent", "Sync"));
             self.inner.unary(req, path, codec).await
         }
-        /// Tells what the caller holds of a version and learns what the callee holds.
+        /// Exchanges which chunks of a version the calling and the called instance hold.
         pub async fn exchange(
             &mut self,
             request: impl tonic::IntoRequest<super::ExchangeRequest>,
@@ -504,7 +504,7 @@
                 .insert(GrpcMethod::new("mustardrill.Agent", "Exchange"));
             self.inner.unary(req, path, codec).await
         }
-        /// Claims a request key for an attempt, or takes the claim back; the callee keeps the key's shard.
+        /// Claims a request key for an attempt or releases the claim. The called agent coordinates the key's shard.
         pub async fn claim(
             &mut self,
             request: impl tonic::IntoRequest<super::ClaimRequest>,
@@ -523,7 +523,7 @@
             req.extensions_mut().insert(GrpcMethod::new("mustardrill.Agent", "Claim"));
             self.inner.unary(req, path, codec).await
         }
-        /// Draws a manifest as the origin published it.
+        /// Fetches a manifest exactly as the origin published it.
         pub async fn fetch_manifest(
             &mut self,
             request: impl tonic::IntoRequest<super::FetchManifestRequest>,
@@ -548,7 +548,7 @@
                 .insert(GrpcMethod::new("mustardrill.Agent", "FetchManifest"));
             self.inner.unary(req, path, codec).await
         }
-        /// Draws one chunk.
+        /// Fetches one chunk.
         pub async fn fetch_chunk(
             &mut self,
             request: impl tonic::IntoRequest<super::FetchChunkRequest>,
@@ -594,27 +594,27 @@
             >
             + std::marker::Send
             + 'static;
-        /// Runs one request on the agent's upstream; the last frame is an end or a refusal.
+        /// Runs a request on the agent's upstream and streams the answer. The last frame is an end or a refusal.
         async fn execute(
             &self,
             request: tonic::Request<super::ExecuteRequest>,
         ) -> std::result::Result<tonic::Response<Self::ExecuteStream>, tonic::Status>;
-        /// Heartbeat of an entry: carries the catalogue down and the load up.
+        /// Heartbeat sent by an entry. The request carries the catalogue to the agent, the reply carries the agent's load.
         async fn sync(
             &self,
             request: tonic::Request<super::SyncRequest>,
         ) -> std::result::Result<tonic::Response<super::SyncReply>, tonic::Status>;
-        /// Tells what the caller holds of a version and learns what the callee holds.
+        /// Exchanges which chunks of a version the calling and the called instance hold.
         async fn exchange(
             &self,
             request: tonic::Request<super::ExchangeRequest>,
         ) -> std::result::Result<tonic::Response<super::Holding>, tonic::Status>;
-        /// Claims a request key for an attempt, or takes the claim back; the callee keeps the key's shard.
+        /// Claims a request key for an attempt or releases the claim. The called agent coordinates the key's shard.
         async fn claim(
             &self,
             request: tonic::Request<super::ClaimRequest>,
         ) -> std::result::Result<tonic::Response<super::ClaimReply>, tonic::Status>;
-        /// Draws a manifest as the origin published it.
+        /// Fetches a manifest exactly as the origin published it.
         async fn fetch_manifest(
             &self,
             request: tonic::Request<super::FetchManifestRequest>,
@@ -622,13 +622,13 @@
             tonic::Response<super::FetchManifestReply>,
             tonic::Status,
         >;
-        /// Draws one chunk.
+        /// Fetches one chunk.
         async fn fetch_chunk(
             &self,
             request: tonic::Request<super::FetchChunkRequest>,
         ) -> std::result::Result<tonic::Response<super::FetchChunkReply>, tonic::Status>;
     }
-    /// What an agent offers to entries and to other agents.
+    /// Calls that an agent serves for entries and other agents.
     #[derive(Debug)]
     pub struct AgentServer<T> {
         inner: Arc<T>,
--- a/mustardrill_proto/src/lib.rs
+++ b/mustardrill_proto/src/lib.rs
@@ -1,4 +1,5 @@
-//! The messages between mustardrill's own processes, generated from `proto/mustardrill.proto`.
+//! Protobuf messages and the gRPC service between mustardrill's own processes, generated from
+//! `proto/mustardrill.proto`.
 
 #[allow(missing_docs, clippy::all, reason = "generated code")]
 #[rustfmt::skip]
