--- a/mustardrill_entry/src/attempt.rs
+++ b/mustardrill_entry/src/attempt.rs
@@ -75,7 +75,7 @@
 ) -> (AttemptEnd, u64) {
     let _ = context.metrics.count("attempts", 1);
     let end = match stream(context, io, order).await {
-        Ok(()) => AttemptEnd::Whole,
+        Ok(()) => AttemptEnd::Complete,
         Err(AttemptFailure(end)) => end,
     };
     (end, io.delivered())
@@ -130,7 +130,7 @@
             }
             Some(Part::Ended(end)) => {
                 read_stream_end(&mut frames).await;
-                return Err(AttemptFailure(AttemptEnd::UpstreamEnded(StartStamp(end.start))));
+                return Err(AttemptFailure(AttemptEnd::UpstreamCrashed(StartStamp(end.start))));
             }
             None => {}
         }
--- a/mustardrill_runtime/src/clock.rs
+++ b/mustardrill_runtime/src/clock.rs
@@ -24,7 +24,7 @@
     /// Returns the current time in milliseconds since the start. It is never zero, so that zero can
     /// stand for "not yet" or "long ago".
     pub fn now(&self) -> Moment {
-        Moment::FIRST + Millis(since_boot().saturating_sub(self.start).as_millis() as u64)
+        Moment::CLOCK_START + Millis(since_boot().saturating_sub(self.start).as_millis() as u64)
     }
 
     /// Returns the Unix time in seconds; used only for the retention of claims.
