--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/stock/actor.rs
@@ -10,7 +10,7 @@
     EntryBook, StockEffect, StockEvent, StockReducer, StockStatus, VersionId,
 };
 use mustardrill_core::transfer::ChunkSource;
-use mustardrill_runtime::border::{ChunkList, ChunkOrigin, EngineControl, FleetSource};
+use mustardrill_runtime::adapters::{ChunkList, ChunkOrigin, EngineControl, FleetSource};
 use mustardrill_runtime::clock::ProcessClock;
 use mustardrill_runtime::exposition::{MetricHandler, MetricPage};
 use mustardrill_runtime::http::{HttpClient, HttpServer};
--- a/mustardrill_agent/src/stock/effects.rs
+++ b/mustardrill_agent/src/stock/effects.rs
@@ -13,7 +13,7 @@
 use mustardrill_core::manifest::ChunkBitmap;
 use mustardrill_core::stock::{OrderFate, StockEvent, VersionId, WeightSource};
 use mustardrill_core::transfer::{ChunkDraw, ChunkSource, DrawOutcome};
-use mustardrill_runtime::border::{ChunkList, FleetPart, OrderAnswer};
+use mustardrill_runtime::adapters::{ChunkList, FleetPart, OrderAnswer};
 use mustardrill_runtime::datagram::{Datagram, EngineRow};
 use mustardrill_runtime::http::request;
 use mustardrill_runtime::peer_call::PeerCall;
--- a/mustardrill_agent/src/stock/fleet.rs
+++ b/mustardrill_agent/src/stock/fleet.rs
@@ -12,7 +12,7 @@
 use log::info;
 use mustardrill_core::direct::{FleetChange, FleetUpdate, PeerRecord};
 use mustardrill_core::relays::{RelayItem, RelayTable};
-use mustardrill_runtime::border::{FleetPart, StoreError};
+use mustardrill_runtime::adapters::{FleetPart, StoreError};
 use mustardrill_runtime::fleet_digest::FleetDigest;
 use mustardrill_runtime::http::request;
 use mustardrill_runtime::peer_call::PeerCall;
--- a/mustardrill_agent/src/stock/watch.rs
+++ b/mustardrill_agent/src/stock/watch.rs
@@ -7,8 +7,8 @@
 use log::{info, warn};
 use mustardrill_core::direct::{CursorVerdict, FleetChange, StoreCursor, WatchTiming};
 use mustardrill_core::stock::{EngineView, StockEvent};
+use mustardrill_runtime::adapters::{EngineState, FleetPart, FleetScope, StoreError};
 use mustardrill_runtime::backoff::RetryBackoff;
-use mustardrill_runtime::border::{EngineState, FleetPart, FleetScope, StoreError};
 use mustardrill_types::Millis;
 
 use crate::stock::actor::{BusyQuery, Event, StockActor, StockContext};
--- a/mustardrill_agent/tests/words.rs
+++ b/mustardrill_agent/tests/words.rs
@@ -15,7 +15,7 @@
 };
 use mustardrill_core::stock::{StockSettings, TurnSettings};
 use mustardrill_core::transfer::TransferSettings;
-use mustardrill_runtime::border::{
+use mustardrill_runtime::adapters::{
     ChunkList, ChunkOrigin, EngineControl, EngineState, FleetPart, FleetScope, FleetSource,
     LeaseGrant, OrderAnswer, StoreError,
 };
--- a/mustardrill_entry/src/direct/actor.rs
+++ b/mustardrill_entry/src/direct/actor.rs
@@ -12,7 +12,7 @@
     RequestNumber, SendPlan, StatusRow, WaitRows,
 };
 use mustardrill_core::quarantine::CrashReport;
-use mustardrill_runtime::border::{CallDialect, ChunkOrigin, FleetSource};
+use mustardrill_runtime::adapters::{CallDialect, ChunkOrigin, FleetSource};
 use mustardrill_runtime::clock::ProcessClock;
 use mustardrill_runtime::exposition::{MetricHandler, MetricPage};
 use mustardrill_runtime::http::HttpServer;
--- a/mustardrill_entry/src/direct/answer.rs
+++ b/mustardrill_entry/src/direct/answer.rs
@@ -7,7 +7,7 @@
 use hyper::header::{CONTENT_LENGTH, CONTENT_TYPE, HeaderMap, HeaderValue};
 use hyper::{Response, StatusCode};
 use mustardrill_core::direct::RefusalPlan;
-use mustardrill_runtime::border::CallDialect;
+use mustardrill_runtime::adapters::CallDialect;
 use mustardrill_runtime::headers::copy_end_to_end;
 use mustardrill_runtime::http::{AnyBody, AnyResponse, CutError, whole_body};
 use mustardrill_types::{Millis, ResultCode};
--- a/mustardrill_entry/src/direct/attempt.rs
+++ b/mustardrill_entry/src/direct/attempt.rs
@@ -14,7 +14,7 @@
 use mustardrill_core::direct::{
     AttemptOutcome, DirectEvent, DirectRequest, LoadReport, RequestNumber, SendPlan,
 };
-use mustardrill_runtime::border::AnswerKind;
+use mustardrill_runtime::adapters::AnswerKind;
 use mustardrill_runtime::http::has_ended;
 use mustardrill_types::WeightVersion;
 use tokio::sync::mpsc;
--- a/mustardrill_entry/src/direct/callers.rs
+++ b/mustardrill_entry/src/direct/callers.rs
@@ -102,6 +102,6 @@
     RequestDigest::of(&[head.method.as_str().as_bytes(), path.as_bytes(), body])
 }
 
-fn bad_request_response(dialect: &dyn mustardrill_runtime::border::CallDialect) -> AnyResponse {
+fn bad_request_response(dialect: &dyn mustardrill_runtime::adapters::CallDialect) -> AnyResponse {
     refusal_response(&RefusalPlan { code: ResultCode::BadRequest, retry_after: Millis(0) }, dialect)
 }
--- a/mustardrill_entry/src/direct/relay.rs
+++ b/mustardrill_entry/src/direct/relay.rs
@@ -17,7 +17,7 @@
 use mustardrill_core::direct::{OriginProfile, PeerRecord};
 use mustardrill_core::relays::{OriginBreaker, RelayItem, RelayTable};
 use mustardrill_core::stock::VersionId;
-use mustardrill_runtime::border::ChunkList;
+use mustardrill_runtime::adapters::ChunkList;
 use mustardrill_runtime::fleet_digest::FleetDigest;
 use mustardrill_runtime::http::{AnyResponse, HttpClient, HttpHandler, request};
 use mustardrill_runtime::http::{text_response, whole_body};
--- a/mustardrill_entry/src/direct/watch.rs
+++ b/mustardrill_entry/src/direct/watch.rs
@@ -9,8 +9,8 @@
 use mustardrill_core::direct::{
     ChangeCoalescer, DirectEvent, FleetUpdate, PeerRecord, StoreReader, WatchTiming,
 };
+use mustardrill_runtime::adapters::{FleetScope, StoreError};
 use mustardrill_runtime::backoff::RetryBackoff;
-use mustardrill_runtime::border::{FleetScope, StoreError};
 use mustardrill_types::{Millis, StoreRevision};
 use tokio::sync::Notify;
 
--- a/mustardrill_runtime/src/lib.rs
+++ b/mustardrill_runtime/src/lib.rs
@@ -1,9 +1,9 @@
 //! Clients, settings, logging and metrics shared by the two daemons.
 #![deny(missing_docs, unsafe_code, clippy::unwrap_used)]
 
+pub mod adapters;
 pub mod agents;
 pub mod backoff;
-pub mod border;
 pub mod clock;
 pub mod config;
 pub mod datagram;
