--- a/mustardrill_agent/src/effects.rs
+++ b/mustardrill_agent/src/effects.rs
@@ -297,7 +297,7 @@
             OwnerCall::Acquire => self.acquire().await,
             OwnerCall::Renew(lease) => match self.context.key_value.renew(lease).await {
                 Ok(()) => OwnerAnswer::Renewed,
-                Err(KeyValueError::LeaseOver) => OwnerAnswer::Lapsed,
+                Err(KeyValueError::LeaseGone) => OwnerAnswer::Lapsed,
                 Err(_) => OwnerAnswer::Unavailable,
             },
         };
--- a/mustardrill_agent/src/server.rs
+++ b/mustardrill_agent/src/server.rs
@@ -13,8 +13,8 @@
 use mustardrill_proto::agent_server::{Agent, AgentServer};
 use mustardrill_runtime::agents::{MESSAGE_LIMIT, STREAM_WINDOW};
 use mustardrill_runtime::wire::{
-    attempt_of, catalogue_of, claim_message, crash_message, crash_word, demand_message, demand_row,
-    digest_bytes, digest_of, key_of,
+    attempt_of, catalogue_of, claim_message, crash_message, crash_report, demand_message,
+    demand_row, digest_bytes, digest_of, key_of,
 };
 use mustardrill_types::{ByteSize, ChunkIndex, ManifestDigest};
 use tokio::net::TcpListener;
@@ -84,7 +84,7 @@
     /// Notes what an entry tells of crashes.
     async fn note_crashes(&self, sent: &[proto::CrashRow]) {
         let now = self.context.clock.now();
-        let words: Vec<_> = sent.iter().filter_map(|row| crash_word(now, row)).collect();
+        let words: Vec<_> = sent.iter().filter_map(|row| crash_report(now, row)).collect();
         if !words.is_empty() {
             let _ = self.actor.tell(Event(AgentEvent::CrashesHeard(words))).await;
         }
--- a/mustardrill_agent/src/stock/actor.rs
+++ b/mustardrill_agent/src/stock/actor.rs
@@ -12,7 +12,7 @@
 use mustardrill_core::transfer::ChunkSource;
 use mustardrill_runtime::adapters::{ChunkList, ChunkOrigin, EngineControl, FleetSource};
 use mustardrill_runtime::clock::ProcessClock;
-use mustardrill_runtime::exposition::{MetricHandler, MetricPage};
+use mustardrill_runtime::exposition::{MetricHandler, MetricRegistry};
 use mustardrill_runtime::http::{HttpClient, HttpServer};
 use mustardrill_runtime::upload::UploadQueue;
 use mustardrill_types::{ChunkIndex, FastMap};
@@ -262,7 +262,7 @@
     let halt = CancellationToken::new();
     let socket = UdpSocket::bind(config.listen).await?;
     let reducer = StockReducer::new(config.stock.clone(), rand::random());
-    let page = Arc::new(MetricPage::new(&METRICS));
+    let page = Arc::new(MetricRegistry::new(&METRICS));
     let (listen, link_mbps) = (config.listen, config.link_mbps);
     log::info!(
         "start instance={} address={listen} engine={} store={}",
--- a/mustardrill_agent/src/stock/fleet.rs
+++ b/mustardrill_agent/src/stock/fleet.rs
@@ -114,7 +114,7 @@
     let call = context.client.call(request("GET", &uri, Bytes::new()), ENTRY_TIMEOUT, DIGEST_LIMIT);
     let page = match call.await {
         Ok(answer) if answer.status == StatusCode::OK => {
-            FleetDigest::read(&answer.body)?.into_page(service)
+            FleetDigest::read(&answer.body)?.into_snapshot(service)
         }
         Ok(answer) => {
             info!("fleet outcome=unread source={} status={}", entry.id, answer.status);
--- a/mustardrill_agent/src/stock/peers.rs
+++ b/mustardrill_agent/src/stock/peers.rs
@@ -11,7 +11,7 @@
 use mustardrill_core::manifest::ChunkBitmap;
 use mustardrill_core::stock::{HoldingNews, StockEvent, VersionId};
 use mustardrill_runtime::datagram::{DATAGRAM_LIMIT, Datagram, HoldingRow};
-use mustardrill_runtime::http::{AnyResponse, HttpHandler, text_response, whole_body};
+use mustardrill_runtime::http::{AnyResponse, HttpHandler, buffered_body, text_response};
 use mustardrill_runtime::peer_call::PeerCall;
 use mustardrill_types::{ChunkIndex, Millis, WeightVersion};
 
@@ -56,7 +56,7 @@
 async fn give_list(actor: &ActorRef<StockActor>, version: VersionId) -> AnyResponse {
     let list = actor.ask(ListQuery(version.clone())).await.ok().and_then(|reply| reply.0);
     if let Some(list) = list {
-        return Response::new(whole_body(list.published.clone()));
+        return Response::new(buffered_body(list.published.clone()));
     }
     // Whoever asks does so again in a moment, when the list may be here.
     let _ = actor.tell(Event(StockEvent::ListWanted(version))).await;
@@ -78,7 +78,7 @@
     }
     let bytes = context.borders.engine.staged(&model, index).await;
     match bytes {
-        Some(bytes) => Response::new(whole_body(bytes)),
+        Some(bytes) => Response::new(buffered_body(bytes)),
         None => text_response(StatusCode::NOT_FOUND, "not staged\n"),
     }
 }
@@ -89,7 +89,7 @@
     version: &VersionId,
     to: Vec<SocketAddr>,
     bitmap: &ChunkBitmap,
-    asks: bool,
+    wants_reply: bool,
 ) {
     let mut datagram = Datagram::new(&context.config.stock.own);
     datagram.holding = Some(HoldingRow {
@@ -97,7 +97,7 @@
         version: version.version.0,
         bitmap: bitmap.to_bytes(),
         queue: context.uploads.waiting(context.clock.now(), USUAL_CHUNK),
-        asks,
+        wants_reply,
     });
     send(context, datagram, to);
 }
@@ -140,7 +140,7 @@
 }
 
 fn event_of(datagram: Datagram) -> Option<StockEvent> {
-    if let Some(named) = datagram.named {
+    if let Some(named) = datagram.announced_version {
         let version = WeightVersion(named.version);
         return Some(StockEvent::VersionHeard(named.model.parse().ok()?, version));
     }
@@ -155,6 +155,6 @@
         version,
         bitmap: row.bitmap.into(),
         queue: row.queue,
-        asks: row.asks,
+        asks: row.wants_reply,
     })
 }
--- a/mustardrill_agent/src/upstream.rs
+++ b/mustardrill_agent/src/upstream.rs
@@ -11,7 +11,7 @@
 use mustardrill_core::agent::{EngineReport, LoadOrder};
 use mustardrill_core::manifest::Manifest;
 use mustardrill_core::ownership::OwnerSettings;
-use mustardrill_runtime::http::{CallError, HttpClient, has_ended, request};
+use mustardrill_runtime::http::{CallError, HttpClient, refuses_connections, request};
 use mustardrill_types::ManifestDigest;
 use serde::{Deserialize, Serialize};
 
@@ -131,7 +131,7 @@
     fn has_ended(&self) -> BoxFuture<'_, bool> {
         Box::pin(async move {
             match self.address {
-                Some(address) => has_ended(address).await,
+                Some(address) => refuses_connections(address).await,
                 None => false,
             }
         })
--- a/mustardrill_agent/src/weights_http.rs
+++ b/mustardrill_agent/src/weights_http.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Frame, Incoming};
 use hyper::{Request, Response, StatusCode};
 use mustardrill_core::manifest::Manifest;
-use mustardrill_runtime::http::{AnyResponse, CutError, HttpHandler, text_response};
+use mustardrill_runtime::http::{AnyResponse, HttpHandler, TruncatedBodyError, text_response};
 use mustardrill_types::{ChunkIndex, ManifestDigest};
 
 use crate::store::ChunkStore;
@@ -46,6 +46,10 @@
 }
 
 /// One chunk as a frame; a chunk that is missing cuts the answer rather than shortening it.
-fn chunk(store: &ChunkStore, digest: ManifestDigest, index: u32) -> Result<Frame<Bytes>, CutError> {
-    store.chunk(digest, ChunkIndex(index)).map(Frame::data).ok_or(CutError)
+fn chunk(
+    store: &ChunkStore,
+    digest: ManifestDigest,
+    index: u32,
+) -> Result<Frame<Bytes>, TruncatedBodyError> {
+    store.chunk(digest, ChunkIndex(index)).map(Frame::data).ok_or(TruncatedBodyError)
 }
--- a/mustardrill_agent/tests/words.rs
+++ b/mustardrill_agent/tests/words.rs
@@ -100,7 +100,7 @@
         Box::pin(std::future::pending())
     }
 
-    fn announce<'a>(
+    fn register<'a>(
         &'a self,
         _: &'a PeerRecord,
         _: Millis,
@@ -112,7 +112,7 @@
         Box::pin(async { away() })
     }
 
-    fn withdraw(&self, _: LeaseGrant) -> BoxFuture<'_, Result<(), StoreError>> {
+    fn deregister(&self, _: LeaseGrant) -> BoxFuture<'_, Result<(), StoreError>> {
         Box::pin(async { away() })
     }
 
@@ -236,7 +236,7 @@
     let patience = Duration::from_secs(4);
     while let Ok(received) = tokio::time::timeout(patience, socket.recv_from(&mut buffer)).await {
         let datagram = Datagram::read(&buffer[..received.unwrap().0]).unwrap();
-        if let Some(EngineNotice::Serving(version)) = datagram.engine.map(|row| row.word()) {
+        if let Some(EngineNotice::Serving(version)) = datagram.engine.map(|row| row.notice()) {
             versions.push(version.0);
         }
     }
--- a/mustardrill_core/tests/naming_doubts.rs
+++ b/mustardrill_core/tests/naming_doubts.rs
@@ -114,7 +114,7 @@
         Moment::CLOCK_START + Millis(300),
         DirectEvent::StoreAnswered(snapshot, Moment::CLOCK_START + Millis(280)),
     );
-    // What `NamingRow::word` makes of an age of 6.5 s that is received at 320 ms.
+    // What `AnnouncementRow::report` makes of an age of 6.5 s that is received at 320 ms.
     let now = Moment::CLOCK_START + Millis(320);
     let moment_of_age = |age: u64| now - Millis(10) - Millis(age);
     let time = AnnouncementTime {
--- a/mustardrill_entry/src/callers.rs
+++ b/mustardrill_entry/src/callers.rs
@@ -17,7 +17,7 @@
 use mustardrill_proto as proto;
 use mustardrill_runtime::headers;
 use mustardrill_runtime::http::{
-    AnyBody, AnyResponse, CutError, HttpHandler, json_response, text_response,
+    AnyBody, AnyResponse, HttpHandler, TruncatedBodyError, json_response, text_response,
 };
 use mustardrill_types::{
     CustomerName, Millis, ModelName, Moment, RequestDigest, RequestKey, ResultCode,
@@ -248,7 +248,7 @@
             }
             _ => {
                 guard.code = Some(ResultCode::AnswerCut);
-                Some((Err(CutError), None))
+                Some((Err(TruncatedBodyError), None))
             }
         }
     });
@@ -323,7 +323,7 @@
 }
 
 fn is_forwarded(name: &str) -> bool {
-    !headers::is_hop(name) && name != HOST.as_str()
+    !headers::is_hop_by_hop(name) && name != HOST.as_str()
 }
 
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
--- a/mustardrill_entry/src/direct/actor.rs
+++ b/mustardrill_entry/src/direct/actor.rs
@@ -14,7 +14,7 @@
 use mustardrill_core::quarantine::CrashReport;
 use mustardrill_runtime::adapters::{CallDialect, ChunkOrigin, FleetSource};
 use mustardrill_runtime::clock::ProcessClock;
-use mustardrill_runtime::exposition::{MetricHandler, MetricPage};
+use mustardrill_runtime::exposition::{MetricHandler, MetricRegistry};
 use mustardrill_runtime::http::HttpServer;
 use mustardrill_types::{FastMap, Generation, Millis, Moment};
 use tokio::net::UdpSocket;
@@ -350,7 +350,7 @@
 ) -> std::io::Result<DirectHandle> {
     let halt = CancellationToken::new();
     let stop_callers = halt.child_token();
-    let metric_page = Arc::new(MetricPage::new(&METRICS));
+    let metric_page = Arc::new(MetricRegistry::new(&METRICS));
     let clock = ProcessClock::start();
     let context = Arc::new(DirectContext {
         clock,
--- a/mustardrill_entry/src/direct/answer.rs
+++ b/mustardrill_entry/src/direct/answer.rs
@@ -9,7 +9,7 @@
 use mustardrill_core::direct::RefusalPlan;
 use mustardrill_runtime::adapters::CallDialect;
 use mustardrill_runtime::headers::copy_end_to_end;
-use mustardrill_runtime::http::{AnyBody, AnyResponse, CutError, whole_body};
+use mustardrill_runtime::http::{AnyBody, AnyResponse, TruncatedBodyError, buffered_body};
 use mustardrill_types::{Millis, ResultCode};
 use tokio::sync::mpsc;
 
@@ -45,7 +45,7 @@
     };
     let response = match part {
         Some(AnswerPart::Complete(status, headers, bytes)) => {
-            forwarded_response(status, &headers, whole_body(bytes))
+            forwarded_response(status, &headers, buffered_body(bytes))
         }
         Some(AnswerPart::Head(status, headers)) => {
             forwarded_response(status, &headers, event_body(parts))
@@ -68,7 +68,7 @@
         "name": format!("{:?}", plan.code),
         "run": plan.code.run_label(),
     });
-    let mut response = Response::new(whole_body(body.to_string()));
+    let mut response = Response::new(buffered_body(body.to_string()));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -93,7 +93,7 @@
         match parts.recv().await {
             Some(AnswerPart::Events(bytes)) => Some((Ok(Frame::data(bytes)), Some(parts))),
             Some(AnswerPart::End) => None,
-            _ => Some((Err(CutError), None)),
+            _ => Some((Err(TruncatedBodyError), None)),
         }
     });
     StreamBody::new(frames).boxed_unsync()
--- a/mustardrill_entry/src/direct/attempt.rs
+++ b/mustardrill_entry/src/direct/attempt.rs
@@ -15,7 +15,7 @@
     AttemptOutcome, DirectEvent, DirectRequest, LoadReport, RequestNumber, SendPlan,
 };
 use mustardrill_runtime::adapters::AnswerKind;
-use mustardrill_runtime::http::has_ended;
+use mustardrill_runtime::http::refuses_connections;
 use mustardrill_types::WeightVersion;
 use tokio::sync::mpsc;
 
@@ -306,7 +306,7 @@
     /// Classifies an attempt whose connection broke: an upstream that accepts no new connection has
     /// crashed, perhaps because of this very request.
     async fn classify_broken(&self, plan: &SendPlan, delivered: bool) -> AttemptOutcome {
-        let crashed = has_ended(plan.address).await;
+        let crashed = refuses_connections(plan.address).await;
         AttemptOutcome::Lost { delivered, crashed }
     }
 
--- a/mustardrill_entry/src/direct/availability.rs
+++ b/mustardrill_entry/src/direct/availability.rs
@@ -9,7 +9,7 @@
 
 use kameo::prelude::*;
 use mustardrill_core::direct::{DirectEvent, PeerRecord};
-use mustardrill_runtime::datagram::{ContactRow, Datagram};
+use mustardrill_runtime::datagram::{AvailabilityRow, Datagram};
 use mustardrill_types::{Generation, Millis, Moment};
 use rand::Rng;
 
@@ -38,7 +38,7 @@
         }
         self.last_query_at = now;
         let mut datagram = Datagram::new(&context.config.direct.own_id);
-        datagram.contact_ask = Some(now.0);
+        datagram.availability_request = Some(now.0);
         let bytes = datagram.to_bytes();
         let first = rand::rng().random_range(0..peers.len());
         let queried = peers.iter().cycle().skip(first).take(peers.len().min(PEERS_PER_QUERY));
@@ -59,17 +59,21 @@
     let Some(span) = reply.availability_span else { return };
     let mut datagram = Datagram::new(&context.config.direct.own_id);
     let now = context.clock.now();
-    let row = ContactRow::new(now, span, reply.generation, asked);
-    datagram.contact = Some(row.with_namings(now, reply.announcements));
+    let row = AvailabilityRow::new(now, span, reply.generation, asked);
+    datagram.availability = Some(row.with_announcements(now, reply.announcements));
     context.send_datagram(to, &datagram.to_bytes()).await;
 }
 
 /// Passes a peer's answer to the reducer; its ages only if it came without delay.
-pub(crate) async fn process_answer(actor: &ActorRef<DirectActor>, now: Moment, row: &ContactRow) {
+pub(crate) async fn process_answer(
+    actor: &ActorRef<DirectActor>,
+    now: Moment,
+    row: &AvailabilityRow,
+) {
     if let Some(span) = row.span(now) {
         let _ = actor.tell(Event(DirectEvent::AvailabilityReceived(span))).await;
     }
-    let announcements = row.namings(now);
+    let announcements = row.announcements(now);
     if !announcements.is_empty() {
         let _ = actor.tell(Event(DirectEvent::AnnouncementsReceived(announcements))).await;
     }
--- a/mustardrill_entry/src/direct/connections.rs
+++ b/mustardrill_entry/src/direct/connections.rs
@@ -11,7 +11,7 @@
 use hyper::{HeaderMap, Request, Response};
 use hyper_util::rt::TokioIo;
 use mustardrill_runtime::clock::ProcessClock;
-use mustardrill_runtime::http::{PROBE_EVERY, PROBES};
+use mustardrill_runtime::http::{KEEPALIVE_INTERVAL, KEEPALIVE_PROBES};
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment};
 use rustix::net::sockopt;
 use tokio::net::TcpStream;
@@ -207,9 +207,9 @@
 /// Makes the kernel close a connection whose peer has vanished without closing it.
 fn detect_dead_peer(stream: &TcpStream) -> std::io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
-    sockopt::set_tcp_keepidle(stream, PROBE_EVERY)?;
-    sockopt::set_tcp_keepintvl(stream, PROBE_EVERY)?;
-    sockopt::set_tcp_keepcnt(stream, PROBES)?;
+    sockopt::set_tcp_keepidle(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepcnt(stream, KEEPALIVE_PROBES)?;
     sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED_TIMEOUT_MS)?;
     Ok(())
 }
--- a/mustardrill_entry/src/direct/gossip.rs
+++ b/mustardrill_entry/src/direct/gossip.rs
@@ -11,7 +11,7 @@
     DirectEvent, LoadBroadcaster, LoadUpdate, PeerLoad, PeerRecord, UpstreamLoad,
 };
 use mustardrill_runtime::datagram::{DATAGRAM_LIMIT, Datagram, LoadRow, VersionRow, WaitRow};
-use mustardrill_runtime::wire::{crash_message, crash_word};
+use mustardrill_runtime::wire::{crash_message, crash_report};
 use mustardrill_types::{Millis, ModelName, Moment, WeightVersion};
 
 use crate::direct::actor::{DirectActor, DirectContext, Event, GossipQuery};
@@ -51,7 +51,7 @@
 ) {
     let Some(port) = context.config.agent_port else { return };
     let mut datagram = Datagram::new(&context.config.direct.own_id);
-    datagram.named = Some(VersionRow { model: model.to_string(), version: version.0 });
+    datagram.announced_version = Some(VersionRow { model: model.to_string(), version: version.0 });
     tokio::spawn(async move {
         let bytes = datagram.to_bytes();
         for round in 0..2 {
@@ -79,11 +79,11 @@
         };
         let Some(datagram) = Datagram::read(&buffer[..length]) else { continue };
         let now = context.clock.now();
-        if let Some(asked) = datagram.contact_ask {
+        if let Some(asked) = datagram.availability_request {
             availability::send_answer(&actor, &context, from, asked).await;
             continue;
         }
-        if let Some(row) = &datagram.contact {
+        if let Some(row) = &datagram.availability {
             availability::process_answer(&actor, now, row).await;
             continue;
         }
@@ -97,7 +97,7 @@
     if datagram.crashes.is_empty() {
         return event_of(datagram).into_iter().collect();
     }
-    let reports = datagram.crashes.iter().filter_map(|row| crash_word(now, row));
+    let reports = datagram.crashes.iter().filter_map(|row| crash_report(now, row));
     reports.map(DirectEvent::CrashReportReceived).collect()
 }
 
@@ -106,7 +106,7 @@
         return Some(DirectEvent::EngineNoticeReceived {
             address: engine.address.parse::<SocketAddr>().ok()?,
             model: engine.model.parse().ok()?,
-            notice: engine.word(),
+            notice: engine.notice(),
         });
     }
     let loads = datagram.loads.into_iter();
@@ -123,7 +123,7 @@
 }
 
 fn load_of(row: &LoadRow) -> UpstreamLoad {
-    UpstreamLoad { requests: row.outstanding, pending_prefill: Millis(u64::from(row.reading_ms)) }
+    UpstreamLoad { requests: row.outstanding, pending_prefill: Millis(u64::from(row.prefill_ms)) }
 }
 
 async fn broadcast(actor: ActorRef<DirectActor>, context: Arc<DirectContext>) {
@@ -162,7 +162,7 @@
     let rows = update.rows.iter().map(|(id, load)| LoadRow {
         upstream: id.to_string(),
         outstanding: load.requests,
-        reading_ms: load.pending_prefill.0 as u32,
+        prefill_ms: load.pending_prefill.0 as u32,
     });
     datagram.loads = rows.collect();
     let waiting = update.waiting.iter();
--- a/mustardrill_entry/src/direct/relay.rs
+++ b/mustardrill_entry/src/direct/relay.rs
@@ -20,7 +20,7 @@
 use mustardrill_runtime::adapters::ChunkList;
 use mustardrill_runtime::fleet_digest::FleetDigest;
 use mustardrill_runtime::http::{AnyResponse, HttpClient, HttpHandler, request};
-use mustardrill_runtime::http::{text_response, whole_body};
+use mustardrill_runtime::http::{buffered_body, text_response};
 use mustardrill_runtime::peer_call::PeerCall;
 use mustardrill_runtime::upload::UploadQueue;
 use mustardrill_types::{ByteSize, FastMap, Millis, ServiceName};
@@ -128,8 +128,8 @@
             PeerCall::Fleet(service) => return self.fleet_response(&service).await,
             PeerCall::List(version) => ((version, RelayItem::List), false),
             PeerCall::Chunk(version, index) => ((version, RelayItem::Chunk(index)), false),
-            PeerCall::DrawnList(version) => ((version, RelayItem::List), true),
-            PeerCall::DrawnChunk(version, index) => ((version, RelayItem::Chunk(index)), true),
+            PeerCall::OriginList(version) => ((version, RelayItem::List), true),
+            PeerCall::OriginChunk(version, index) => ((version, RelayItem::Chunk(index)), true),
         };
         match tokio::time::timeout(HOLD_TIME, self.shared_fetch(key, from_origin)).await {
             Ok(Ok(bytes)) => self.send_bytes(bytes).await,
@@ -152,14 +152,14 @@
         };
         tokio::time::sleep(wait.to_std()).await;
         let _ = self.context.metrics.count("relay_bytes.given", bytes.len() as i64);
-        Response::new(whole_body(bytes))
+        Response::new(buffered_body(bytes))
     }
 
     /// Answers with the part of the fleet's state that the agents of a service need.
     async fn fleet_response(&self, service: &ServiceName) -> AnyResponse {
         let reply = self.actor.ask(FleetQuery).await.ok();
         match reply.and_then(|reply| FleetDigest::of(&reply.0, service)) {
-            Some(digest) => Response::new(whole_body(digest.to_bytes())),
+            Some(digest) => Response::new(buffered_body(digest.to_bytes())),
             None => text_response(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet\n"),
         }
     }
@@ -271,8 +271,8 @@
         relay: &PeerRecord,
     ) -> Result<Bytes, PeerFetchError> {
         let call = match item {
-            RelayItem::List => PeerCall::DrawnList(version.clone()),
-            RelayItem::Chunk(index) => PeerCall::DrawnChunk(version.clone(), *index),
+            RelayItem::List => PeerCall::OriginList(version.clone()),
+            RelayItem::Chunk(index) => PeerCall::OriginChunk(version.clone(), *index),
         };
         let uri = format!("http://{}{call}", relay.address);
         let peer_failure = |reason: String| PeerFetchError::Failed(reason.into());
--- a/mustardrill_entry/src/direct/watch.rs
+++ b/mustardrill_entry/src/direct/watch.rs
@@ -105,7 +105,7 @@
 ) -> Result<FleetUpdate, StoreError> {
     let source = &context.adapters.source;
     match revision {
-        Some(revision) => source.read_changes(FleetScope::Whole, revision, timing).await,
+        Some(revision) => source.read_changes(FleetScope::All, revision, timing).await,
         None => source.read_all().await,
     }
 }
@@ -128,7 +128,7 @@
     let source = &context.adapters.source;
     let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MAX_BACKOFF);
     loop {
-        let lease = match source.announce(&peer, REGISTRATION_LEASE).await {
+        let lease = match source.register(&peer, REGISTRATION_LEASE).await {
             Ok(lease) => lease,
             Err(error) => {
                 warn!("registration outcome=failed reason=\"{error}\"");
--- a/mustardrill_entry/src/effects.rs
+++ b/mustardrill_entry/src/effects.rs
@@ -14,7 +14,7 @@
 use mustardrill_core::routing::UpstreamReport;
 use mustardrill_proto as proto;
 use mustardrill_runtime::wire::{
-    attempt_bytes, catalogue_of, claim_of, crash_message, crash_word, demand_message, demand_row,
+    attempt_bytes, catalogue_of, claim_of, crash_message, crash_report, demand_message, demand_row,
     digest_of, key_bytes,
 };
 use mustardrill_types::{Generation, InstanceId, Millis, Moment};
@@ -181,7 +181,7 @@
         progress: reply.progress.iter().filter_map(progress_of).collect(),
         demand: reply.demand.iter().filter_map(demand_row).collect(),
         reporting_entries: reply.entries,
-        crashes: reply.crashes.iter().filter_map(|row| crash_word(now, row)).collect(),
+        crashes: reply.crashes.iter().filter_map(|row| crash_report(now, row)).collect(),
     }
 }
 
--- a/mustardrill_entry/src/operator_client.rs
+++ b/mustardrill_entry/src/operator_client.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use mustardrill_runtime::http::{CallError, HttpClient, WholeAnswer, request};
+use mustardrill_runtime::http::{BufferedResponse, CallError, HttpClient, request};
 use mustardrill_types::ResultCode;
 use serde_json::Value;
 
@@ -89,7 +89,7 @@
     method: &str,
     path: &str,
     body: Bytes,
-) -> Result<WholeAnswer, CallError> {
+) -> Result<BufferedResponse, CallError> {
     const TIMEOUT: Duration = Duration::from_secs(15);
     const ANSWER_LIMIT: usize = 16_000_000;
     let mut call = request(method, &format!("http://{}{path}", access.address), body);
@@ -99,7 +99,7 @@
     HttpClient::open(Duration::from_secs(2)).call(call, TIMEOUT, ANSWER_LIMIT).await
 }
 
-fn exit_code(answer: &WholeAnswer) -> CommandExit {
+fn exit_code(answer: &BufferedResponse) -> CommandExit {
     match answer.status.as_u16() {
         202 => CommandExit::NotYetKnown,
         200..300 => CommandExit::Done,
--- a/mustardrill_entry/src/operators.rs
+++ b/mustardrill_entry/src/operators.rs
@@ -13,7 +13,9 @@
 use mustardrill_core::edit::{EditChange, EditRequest, MAX_DOCUMENT_BYTES, differences};
 use mustardrill_core::rule::{EditRefusal, EditRule};
 use mustardrill_core::session::EditOutcome;
-use mustardrill_runtime::http::{AnyResponse, HttpHandler, json_response, query, text_response};
+use mustardrill_runtime::http::{
+    AnyResponse, HttpHandler, json_response, query_parameter, text_response,
+};
 use mustardrill_runtime::platform::KeyValueError;
 use mustardrill_types::{EditId, ResultCode};
 use serde_json::{Value, json};
@@ -87,7 +89,7 @@
                 Err(_) => return text_response(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
             },
         };
-        if query(uri, "json") == Some("1") {
+        if query_parameter(uri, "json") == Some("1") {
             let body = json!({ "newest": is_newest, "catalogue": document });
             return json_response(StatusCode::OK, &body);
         }
@@ -136,7 +138,7 @@
     }
 
     async fn undo(&self, operator: Box<str>, uri: &Uri) -> AnyResponse {
-        let undone = query(uri, "edit").and_then(|text| text.parse().ok());
+        let undone = query_parameter(uri, "edit").and_then(|text| text.parse().ok());
         let Some(undone) = undone else {
             return text_response(StatusCode::BAD_REQUEST, "name the edit: ?edit=ID\n");
         };
@@ -161,14 +163,14 @@
 }
 
 fn parse_edit(operator: Box<str>, uri: &Uri, text: &str) -> Result<EditRequest, Vec<EditRefusal>> {
-    let file = query(uri, "file").unwrap_or("file");
+    let file = query_parameter(uri, "file").unwrap_or("file");
     let change = EditChange::Drafts(parse_drafts(file, text)?);
     Ok(EditRequest { id: edit_id(uri), operator, change })
 }
 
 /// The edit id that the operator chose, by which a retry is recognised, or a random one.
 fn edit_id(uri: &Uri) -> EditId {
-    let chosen = query(uri, "id").and_then(|text| text.parse().ok());
+    let chosen = query_parameter(uri, "id").and_then(|text| text.parse().ok());
     chosen.unwrap_or_else(|| EditId(rand::random()))
 }
 
--- a/mustardrill_runtime/src/adapters.rs
+++ b/mustardrill_runtime/src/adapters.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetScope {
     /// All changes; used by entries.
-    Whole,
+    All,
     /// What operators write; used by agents that have no configuration yet.
     Operator,
     /// Announcements of versions; used by agents.
@@ -88,7 +88,7 @@
     ) -> BoxFuture<'_, Result<FleetUpdate, StoreError>>;
 
     /// Registers an entry under a new lease that ends `span` after its last renewal.
-    fn announce<'a>(
+    fn register<'a>(
         &'a self,
         peer: &'a PeerRecord,
         span: Millis,
@@ -98,7 +98,7 @@
     fn renew(&self, lease: LeaseGrant) -> BoxFuture<'_, Result<(), StoreError>>;
 
     /// Ends a lease, which removes the registration made under it.
-    fn withdraw(&self, lease: LeaseGrant) -> BoxFuture<'_, Result<(), StoreError>>;
+    fn deregister(&self, lease: LeaseGrant) -> BoxFuture<'_, Result<(), StoreError>>;
 
     /// Stores for `span` that a request is quarantined, so that entries learn of it when they
     /// start.
--- a/mustardrill_runtime/src/datagram.rs
+++ b/mustardrill_runtime/src/datagram.rs
@@ -32,7 +32,7 @@
     pub holding: Option<HoldingRow>,
     /// Newly announced version, sent by an entry to agents.
     #[prost(message, optional, tag = "5")]
-    pub named: Option<VersionRow>,
+    pub announced_version: Option<VersionRow>,
     /// Whether `loads` is incremental: the last reported load still holds for upstreams that it does
     /// not contain.
     #[prost(bool, tag = "6")]
@@ -45,16 +45,16 @@
     pub crashes: Vec<CrashRow>,
     /// Availability of the store, sent by an entry in answer to another entry's request.
     #[prost(message, optional, tag = "9")]
-    pub contact: Option<ContactRow>,
-    /// Requests `contact`; carries the time of the request on the requester's clock.
+    pub availability: Option<AvailabilityRow>,
+    /// Requests `availability`; carries the time of the request on the requester's clock.
     #[prost(uint64, optional, tag = "10")]
-    pub contact_ask: Option<u64>,
+    pub availability_request: Option<u64>,
 }
 
 /// A span in which the store was available. Its ends are sent as ages at the time of sending, since
 /// processes share no clock.
 #[derive(Clone, PartialEq, Message)]
-pub struct ContactRow {
+pub struct AvailabilityRow {
     /// Age of the store's first answer in the span, in milliseconds.
     #[prost(uint64, tag = "1")]
     pub since_ms: u64,
@@ -63,18 +63,18 @@
     pub until_ms: u64,
     /// Time of the request, on the requester's clock.
     #[prost(uint64, tag = "3")]
-    pub asked: u64,
+    pub requested_at: u64,
     /// Generation of the configuration in force.
     #[prost(uint64, tag = "4")]
     pub generation: u64,
     /// Recently announced versions.
     #[prost(message, repeated, tag = "5")]
-    pub namings: Vec<NamingRow>,
+    pub announcements: Vec<AnnouncementRow>,
 }
 
 /// When a version was announced; times are sent as ages at the time of sending.
 #[derive(Clone, PartialEq, Message)]
-pub struct NamingRow {
+pub struct AnnouncementRow {
     /// Model that the version belongs to.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -91,7 +91,7 @@
     /// Age of the time at which a process observed the announcement as it was made, in
     /// milliseconds; `None` if no process did.
     #[prost(uint64, optional, tag = "5")]
-    pub heard_ms: Option<u64>,
+    pub observed_ms: Option<u64>,
 }
 
 /// Most announcements in one answer, so that it fits into a datagram; the newest ones are sent.
@@ -134,7 +134,7 @@
     pub outstanding: u32,
     /// Estimated prefill time of the requests whose answer has not started, in milliseconds.
     #[prost(uint32, tag = "3")]
-    pub reading_ms: u32,
+    pub prefill_ms: u32,
 }
 
 /// Which weights an engine serves or is about to load.
@@ -145,7 +145,7 @@
     pub address: String,
     /// Whether the engine will load newer weights soon.
     #[prost(bool, tag = "2")]
-    pub coming: bool,
+    pub update_pending: bool,
     /// Model that the version belongs to.
     #[prost(string, tag = "3")]
     pub model: String,
@@ -154,7 +154,7 @@
     pub version: u64,
     /// Time until it loads newer weights, in milliseconds; zero if not reported.
     #[prost(uint64, tag = "5")]
-    pub closing_ms: u64,
+    pub loading_in_ms: u64,
 }
 
 /// Chunks of a version that an agent holds.
@@ -174,7 +174,7 @@
     pub queue: u32,
     /// Whether the sender requests the receiver's holding in return.
     #[prost(bool, tag = "5")]
-    pub asks: bool,
+    pub wants_reply: bool,
 }
 
 impl Datagram {
@@ -196,36 +196,49 @@
     }
 }
 
-impl ContactRow {
-    /// Builds the answer sent at `now` to the request that was made at `asked` on the requester's
+impl AvailabilityRow {
+    /// Builds the answer sent at `now` to the request that was made at `requested_at` on the requester's
     /// clock.
-    pub fn new(now: Moment, span: AvailabilitySpan, generation: Generation, asked: u64) -> Self {
+    pub fn new(
+        now: Moment,
+        span: AvailabilitySpan,
+        generation: Generation,
+        requested_at: u64,
+    ) -> Self {
         let (since_ms, until_ms) = (now.since(span.since).0, now.since(span.until).0);
-        Self { since_ms, until_ms, asked, generation: generation.0, namings: Vec::new() }
+        Self {
+            since_ms,
+            until_ms,
+            requested_at,
+            generation: generation.0,
+            announcements: Vec::new(),
+        }
     }
 
     /// Adds the newest of the announcements, with their ages at `now`.
-    pub fn with_namings(self, now: Moment, mut reports: Vec<AnnouncementReport>) -> Self {
+    pub fn with_announcements(self, now: Moment, mut reports: Vec<AnnouncementReport>) -> Self {
         reports.sort_by_key(|report| std::cmp::Reverse(report.time.effective_at()));
-        let rows =
-            reports.iter().take(ANNOUNCEMENTS_LIMIT).map(|report| NamingRow::new(now, report));
-        Self { namings: rows.collect(), ..self }
+        let rows = reports
+            .iter()
+            .take(ANNOUNCEMENTS_LIMIT)
+            .map(|report| AnnouncementRow::new(now, report));
+        Self { announcements: rows.collect(), ..self }
     }
 
     /// Converts the announcements to the clock of the requester, which receives them at `now`.
     /// Returns none if the round trip took too long.
-    pub fn namings(&self, now: Moment) -> Vec<AnnouncementReport> {
-        let round_trip = now.since(Moment(self.asked));
+    pub fn announcements(&self, now: Moment) -> Vec<AnnouncementReport> {
+        let round_trip = now.since(Moment(self.requested_at));
         if round_trip > MAX_ROUND_TRIP {
             return Vec::new();
         }
-        self.namings.iter().filter_map(|row| row.report(now, round_trip)).collect()
+        self.announcements.iter().filter_map(|row| row.report(now, round_trip)).collect()
     }
 
     /// Converts the span to the clock of the requester, which receives it at `now`. Returns `None`
     /// if the round trip took too long, or if the span ended before the requester's clock started.
     pub fn span(&self, now: Moment) -> Option<AvailabilitySpan> {
-        let round_trip = now.since(Moment(self.asked));
+        let round_trip = now.since(Moment(self.requested_at));
         if round_trip > MAX_ROUND_TRIP {
             return None;
         }
@@ -236,7 +249,7 @@
     }
 }
 
-impl NamingRow {
+impl AnnouncementRow {
     fn new(now: Moment, report: &AnnouncementReport) -> Self {
         Self {
             model: report.model.to_string(),
@@ -247,7 +260,7 @@
                 earliest => now.since(earliest).0,
             },
             known_ms: now.since(report.time.known_at).0,
-            heard_ms: report.time.observed.map(|observed| now.since(observed).0),
+            observed_ms: report.time.observed.map(|observed| now.since(observed).0),
         }
     }
 
@@ -259,7 +272,7 @@
         let time = AnnouncementTime {
             earliest: oldest(self.earliest_ms),
             known_at: now - Millis(self.known_ms),
-            observed: self.heard_ms.map(oldest),
+            observed: self.observed_ms.map(oldest),
         };
         Some(AnnouncementReport {
             model: self.model.parse().ok()?,
@@ -274,19 +287,19 @@
     /// Builds the row that an agent sends about the engine at `address`.
     pub fn new(address: SocketAddr, model: &ModelName, notice: EngineNotice) -> Self {
         let (address, model) = (address.to_string(), model.to_string());
-        // Receivers that do not know `closing_ms` treat the engine as having newer weights to come.
-        let (coming, version, closing_ms) = match notice {
+        // Receivers that do not know `loading_in_ms` treat the engine as having newer weights to come.
+        let (update_pending, version, loading_in_ms) = match notice {
             EngineNotice::UpdatePending => (true, 0, 0),
             EngineNotice::LoadingIn(after) => (true, 0, after.0.max(1)),
             EngineNotice::Loading => (false, 0, 0),
             EngineNotice::Serving(version) => (false, version.0, 0),
         };
-        Self { address, coming, model, version, closing_ms }
+        Self { address, update_pending, model, version, loading_in_ms }
     }
 
     /// Returns the notice that the row encodes.
-    pub fn word(&self) -> EngineNotice {
-        match (self.coming, self.closing_ms, self.version) {
+    pub fn notice(&self) -> EngineNotice {
+        match (self.update_pending, self.loading_in_ms, self.version) {
             (true, 0, _) => EngineNotice::UpdatePending,
             (true, after, _) => EngineNotice::LoadingIn(Millis(after)),
             (false, _, 0) => EngineNotice::Loading,
--- a/mustardrill_runtime/src/exposition.rs
+++ b/mustardrill_runtime/src/exposition.rs
@@ -51,7 +51,7 @@
 
 /// Registry of the metrics of one process.
 #[derive(Debug, Clone)]
-pub struct MetricPage {
+pub struct MetricRegistry {
     registry: Registry,
     counters: FastMap<&'static str, IntCounterVec>,
     histograms: FastMap<&'static str, Histogram>,
@@ -60,10 +60,10 @@
 
 /// Records what cadence emits. Unwind safety is asserted because each update is atomic: after a panic
 /// it is either complete or missing.
-struct RegistrySink(AssertUnwindSafe<Arc<MetricPage>>);
+struct RegistrySink(AssertUnwindSafe<Arc<MetricRegistry>>);
 
 /// HTTP handler that answers every request with all metrics as text.
-pub struct MetricHandler(pub Arc<MetricPage>);
+pub struct MetricHandler(pub Arc<MetricRegistry>);
 
 impl MetricRow {
     /// Defines a metric; names must be unique within a process.
@@ -72,7 +72,7 @@
     }
 }
 
-impl MetricPage {
+impl MetricRegistry {
     /// Registers the metrics in `rows`, all at zero. Panics if a name or label is invalid or a name
     /// occurs twice.
     pub fn new(rows: &[MetricRow]) -> Self {
--- a/mustardrill_runtime/src/fleet_digest.rs
+++ b/mustardrill_runtime/src/fleet_digest.rs
@@ -160,7 +160,7 @@
     /// Converts the digest to a snapshot; `None` if a name or address in it is malformed. The
     /// snapshot's configuration has no routes and no customers, and only those fields of the
     /// engine's profile that are needed for loading weights.
-    pub fn into_page(self, service: &ServiceName) -> Option<FleetUpdate> {
+    pub fn into_snapshot(self, service: &ServiceName) -> Option<FleetUpdate> {
         let mut services = FastMap::default();
         if let Some(engine) = self.engine {
             let engine = Some(engine_profile(&engine)?);
--- a/mustardrill_runtime/src/headers.rs
+++ b/mustardrill_runtime/src/headers.rs
@@ -15,7 +15,7 @@
 ];
 
 /// Whether a header is hop-by-hop regardless of what the `connection` header lists.
-pub fn is_hop(name: &str) -> bool {
+pub fn is_hop_by_hop(name: &str) -> bool {
     HOP_BY_HOP_HEADERS.contains(&name)
 }
 
@@ -25,7 +25,7 @@
     let listed: Vec<_> = lists.flat_map(|list| list.split(',')).map(str::trim).collect();
     for (name, value) in from {
         let is_listed = listed.iter().any(|other| other.eq_ignore_ascii_case(name.as_str()));
-        if !is_hop(name.as_str()) && !is_listed {
+        if !is_hop_by_hop(name.as_str()) && !is_listed {
             into.append(name.clone(), value.clone());
         }
     }
--- a/mustardrill_runtime/src/http.rs
+++ b/mustardrill_runtime/src/http.rs
@@ -23,10 +23,10 @@
 /// A streamed body ended early; the connection is closed.
 #[derive(Debug, Display, Error)]
 #[display("the answer was truncated")]
-pub struct CutError;
+pub struct TruncatedBodyError;
 
 /// A response body, either fully buffered or streamed.
-pub type AnyBody = UnsyncBoxBody<Bytes, CutError>;
+pub type AnyBody = UnsyncBoxBody<Bytes, TruncatedBodyError>;
 
 /// Response with a body of either kind.
 pub type AnyResponse = Response<AnyBody>;
@@ -56,7 +56,7 @@
 
 /// Response whose body has been read completely.
 #[derive(Debug)]
-pub struct WholeAnswer {
+pub struct BufferedResponse {
     /// Status code, which may be an error.
     pub status: StatusCode,
     /// Response headers.
@@ -74,10 +74,10 @@
 }
 
 /// TCP keep-alive: time without traffic before the first probe, and between two probes.
-pub const PROBE_EVERY: Duration = Duration::from_secs(1);
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// TCP keep-alive: number of unanswered probes after which a connection counts as lost.
-pub const PROBES: u32 = 2;
+pub const KEEPALIVE_PROBES: u32 = 2;
 
 /// Handles the requests of one listener.
 pub trait HttpHandler: Send + Sync + 'static {
@@ -102,20 +102,20 @@
     /// Creates a client that gives up connecting after `connect_timeout`, and closes connections that
     /// are idle for 20 s.
     pub fn open(connect_timeout: Duration) -> Self {
-        Self::open_idle(connect_timeout, Duration::from_secs(20))
+        Self::open_with_idle_timeout(connect_timeout, Duration::from_secs(20))
     }
 
     /// Creates a client that closes connections after `idle_timeout` without use, for servers that
     /// limit the number of connections of all their clients together.
-    pub fn open_idle(connect_timeout: Duration, idle_timeout: Duration) -> Self {
+    pub fn open_with_idle_timeout(connect_timeout: Duration, idle_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(connect_timeout));
         // A machine that is cut off or has lost power closes no connections. Without keep-alive
         // probes, a pending watch would keep waiting even after the machine is back.
-        connector.set_keepalive(Some(PROBE_EVERY));
-        connector.set_keepalive_interval(Some(PROBE_EVERY));
-        connector.set_keepalive_retries(Some(PROBES));
+        connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(KEEPALIVE_PROBES));
         let inner = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(idle_timeout)
@@ -128,7 +128,7 @@
     /// Creates a client with the same settings and no connections. Used when a server does not answer
     /// on one connection, since the other pooled connections to it may be dead as well.
     pub fn reopen(&self) -> Self {
-        Self::open_idle(self.connect_timeout, self.idle_timeout)
+        Self::open_with_idle_timeout(self.connect_timeout, self.idle_timeout)
     }
 
     /// Sends a request and returns the response with a streamed body. Sets no timeout besides that
@@ -153,12 +153,12 @@
     /// Meant for large answers that a whole fleet requests at once. With a timeout for the whole
     /// call, partial answers would be discarded and requested again, and the link would stay
     /// saturated.
-    pub async fn call_steadily(
+    pub async fn call_with_read_timeout(
         &self,
         request: Request<Full<Bytes>>,
         read_timeout: Duration,
         limit: usize,
-    ) -> Result<WholeAnswer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let head = tokio::time::timeout(read_timeout, self.stream(request)).await;
         let (head, mut body) = head.unwrap_or(Err(CallError::Timeout))?.into_parts();
         let mut bytes = BytesMut::new();
@@ -172,7 +172,7 @@
             }
         }
         let (status, headers) = (head.status, head.headers);
-        Ok(WholeAnswer { status, headers, body: bytes.freeze() })
+        Ok(BufferedResponse { status, headers, body: bytes.freeze() })
     }
 
     /// Sends a request and reads an answer of at most `limit` bytes; `timeout` is for the whole call.
@@ -181,12 +181,12 @@
         request: Request<Full<Bytes>>,
         timeout: Duration,
         limit: usize,
-    ) -> Result<WholeAnswer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let exchange = async {
             let (head, body) = self.stream(request).await?.into_parts();
             let body = Limited::new(body, limit).collect().await.map_err(|_| CallError::BadBody)?;
             let (status, headers) = (head.status, head.headers);
-            Ok(WholeAnswer { status, headers, body: body.to_bytes() })
+            Ok(BufferedResponse { status, headers, body: body.to_bytes() })
         };
         tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(CallError::Timeout))
     }
@@ -222,7 +222,7 @@
 /// ended.
 ///
 /// Returns `false` if the connection is accepted, and also if the machine does not answer.
-pub async fn has_ended(address: SocketAddr) -> bool {
+pub async fn refuses_connections(address: SocketAddr) -> bool {
     // A caller who lost an answer waits for this check. A refusal takes one round trip.
     const TIMEOUT: Duration = Duration::from_millis(50);
     let connected = tokio::time::timeout(TIMEOUT, tokio::net::TcpStream::connect(address)).await;
@@ -230,14 +230,14 @@
 }
 
 /// Wraps bytes in a buffered body.
-pub fn whole_body(bytes: impl Into<Bytes>) -> AnyBody {
+pub fn buffered_body(bytes: impl Into<Bytes>) -> AnyBody {
     Full::new(bytes.into()).map_err(|never: Infallible| match never {}).boxed_unsync()
 }
 
 /// Builds a response with `value` as JSON.
 pub fn json_response(status: StatusCode, value: &impl serde::Serialize) -> AnyResponse {
     let bytes = serde_json::to_vec(value).expect("answers serialize to JSON");
-    let mut response = Response::new(whole_body(bytes));
+    let mut response = Response::new(buffered_body(bytes));
     *response.status_mut() = status;
     let json = hyper::header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
@@ -246,7 +246,7 @@
 
 /// Builds a response with a text body and no content type.
 pub fn text_response(status: StatusCode, text: impl Into<String>) -> AnyResponse {
-    let mut response = Response::new(whole_body(text.into()));
+    let mut response = Response::new(buffered_body(text.into()));
     *response.status_mut() = status;
     response
 }
@@ -271,7 +271,7 @@
 }
 
 /// Returns the value of the first query parameter called `name`, without percent-decoding.
-pub fn query<'a>(uri: &'a hyper::Uri, name: &str) -> Option<&'a str> {
+pub fn query_parameter<'a>(uri: &'a hyper::Uri, name: &str) -> Option<&'a str> {
     let pairs = uri.query()?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
 }
--- a/mustardrill_runtime/src/origin.rs
+++ b/mustardrill_runtime/src/origin.rs
@@ -5,7 +5,7 @@
 use mustardrill_core::manifest::Manifest;
 use mustardrill_types::{ChunkIndex, Millis, ModelName, VersionName};
 
-use crate::http::{CallError, HttpClient, WholeAnswer, request};
+use crate::http::{BufferedResponse, CallError, HttpClient, request};
 
 /// Largest manifest accepted, in bytes.
 const MANIFEST_LIMIT: usize = 8_000_000;
@@ -52,7 +52,7 @@
         range: Option<(u64, u64)>,
         timeout: Millis,
         limit: usize,
-    ) -> Result<WholeAnswer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let mut result = Err(CallError::NotSent { reason: "no origin in the settings".into() });
         for base_url in &self.base_urls {
             let mut sent = request("GET", &format!("{base_url}{path}"), Bytes::new());
--- a/mustardrill_runtime/src/peer_call.rs
+++ b/mustardrill_runtime/src/peer_call.rs
@@ -17,10 +17,10 @@
     /// Fetches a chunk list, which the peer fetches from the origin if it does not hold it. Sent to
     /// the last relay, which must not forward the call to another one.
     #[display("/v1/drawn-lists/{}/{}", _0.model, _0.version)]
-    DrawnList(VersionId),
+    OriginList(VersionId),
     /// Fetches a chunk, which the peer fetches from the origin if it does not hold it.
     #[display("/v1/drawn-chunks/{}/{}/{_1}", _0.model, _0.version)]
-    DrawnChunk(VersionId, ChunkIndex),
+    OriginChunk(VersionId, ChunkIndex),
     /// Fetches the part of the fleet's state that the agents of a service need.
     #[display("/v1/fleet/{_0}")]
     Fleet(ServiceName),
@@ -41,8 +41,8 @@
         match kind {
             "lists" => Some(Self::List(version)),
             "chunks" => Some(Self::Chunk(version, index()?)),
-            "drawn-lists" => Some(Self::DrawnList(version)),
-            "drawn-chunks" => Some(Self::DrawnChunk(version, index()?)),
+            "drawn-lists" => Some(Self::OriginList(version)),
+            "drawn-chunks" => Some(Self::OriginChunk(version, index()?)),
             _ => None,
         }
     }
--- a/mustardrill_runtime/src/platform.rs
+++ b/mustardrill_runtime/src/platform.rs
@@ -26,7 +26,7 @@
     Conflict,
     /// The lease has expired or was revoked.
     #[display("the lease has expired or was revoked")]
-    LeaseOver,
+    LeaseGone,
     /// The request was not sent, so nothing was written.
     #[display("could not connect to the key-value service: {_0}")]
     NotSent(#[error(not(source))] Box<str>),
@@ -71,7 +71,7 @@
     /// Grants a lease that expires `ttl` after its last renewal.
     fn grant(&self, ttl: Millis) -> BoxFuture<'_, Result<LeaseId, KeyValueError>>;
 
-    /// Renews a lease, or fails with [`KeyValueError::LeaseOver`].
+    /// Renews a lease, or fails with [`KeyValueError::LeaseGone`].
     fn renew(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), KeyValueError>>;
 
     /// Revokes a lease; the keys written under it are deleted.
@@ -127,7 +127,7 @@
         path: String,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<crate::http::WholeAnswer, KeyValueError> {
+    ) -> Result<crate::http::BufferedResponse, KeyValueError> {
         let sent = request(method, &format!("{}{path}", self.base_url), body);
         let answer = self.client.call(sent, timeout, VALUE_LIMIT * 2).await;
         let answer = answer.map_err(|error| match error {
@@ -137,7 +137,7 @@
         match answer.status.as_u16() {
             200..300 | 404 => Ok(answer),
             409 => Err(KeyValueError::Conflict),
-            410 => Err(KeyValueError::LeaseOver),
+            410 => Err(KeyValueError::LeaseGone),
             status => Err(KeyValueError::Unknown(format!("status {status}").into())),
         }
     }
@@ -226,7 +226,7 @@
     }
 }
 
-fn revision_of(answer: &crate::http::WholeAnswer) -> Result<u64, KeyValueError> {
+fn revision_of(answer: &crate::http::BufferedResponse) -> Result<u64, KeyValueError> {
     let header = answer.headers.get(REVISION_HEADER).and_then(|value| value.to_str().ok());
     let revision = header.and_then(|text| text.parse().ok());
     revision
--- a/mustardrill_runtime/src/wire.rs
+++ b/mustardrill_runtime/src/wire.rs
@@ -70,7 +70,7 @@
 
 /// Decodes a crash report received at `now`; `None` if it is malformed. A quarantine is limited to
 /// [`QUARANTINE_SPAN`].
-pub fn crash_word(now: Moment, row: &proto::CrashRow) -> Option<CrashReport> {
+pub fn crash_report(now: Moment, row: &proto::CrashRow) -> Option<CrashReport> {
     let digest = RequestDigest(u128::from_be_bytes(row.digest.as_ref().try_into().ok()?));
     let ended = now - Millis(row.ended_ago_ms);
     Some(match proto::CrashKind::try_from(row.kind).ok()? {
--- a/mustardrill_runtime/tests/exposition.rs
+++ b/mustardrill_runtime/tests/exposition.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cadence::{Counted, Gauged, Timed};
-use mustardrill_runtime::exposition::{MetricKind, MetricPage, MetricRow};
+use mustardrill_runtime::exposition::{MetricKind, MetricRegistry, MetricRow};
 
 const ROWS: [MetricRow; 3] = [
     MetricRow { name: "requests", kind: MetricKind::Counter("code"), help: "Requests, by code." },
@@ -13,7 +13,7 @@
 
 #[test]
 fn counters_histograms_and_gauges_are_served_with_help_and_labels() {
-    let page = Arc::new(MetricPage::new(&ROWS));
+    let page = Arc::new(MetricRegistry::new(&ROWS));
     let client = page.client();
     client.count("requests.1000", 2).unwrap();
     client.count("requests.2011", 1).unwrap();
@@ -36,7 +36,7 @@
 
 #[test]
 fn an_unknown_metric_changes_nothing() {
-    let page = Arc::new(MetricPage::new(&ROWS));
+    let page = Arc::new(MetricRegistry::new(&ROWS));
     let before = page.text();
     let _ = page.client().count("no_such_metric", 1);
     assert_eq!(page.text(), before);
--- a/mustardrill_runtime/tests/fleet_digests.rs
+++ b/mustardrill_runtime/tests/fleet_digests.rs
@@ -71,7 +71,7 @@
         ..FleetUpdate::default()
     };
     let bytes = FleetDigest::of(&update, &service).unwrap().to_bytes();
-    let update = FleetDigest::read(&bytes).unwrap().into_page(&service).unwrap();
+    let update = FleetDigest::read(&bytes).unwrap().into_snapshot(&service).unwrap();
     assert!(update.is_snapshot);
     assert_eq!(update.revision, StoreRevision(77));
     let [configured, announced, listed, peer] = &update.changes[..] else { panic!("{update:?}") };
--- a/mustardrill_runtime/tests/naming_rows.rs
+++ b/mustardrill_runtime/tests/naming_rows.rs
@@ -1,7 +1,7 @@
 //! Announcement times reported by an entry that has just started.
 
 use mustardrill_core::direct::{AnnouncementTime, AvailabilitySpan, VersionTable};
-use mustardrill_runtime::datagram::ContactRow;
+use mustardrill_runtime::datagram::AvailabilityRow;
 use mustardrill_types::{Generation, Millis, ModelName, Moment, WeightVersion};
 
 /// One entry was cut off from before a version was announced until 6 s after that. Another entry started
@@ -19,8 +19,8 @@
     let sent_at = Moment(2_000);
     let reports = started.reports(sent_at - Millis(24_000));
     let span = AvailabilitySpan { since: Moment(100), until: Moment(1_900) };
-    let row = ContactRow::new(sent_at, span, Generation(1), back_at.0);
-    for report in row.with_namings(sent_at, reports).namings(back_at + Millis(1)) {
+    let row = AvailabilityRow::new(sent_at, span, Generation(1), back_at.0);
+    for report in row.with_announcements(sent_at, reports).announcements(back_at + Millis(1)) {
         cut_off.refine(&report);
     }
     assert_eq!(cut_off.announced_at(&model, version), Some(cut_off_at));
--- a/mustardrill_runtime/tests/peer_calls.rs
+++ b/mustardrill_runtime/tests/peer_calls.rs
@@ -10,8 +10,8 @@
     let calls = [
         PeerCall::List(version.clone()),
         PeerCall::Chunk(version.clone(), ChunkIndex(7)),
-        PeerCall::DrawnList(version.clone()),
-        PeerCall::DrawnChunk(version, ChunkIndex(0)),
+        PeerCall::OriginList(version.clone()),
+        PeerCall::OriginChunk(version, ChunkIndex(0)),
         PeerCall::Fleet("pool".parse().unwrap()),
     ];
     for call in calls {
--- a/mustardrill_runtime/tests/steady_calls.rs
+++ b/mustardrill_runtime/tests/steady_calls.rs
@@ -35,8 +35,10 @@
 async fn a_slow_but_steady_answer_is_read_to_its_end() {
     let address = serve(Duration::from_millis(60), false).await;
     let call = request("GET", &format!("http://{address}/"), Bytes::new());
-    let answer =
-        HttpClient::open(READ_TIMEOUT).call_steadily(call, READ_TIMEOUT, 1_000).await.unwrap();
+    let answer = HttpClient::open(READ_TIMEOUT)
+        .call_with_read_timeout(call, READ_TIMEOUT, 1_000)
+        .await
+        .unwrap();
     assert_eq!(answer.body.len(), 100);
 }
 
@@ -44,7 +46,8 @@
 async fn a_stalled_answer_times_out() {
     let address = serve(Duration::from_millis(10), true).await;
     let call = request("GET", &format!("http://{address}/"), Bytes::new());
-    let answer = HttpClient::open(READ_TIMEOUT).call_steadily(call, READ_TIMEOUT, 1_000).await;
+    let answer =
+        HttpClient::open(READ_TIMEOUT).call_with_read_timeout(call, READ_TIMEOUT, 1_000).await;
     assert_matches!(answer, Err(CallError::Timeout));
 }
 
@@ -52,6 +55,7 @@
 async fn an_answer_above_the_limit_is_rejected() {
     let address = serve(Duration::from_millis(10), false).await;
     let call = request("GET", &format!("http://{address}/"), Bytes::new());
-    let answer = HttpClient::open(READ_TIMEOUT).call_steadily(call, READ_TIMEOUT, 50).await;
+    let answer =
+        HttpClient::open(READ_TIMEOUT).call_with_read_timeout(call, READ_TIMEOUT, 50).await;
     assert_matches!(answer, Err(CallError::BadBody));
 }
--- a/mustardrill_standins/src/engine.rs
+++ b/mustardrill_standins/src/engine.rs
@@ -16,7 +16,7 @@
 use hyper::{Request, Response, StatusCode};
 use mustardrill_core::manifest::Manifest;
 use mustardrill_runtime::http::{
-    AnyResponse, CutError, HttpClient, HttpHandler, json_response, request, text_response,
+    AnyResponse, HttpClient, HttpHandler, TruncatedBodyError, json_response, request, text_response,
 };
 use mustardrill_types::ByteSize;
 use serde::Deserialize;
@@ -232,7 +232,7 @@
                     std::future::pending::<()>().await;
                 }
                 if state.faults.get().corrupt && begun {
-                    return Some((Err(CutError), (state, Bytes::new(), true)));
+                    return Some((Err(TruncatedBodyError), (state, Bytes::new(), true)));
                 }
                 {
                     // Continuous batching: a slot is taken for a piece, not for a whole answer.
--- a/mustardrill_standins/src/fault.rs
+++ b/mustardrill_standins/src/fault.rs
@@ -5,7 +5,7 @@
 
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode, Uri};
-use mustardrill_runtime::http::{AnyResponse, query, text_response};
+use mustardrill_runtime::http::{AnyResponse, query_parameter, text_response};
 
 /// The failures that are switched on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -54,8 +54,8 @@
 }
 
 fn parse(uri: &Uri) -> FaultSwitches {
-    let is_on = |name| query(uri, name) == Some("1");
-    let delay = query(uri, "delay_ms").and_then(|text| text.parse().ok()).unwrap_or(0);
+    let is_on = |name| query_parameter(uri, name) == Some("1");
+    let delay = query_parameter(uri, "delay_ms").and_then(|text| text.parse().ok()).unwrap_or(0);
     FaultSwitches {
         down: is_on("down"),
         delay: Duration::from_millis(delay),
--- a/mustardrill_standins/src/key_value.rs
+++ b/mustardrill_standins/src/key_value.rs
@@ -10,7 +10,9 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode, Uri};
-use mustardrill_runtime::http::{AnyResponse, HttpHandler, json_response, query, text_response};
+use mustardrill_runtime::http::{
+    AnyResponse, HttpHandler, json_response, query_parameter, text_response,
+};
 use mustardrill_runtime::platform::{REVISION_HEADER, VALUE_LIMIT};
 use tokio::sync::Notify;
 
@@ -99,7 +101,7 @@
     }
 
     async fn get(&self, key: &str, uri: &Uri) -> AnyResponse {
-        let number = |name| query(uri, name).and_then(|text| text.parse::<u64>().ok());
+        let number = |name| query_parameter(uri, name).and_then(|text| text.parse::<u64>().ok());
         let after = number("after");
         let until = Instant::now() + Duration::from_millis(number("wait_ms").unwrap_or(0));
         self.table().reads += 1;
@@ -110,7 +112,8 @@
             let is_news = after.is_none_or(|after| revision > after);
             if is_news || Instant::now() >= until || self.faults.get().down {
                 let bytes = found.map(|value| value.bytes).unwrap_or_default();
-                let mut response = AnyResponse::new(mustardrill_runtime::http::whole_body(bytes));
+                let mut response =
+                    AnyResponse::new(mustardrill_runtime::http::buffered_body(bytes));
                 response.headers_mut().insert(REVISION_HEADER, revision.into());
                 return response;
             }
@@ -119,7 +122,7 @@
     }
 
     fn put(&self, key: &str, uri: &Uri, bytes: Bytes) -> AnyResponse {
-        let number = |name| query(uri, name).and_then(|text| text.parse::<u64>().ok());
+        let number = |name| query_parameter(uri, name).and_then(|text| text.parse::<u64>().ok());
         let mut table = self.table();
         table.writes += 1;
         let current = table.values.get(key).map_or(0, |value| value.revision);
@@ -144,7 +147,8 @@
         let (id, action) = rest.split_once('/').unwrap_or((rest, ""));
         let id: u64 = id.parse().unwrap_or(0);
         if method == Method::POST && rest.is_empty() {
-            let span = query(uri, "ttl_ms").and_then(|text| text.parse().ok()).unwrap_or(10_000);
+            let span =
+                query_parameter(uri, "ttl_ms").and_then(|text| text.parse().ok()).unwrap_or(10_000);
             let span = Duration::from_millis(span);
             let id = table.next_revision();
             table.leases.insert(id, Lease { span, until: Instant::now() + span });
--- a/mustardrill_standins/src/lab.rs
+++ b/mustardrill_standins/src/lab.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use mustardrill_core::membership::InstanceRecord;
-use mustardrill_runtime::http::{HttpClient, WholeAnswer, request};
+use mustardrill_runtime::http::{BufferedResponse, HttpClient, request};
 use mustardrill_runtime::platform::InstanceListing;
 
 pub use crate::access::{CUSTOMER_TOKEN, OPERATOR_TOKEN, SECOND_OPERATOR_TOKEN, caller_request};
@@ -329,7 +329,7 @@
         address: SocketAddr,
         path: &str,
         body: impl Into<Bytes>,
-    ) -> WholeAnswer {
+    ) -> BufferedResponse {
         let sent = request(method, &format!("http://{address}{path}"), body);
         let answer = self.client.call(sent, Duration::from_secs(20), 64_000_000).await;
         answer.unwrap_or_else(|error| panic!("{address}{path}: {error}"))
--- a/mustardrill_standins/src/origin.rs
+++ b/mustardrill_standins/src/origin.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, Response, StatusCode};
 use mustardrill_core::manifest::Manifest;
 use mustardrill_runtime::http::{
-    AnyResponse, CutError, HttpHandler, query, text_response, whole_body,
+    AnyResponse, HttpHandler, TruncatedBodyError, buffered_body, query_parameter, text_response,
 };
 use mustardrill_types::ByteSize;
 use rand::rngs::StdRng;
@@ -119,14 +119,14 @@
         return text_response(StatusCode::NOT_FOUND, "no such version\n");
     };
     match part {
-        "manifest" => Response::new(whole_body(published.manifest)),
+        "manifest" => Response::new(buffered_body(published.manifest)),
         "bytes" => send_range(shelf, &published, request),
         _ => text_response(StatusCode::NOT_FOUND, "no such part\n"),
     }
 }
 
 fn publish(shelf: &WeightShelf, request: &Request<Incoming>) -> AnyResponse {
-    let text = |name| query(request.uri(), name);
+    let text = |name| query_parameter(request.uri(), name);
     let number = |name| text(name).and_then(|text| text.parse::<u64>().ok());
     let (Some(model), Some(version)) = (text("model"), text("version")) else {
         return text_response(StatusCode::BAD_REQUEST, "model and version are missing\n");
@@ -165,7 +165,7 @@
         let piece = rest.split_to(rest.len().min(PIECE));
         shelf.link.pass(piece.len()).await;
         shelf.sent.fetch_add(piece.len() as u64, Ordering::Relaxed);
-        Some((Ok::<_, CutError>(Frame::data(piece)), (shelf, rest)))
+        Some((Ok::<_, TruncatedBodyError>(Frame::data(piece)), (shelf, rest)))
     });
     let mut response = Response::new(StreamBody::new(pieces).boxed_unsync());
     let partial = if range.is_some() { StatusCode::PARTIAL_CONTENT } else { StatusCode::OK };
--- a/mustardrill_standins/tests/crashes.rs
+++ b/mustardrill_standins/tests/crashes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{MODEL, serving_lab};
-use mustardrill_runtime::http::WholeAnswer;
+use mustardrill_runtime::http::BufferedResponse;
 use mustardrill_standins::engine::CRASH_PROMPT;
 use mustardrill_standins::lab::{Lab, LabOptions, caller_request};
 
@@ -13,7 +13,12 @@
 /// may reach.
 const BOUND: usize = 3 + 3;
 
-async fn draft(lab: &Lab, entry: usize, key: Option<&str>, prompt: &str) -> Option<WholeAnswer> {
+async fn draft(
+    lab: &Lab,
+    entry: usize,
+    key: Option<&str>,
+    prompt: &str,
+) -> Option<BufferedResponse> {
     let path = format!("/v1/models/{MODEL}/draft");
     let mut sent = caller_request(lab.entries[entry].address, &path, prompt);
     if let Some(key) = key {
--- a/mustardrill_standins/tests/prepared/crash.rs
+++ b/mustardrill_standins/tests/prepared/crash.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::StatusCode;
-use mustardrill_runtime::http::{HttpClient, WholeAnswer};
+use mustardrill_runtime::http::{BufferedResponse, HttpClient};
 use mustardrill_standins::StandIn;
 use mustardrill_standins::link::LabLink;
 use mustardrill_standins::process::{LabProcess, daemon};
@@ -118,12 +118,12 @@
         }
     }
 
-    async fn call(&self, entry: usize, attempt: &str, path: &str) -> WholeAnswer {
+    async fn call(&self, entry: usize, attempt: &str, path: &str) -> BufferedResponse {
         let entry = self.entries[entry % self.entries.len()].address;
         let call = caller_request(entry, attempt, path, "key-1");
         let answer = self.client.call(call, Duration::from_secs(10), 1_000_000).await;
         // A stream that is cut is no whole answer.
-        answer.unwrap_or_else(|_| WholeAnswer {
+        answer.unwrap_or_else(|_| BufferedResponse {
             status: StatusCode::BAD_GATEWAY,
             headers: Default::default(),
             body: Default::default(),
--- a/mustardrill_standins/tests/prepared/fleet.rs
+++ b/mustardrill_standins/tests/prepared/fleet.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
-use mustardrill_runtime::http::{HttpClient, WholeAnswer, request};
+use mustardrill_runtime::http::{BufferedResponse, HttpClient, request};
 use mustardrill_standins::StandIn;
 use mustardrill_standins::process::{LabProcess, daemon};
 use serde_json::{Value, json};
@@ -120,7 +120,7 @@
         logs.map(|file| std::fs::read_to_string(file.path()).unwrap_or_default()).collect()
     }
 
-    pub async fn call(&self, attempt: &str, path: &str, key: &str) -> WholeAnswer {
+    pub async fn call(&self, attempt: &str, path: &str, key: &str) -> BufferedResponse {
         let call = caller_request(self.entry.address, attempt, path, key);
         self.client.call(call, Duration::from_secs(10), 1_000_000).await.unwrap_or_else(|error| {
             panic!("{error}\n{}", self.logs());
--- a/mustardrill_standins/tests/prepared/store.rs
+++ b/mustardrill_standins/tests/prepared/store.rs
@@ -11,7 +11,9 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
-use mustardrill_runtime::http::{AnyResponse, HttpHandler, json_response, query, text_response};
+use mustardrill_runtime::http::{
+    AnyResponse, HttpHandler, json_response, query_parameter, text_response,
+};
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
@@ -219,8 +221,9 @@
             StoreMode::Silent => std::future::pending().await,
         }
         let uri = request.uri().clone();
-        let prefix = query(&uri, "prefix").unwrap_or_default();
-        let number = |name| query(&uri, name).and_then(|text| text.parse().ok()).unwrap_or(0u64);
+        let prefix = query_parameter(&uri, "prefix").unwrap_or_default();
+        let number =
+            |name| query_parameter(&uri, name).and_then(|text| text.parse().ok()).unwrap_or(0u64);
         match uri.path() {
             "/v1/kv-range" => json_response(StatusCode::OK, &self.range(prefix)),
             "/v1/kv-watch" => {
--- a/mustardrill_standins/tests/prepared/worker.rs
+++ b/mustardrill_standins/tests/prepared/worker.rs
@@ -14,7 +14,8 @@
 use hyper::body::{Frame, Incoming};
 use hyper::{Request, Response, StatusCode};
 use mustardrill_runtime::http::{
-    AnyResponse, CutError, HttpHandler, json_response, query, text_response, whole_body,
+    AnyResponse, HttpHandler, TruncatedBodyError, buffered_body, json_response, query_parameter,
+    text_response,
 };
 use serde_json::json;
 use sha2::{Digest, Sha256};
@@ -230,7 +231,7 @@
 
     async fn answer(&self, request: Request<Incoming>) -> AnyResponse {
         let uri = request.uri().clone();
-        let index = query(&uri, "sample_count").and_then(|text| text.parse().ok());
+        let index = query_parameter(&uri, "sample_count").and_then(|text| text.parse().ok());
         let path = uri.path().to_owned();
         let (head, body) = request.into_parts();
         let Ok(body) = body.collect().await else { return text_response(StatusCode::OK, "") };
@@ -248,7 +249,7 @@
         if path.starts_with("/v1/stage-get/") {
             let staged = self.state.lock().unwrap().staged.get(&index.unwrap()).cloned();
             return match staged {
-                Some(bytes) => Response::new(whole_body(bytes)),
+                Some(bytes) => Response::new(buffered_body(bytes)),
                 None => text_response(StatusCode::NOT_FOUND, ""),
             };
         }
@@ -308,8 +309,8 @@
         let first = text("last-event-id").map_or(1, |last| last.parse::<u64>().unwrap() + 1);
         let mut response = match (fault, model) {
             (WorkerFault::LoseAnswer, _) => Response::new(broken()),
-            (WorkerFault::Foreign, false) => Response::new(whole_body("done another")),
-            (_, false) => Response::new(whole_body(format!("done {attempt}"))),
+            (WorkerFault::Foreign, false) => Response::new(buffered_body("done another")),
+            (_, false) => Response::new(buffered_body(format!("done {attempt}"))),
             (fault, true) => Response::new(events(first, fault, pause)),
         };
         let headers = response.headers_mut();
@@ -349,7 +350,7 @@
 }
 
 fn broken() -> mustardrill_runtime::http::AnyBody {
-    let frames = stream::once(async { Err::<Frame<Bytes>, _>(CutError) });
+    let frames = stream::once(async { Err::<Frame<Bytes>, _>(TruncatedBodyError) });
     StreamBody::new(frames).boxed_unsync()
 }
 
@@ -364,7 +365,7 @@
             return Some((Ok(half), u64::MAX - 1));
         }
         if id == u64::MAX - 1 {
-            return Some((Err(CutError), EVENTS + 1));
+            return Some((Err(TruncatedBodyError), EVENTS + 1));
         }
         let event = format!("id: {id}\ndata: piece {id}\n\n");
         Some((Ok(Frame::data(Bytes::from(event))), id + 1))
@@ -393,7 +394,7 @@
 
     fn answer(&self, request: &Request<Incoming>) -> Result<AnyResponse, Infallible> {
         let uri = request.uri();
-        let version: u64 = query(uri, "version").unwrap().parse().unwrap();
+        let version: u64 = query_parameter(uri, "version").unwrap().parse().unwrap();
         let model = uri.path().rsplit('/').next().unwrap();
         if uri.path().starts_with("/v1/manifest/") {
             let digest = |index| {
@@ -405,14 +406,14 @@
                 "layers": 16, "digests": digests});
             return Ok(json_response(StatusCode::OK, &body));
         }
-        let index = query(uri, "sample_count").unwrap().parse().unwrap();
+        let index = query_parameter(uri, "sample_count").unwrap().parse().unwrap();
         let number = self.sent.fetch_add(1, Ordering::SeqCst) + 1;
         let bytes = if number.is_multiple_of(7) {
             Bytes::from_static(b"bad")
         } else {
             chunk(version, index)
         };
-        Ok(Response::new(whole_body(bytes)))
+        Ok(Response::new(buffered_body(bytes)))
     }
 }
 
--- a/mustardrill_standins/tests/requests.rs
+++ b/mustardrill_standins/tests/requests.rs
@@ -8,17 +8,17 @@
     CHUNK, LONG, MODEL, SIZE, callers, keyed_callers, model_file, plain_file, runs, serving_lab,
     told_the_truth,
 };
-use mustardrill_runtime::http::WholeAnswer;
+use mustardrill_runtime::http::BufferedResponse;
 use mustardrill_standins::lab::{Lab, LabOptions, OPERATOR_TOKEN, caller_request};
 use mustardrill_standins::load::{LoadDriver, LoadOptions};
 
-async fn file(lab: &Lab, entry: usize, key: &str, body: &str) -> WholeAnswer {
+async fn file(lab: &Lab, entry: usize, key: &str, body: &str) -> BufferedResponse {
     let mut sent = caller_request(lab.entries[entry].address, "/v1/services/desk/file", body);
     sent.headers_mut().insert("idempotency-key", key.parse().unwrap());
     lab.client.call(sent, Duration::from_secs(20), 1_000_000).await.unwrap()
 }
 
-fn code(answer: &WholeAnswer) -> &str {
+fn code(answer: &BufferedResponse) -> &str {
     answer.headers["mustardrill-code"].to_str().unwrap()
 }
 
