--- a/mustardrill_runtime/src/backoff.rs
+++ b/mustardrill_runtime/src/backoff.rs
@@ -7,15 +7,15 @@
 /// keeps the clients of a recovering service from calling it all at the same time.
 #[derive(Debug)]
 pub struct RetryBackoff {
-    first: Millis,
-    longest: Millis,
+    initial: Millis,
+    max_delay: Millis,
     failures: u32,
 }
 
 impl RetryBackoff {
-    /// Starts with a delay of up to `first`; later delays are at most `longest`.
-    pub fn new(first: Millis, longest: Millis) -> Self {
-        Self { first, longest, failures: 0 }
+    /// Starts with a delay of up to `initial`; later delays are at most `max_delay`.
+    pub fn new(initial: Millis, max_delay: Millis) -> Self {
+        Self { initial, max_delay, failures: 0 }
     }
 
     /// Resets the backoff after a successful call.
@@ -29,7 +29,7 @@
         const MAX_DOUBLINGS: u32 = 16;
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let backoff = (self.first.0 << doublings).min(self.longest.0);
+        let backoff = (self.initial.0 << doublings).min(self.max_delay.0);
         Millis(backoff / 2 + random.random_range(0..=backoff / 2))
     }
 }
--- a/mustardrill_runtime/src/exposition.rs
+++ b/mustardrill_runtime/src/exposition.rs
@@ -77,14 +77,14 @@
     /// occurs twice.
     pub fn new(rows: &[MetricRow]) -> Self {
         let registry = Registry::new();
-        let mut page = Self {
+        let mut metrics = Self {
             registry,
             counters: FastMap::default(),
             histograms: FastMap::default(),
             gauges: FastMap::default(),
         };
-        rows.iter().for_each(|row| page.register(row));
-        page
+        rows.iter().for_each(|row| metrics.register(row));
+        metrics
     }
 
     fn register(&mut self, row: &MetricRow) {
--- a/mustardrill_runtime/src/upload.rs
+++ b/mustardrill_runtime/src/upload.rs
@@ -23,12 +23,12 @@
     }
 
     /// Enqueues an upload of `bytes` bytes and returns the delay until it may start. Returns
-    /// `None` without enqueuing it if the delay would exceed `longest`.
-    pub fn accept(&self, now: Moment, bytes: usize, longest: Millis) -> Option<Millis> {
+    /// `None` without enqueuing it if the delay would exceed `max_wait`.
+    pub fn accept(&self, now: Moment, bytes: usize, max_wait: Millis) -> Option<Millis> {
         let mut free_at = self.free_at.lock().expect("no holder panics");
         let starts_at = free_at.max(now.0 as f64);
         let wait = starts_at - now.0 as f64;
-        if wait > longest.0 as f64 {
+        if wait > max_wait.0 as f64 {
             return None;
         }
         *free_at = starts_at + bytes as f64 / self.bytes_per_ms;
--- a/mustardrill_runtime/tests/exposition.rs
+++ b/mustardrill_runtime/tests/exposition.rs
@@ -13,13 +13,13 @@
 
 #[test]
 fn counters_histograms_and_gauges_are_served_with_help_and_labels() {
-    let page = Arc::new(MetricRegistry::new(&ROWS));
-    let client = page.client();
+    let metrics = Arc::new(MetricRegistry::new(&ROWS));
+    let client = metrics.client();
     client.count("requests.1000", 2).unwrap();
     client.count("requests.2011", 1).unwrap();
     client.time("request_ms", 120u64).unwrap();
     client.gauge("generation", 7u64).unwrap();
-    let text = page.text();
+    let text = metrics.text();
     for line in [
         "# HELP mustardrill_requests Requests, by code.",
         "# TYPE mustardrill_requests counter",
@@ -36,8 +36,8 @@
 
 #[test]
 fn an_unknown_metric_changes_nothing() {
-    let page = Arc::new(MetricRegistry::new(&ROWS));
-    let before = page.text();
-    let _ = page.client().count("no_such_metric", 1);
-    assert_eq!(page.text(), before);
+    let metrics = Arc::new(MetricRegistry::new(&ROWS));
+    let before = metrics.text();
+    let _ = metrics.client().count("no_such_metric", 1);
+    assert_eq!(metrics.text(), before);
 }
