--- /dev/null
+++ b/mustardrill_core/src/provisioning/load_order.rs
@@ -0,0 +1,237 @@
+//! Decides when the engine is ordered to load the staged version, and handles the outcome.
+
+use log::{info, warn};
+use mustardrill_types::{Millis, Moment};
+
+use crate::direct::{EngineNotice, ServedWeights};
+use crate::manifest::ChunkBitmap;
+use crate::provisioning::event::{EngineView, LoadOrderOutcome, ProvisioningEffect, VersionId};
+use crate::provisioning::reducer::{
+    LOAD_ORDER_TIMEOUT, LoadOrder, ProvisioningReducer, ProvisioningStage,
+};
+use crate::provisioning::rollout::RolloutWindow;
+use crate::transfer::TransferPlan;
+
+/// How long before an engine's load slot the entries are notified of it; most answers complete
+/// within this time.
+const CLOSING_NOTICE: Millis = Millis(1_500);
+
+/// A load slot that has moved by less than this is not reported again.
+const MIN_SLOT_CHANGE: Millis = Millis(100);
+
+impl ProvisioningReducer {
+    /// Whether provisioning continues with the current version although a newer one was announced.
+    ///
+    /// Versions may be announced a few seconds apart, and the newer one may be slow to arrive. Once
+    /// its manifest is available its chunks can be fetched, and saving a load is worth more than
+    /// spreading loads: for each load an engine takes no new requests, as it first completes those
+    /// that it runs. Until then the older version continues: if it were dropped at the
+    /// announcement, engines would have no version that they may use while the origin is
+    /// unavailable.
+    pub(super) fn keeps_older_version(&self, newer: &VersionId) -> bool {
+        let (Some(wanted), Some(stage)) = (&self.wanted, &self.stage) else { return false };
+        if wanted.model != newer.model || wanted.version >= newer.version {
+            return false;
+        }
+        match stage {
+            ProvisioningStage::FetchingManifest { .. } => return false,
+            // The staged copy must stay unchanged until the engine has accepted the order.
+            ProvisioningStage::Loading(_, order) => return !order.accepted,
+            _ => {}
+        }
+        let pending = self.newer_manifest.as_ref().filter(|pending| pending.version == *newer);
+        let Some((_, manifest_at)) = pending.and_then(|pending| pending.manifest.as_ref()) else {
+            return true;
+        };
+        let is_staged = matches!(
+            stage,
+            ProvisioningStage::AwaitingSlot(..) | ProvisioningStage::VerifyingStaged(_)
+        );
+        is_staged && self.scheduled_slot(wanted).is_some_and(|slot| slot < *manifest_at)
+    }
+
+    /// This engine's load slot; immediately if it serves nothing.
+    fn load_slot(&self, wanted: &VersionId, staged: Moment) -> Moment {
+        let Some(slot) = self.scheduled_slot(wanted) else { return Moment(0) };
+        if staged <= slot {
+            return slot;
+        }
+        // This engine missed its slot, as others may have done: the rest of the window is divided
+        // anew.
+        self.rollout_window(wanted)
+            .map_or(slot, |window| self.slot_in(wanted, window.remaining_from(staged)))
+    }
+
+    /// This engine's slot by its rank among its peers; none if it serves nothing.
+    fn scheduled_slot(&self, wanted: &VersionId) -> Option<Moment> {
+        self.rollout_window(wanted).map(|window| self.slot_in(wanted, window))
+    }
+
+    /// The rollout window of the engines that serve the same version as this one.
+    fn rollout_window(&self, wanted: &VersionId) -> Option<RolloutWindow> {
+        let served = self.engine.as_ref()?.serving.first()?;
+        let superseded = self.versions.superseded_at(&wanted.model, served.version);
+        let superseded =
+            superseded.or(self.versions.announced_at(&wanted.model, wanted.version))?;
+        let window = self.settings.rollout.window(superseded);
+        // Engines that skipped the version served here have less time left, so they load first.
+        let before = self.versions.announced_at(&wanted.model, served.version);
+        let peers_done = before.map(|announced| self.settings.rollout.completed_at(announced));
+        Some(peers_done.map_or(window, |done| window.remaining_from(done.min(window.last))))
+    }
+
+    fn slot_in(&self, wanted: &VersionId, window: RolloutWindow) -> Moment {
+        let ids: Vec<_> = self.transfer_peers().into_iter().map(|peer| peer.id).collect();
+        window.slot(wanted.model.as_str().as_bytes(), &ids, &self.settings.own)
+    }
+
+    /// Starts the load once this engine's slot is reached, and notifies the entries beforehand.
+    pub(super) fn await_load_slot(
+        &mut self,
+        now: Moment,
+        wanted: &VersionId,
+        plan: Box<TransferPlan>,
+        staged: Moment,
+    ) -> (Option<ProvisioningStage>, Vec<ProvisioningEffect>) {
+        // If the engine is not reachable, its staged chunks cannot be read and would all count as
+        // lost.
+        if self.engine.is_none() {
+            return (Some(ProvisioningStage::AwaitingSlot(plan, staged)), Vec::new());
+        }
+        let slot = self.load_slot(wanted, staged);
+        if slot <= now {
+            return (
+                Some(ProvisioningStage::VerifyingStaged(plan)),
+                self.start_verification(wanted),
+            );
+        }
+        (
+            Some(ProvisioningStage::AwaitingSlot(plan, staged)),
+            self.report_closing(now, wanted, slot),
+        )
+    }
+
+    /// Notifies the entries of this engine's slot shortly before it, and again if it has moved.
+    fn report_closing(
+        &mut self,
+        now: Moment,
+        wanted: &VersionId,
+        slot: Moment,
+    ) -> Vec<ProvisioningEffect> {
+        let left = slot.since(now);
+        let is_reported = |reported: Moment| slot.0.abs_diff(reported.0) < MIN_SLOT_CHANGE.0;
+        if left > CLOSING_NOTICE || self.closing_reported.is_some_and(is_reported) {
+            return Vec::new();
+        }
+        self.closing_reported = Some(slot);
+        vec![ProvisioningEffect::NotifyEntries(wanted.model.clone(), EngineNotice::LoadingIn(left))]
+    }
+
+    pub(super) fn staged_verified(
+        &mut self,
+        now: Moment,
+        version: &VersionId,
+        intact: &ChunkBitmap,
+    ) -> Vec<ProvisioningEffect> {
+        if self.wanted.as_ref() != Some(version) {
+            return Vec::new();
+        }
+        match self.stage.take() {
+            Some(ProvisioningStage::InspectingStaged(mut plan)) => {
+                intact.held().into_iter().for_each(|index| plan.record_intact(now, index));
+                info!("weights version={version} outcome=inspected whole={}", intact.count());
+                self.staged = None;
+                self.stage = Some(ProvisioningStage::FetchingChunks(plan));
+                Vec::new()
+            }
+            Some(ProvisioningStage::VerifyingStaged(plan)) => {
+                self.order_load(now, version, intact, plan)
+            }
+            other => {
+                self.stage = other;
+                Vec::new()
+            }
+        }
+    }
+
+    pub(super) fn order_load(
+        &mut self,
+        now: Moment,
+        version: &VersionId,
+        intact: &ChunkBitmap,
+        mut plan: Box<TransferPlan>,
+    ) -> Vec<ProvisioningEffect> {
+        let damaged: Vec<_> = intact.added_in(plan.held());
+        if !damaged.is_empty() {
+            warn!("weights version={version} outcome=spoilt chunks={}", damaged.len());
+            damaged.into_iter().for_each(|index| plan.record_damaged(index));
+            self.staged = None;
+            self.stage = Some(ProvisioningStage::FetchingChunks(plan));
+            return self.cancel_pause();
+        }
+        let Some(engine) = &self.engine else {
+            self.stage = Some(ProvisioningStage::AwaitingSlot(plan, now));
+            return Vec::new();
+        };
+        let sequence = engine.sequence;
+        info!("order version={version} sequence={sequence} decision=load");
+        self.stage = Some(ProvisioningStage::Loading(
+            plan,
+            LoadOrder { since: now, sequence, accepted: false },
+        ));
+        vec![ProvisioningEffect::OrderLoad(version.clone(), sequence)]
+    }
+
+    /// Starts verifying the staged chunks before the order, and notifies the entries that the
+    /// engine is about to accept no requests.
+    ///
+    /// If the entries were notified only at the order, the engine would reject the requests on
+    /// their way to it, and one that waits for a slot would wait for the whole pause. Reading the
+    /// chunks back takes long enough for the notice to arrive and for a slot to become free.
+    fn start_verification(&self, version: &VersionId) -> Vec<ProvisioningEffect> {
+        vec![
+            ProvisioningEffect::NotifyEntries(version.model.clone(), EngineNotice::Loading),
+            ProvisioningEffect::VerifyStaged(version.clone()),
+        ]
+    }
+
+    /// Notifies the entries that the engine continues with the version that it serves.
+    fn cancel_pause(&self) -> Vec<ProvisioningEffect> {
+        let served = self.engine.as_ref().and_then(|engine| engine.serving.first());
+        let notify = |served: &ServedWeights| {
+            let word = EngineNotice::Serving(served.version);
+            ProvisioningEffect::NotifyEntries(served.model.clone(), word)
+        };
+        served.map(notify).into_iter().collect()
+    }
+
+    /// Recognises from the engine's order count that it accepted an order whose response was lost.
+    pub(super) fn confirm_load_order(&mut self, view: &EngineView) {
+        if let Some(ProvisioningStage::Loading(_, order)) = &mut self.stage {
+            order.accepted |= view.sequence > order.sequence;
+        }
+    }
+
+    pub(super) fn load_answered(
+        &mut self,
+        now: Moment,
+        version: &VersionId,
+        outcome: LoadOrderOutcome,
+    ) -> Vec<ProvisioningEffect> {
+        info!("order version={version} outcome={outcome}");
+        if self.wanted.as_ref() != Some(version) {
+            return Vec::new();
+        }
+        if let Some(ProvisioningStage::Loading(_, order)) = &mut self.stage {
+            match outcome {
+                LoadOrderOutcome::Accepted => order.accepted = true,
+                // The engine accepted another order or restarted: read its state again, then repeat
+                // the order.
+                LoadOrderOutcome::Rejected => order.since = now - LOAD_ORDER_TIMEOUT,
+                // The order may still be accepted, with whatever is staged at that moment.
+                LoadOrderOutcome::Unknown => {}
+            }
+        }
+        Vec::new()
+    }
+}
--- a/mustardrill_runtime/tests/peer_calls.rs
+++ b/mustardrill_runtime/tests/peer_calls.rs
@@ -1,6 +1,6 @@
 //! Paths of the calls between agents and entries.
 
-use mustardrill_core::stock::VersionId;
+use mustardrill_core::provisioning::VersionId;
 use mustardrill_runtime::peer_call::PeerCall;
 use mustardrill_types::{ChunkIndex, WeightVersion};
 
