--- a/mustardrill_agent/src/provisioning/effects.rs
+++ b/mustardrill_agent/src/provisioning/effects.rs
@@ -15,7 +15,7 @@
     LoadOrderOutcome, ManifestSource, ProvisioningEvent, VersionId,
 };
 use mustardrill_core::transfer::{ChunkFetch, ChunkSource, FetchOutcome};
-use mustardrill_runtime::border::{ChunkList, FleetPart, OrderAnswer};
+use mustardrill_runtime::adapters::{ChunkList, FleetPart, OrderAnswer};
 use mustardrill_runtime::datagram::{Datagram, EngineRow};
 use mustardrill_runtime::http::request;
 use mustardrill_runtime::peer_call::PeerCall;
--- a/mustardrill_agent/tests/engine_notices.rs
+++ b/mustardrill_agent/tests/engine_notices.rs
@@ -15,7 +15,7 @@
 };
 use mustardrill_core::provisioning::{ProvisioningSettings, RolloutSettings};
 use mustardrill_core::transfer::TransferSettings;
-use mustardrill_runtime::border::{
+use mustardrill_runtime::adapters::{
     ChunkList, ChunkOrigin, EngineControl, EngineState, FleetPart, FleetScope, FleetSource,
     LeaseGrant, OrderAnswer, StoreError,
 };
@@ -102,7 +102,7 @@
         Box::pin(std::future::pending())
     }
 
-    fn announce<'a>(
+    fn register<'a>(
         &'a self,
         _: &'a PeerRecord,
         _: Millis,
@@ -114,7 +114,7 @@
         Box::pin(async { unavailable() })
     }
 
-    fn withdraw(&self, _: LeaseGrant) -> BoxFuture<'_, Result<(), StoreError>> {
+    fn deregister(&self, _: LeaseGrant) -> BoxFuture<'_, Result<(), StoreError>> {
         Box::pin(async { unavailable() })
     }
 
@@ -247,7 +247,7 @@
         tokio::time::timeout(silence_timeout, socket.recv_from(&mut buffer)).await
     {
         let datagram = Datagram::read(&buffer[..received.unwrap().0]).unwrap();
-        if let Some(EngineNotice::Serving(version)) = datagram.engine.map(|row| row.word()) {
+        if let Some(EngineNotice::Serving(version)) = datagram.engine.map(|row| row.notice()) {
             versions.push(version.0);
         }
     }
--- a/mustardrill_entry/src/direct/watch.rs
+++ b/mustardrill_entry/src/direct/watch.rs
@@ -9,8 +9,8 @@
 use mustardrill_core::direct::{
     ChangeCoalescer, DirectEvent, FleetUpdate, PeerRecord, StoreReader, WatchTiming,
 };
+use mustardrill_runtime::adapters::{FleetScope, StoreError};
 use mustardrill_runtime::backoff::RetryBackoff;
-use mustardrill_runtime::border::{FleetScope, StoreError};
 use mustardrill_types::{Millis, StoreRevision};
 use tokio::sync::Notify;
 
@@ -105,7 +105,7 @@
 ) -> Result<FleetUpdate, StoreError> {
     let source = &context.adapters.source;
     match revision {
-        Some(revision) => source.read_changes(FleetScope::Whole, revision, timing).await,
+        Some(revision) => source.read_changes(FleetScope::All, revision, timing).await,
         None => source.read_all().await,
     }
 }
@@ -128,7 +128,7 @@
     let source = &context.adapters.source;
     let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MAX_BACKOFF);
     loop {
-        let lease = match source.announce(&peer, REGISTRATION_LEASE).await {
+        let lease = match source.register(&peer, REGISTRATION_LEASE).await {
             Ok(lease) => lease,
             Err(error) => {
                 warn!("registration outcome=failed reason=\"{error}\"");
--- a/mustardrill_standins/src/engine.rs
+++ b/mustardrill_standins/src/engine.rs
@@ -16,7 +16,7 @@
 use hyper::{Request, Response, StatusCode};
 use mustardrill_core::manifest::Manifest;
 use mustardrill_runtime::http::{
-    AnyResponse, CutError, HttpClient, HttpHandler, json_response, request, text_response,
+    AnyResponse, HttpClient, HttpHandler, TruncatedBodyError, json_response, request, text_response,
 };
 use mustardrill_types::ByteSize;
 use serde::Deserialize;
@@ -236,7 +236,7 @@
                     std::future::pending::<()>().await;
                 }
                 if state.faults.get().corrupt && has_started {
-                    return Some((Err(CutError), (state, Bytes::new(), true)));
+                    return Some((Err(TruncatedBodyError), (state, Bytes::new(), true)));
                 }
                 {
                     // Continuous batching: a slot is taken for one piece, not for the complete answer.
