--- a/mustardrill_runtime/tests/exposition.rs
+++ b/mustardrill_runtime/tests/exposition.rs
@@ -1,9 +1,9 @@
-//! What is counted through cadence is served in the exposition format.
+//! Metrics emitted through cadence are served in the text exposition format.
 
 use std::sync::Arc;
 
 use cadence::{Counted, Gauged, Timed};
-use mustardrill_runtime::exposition::{MetricKind, MetricPage, MetricRow};
+use mustardrill_runtime::exposition::{MetricKind, MetricRegistry, MetricRow};
 
 const ROWS: [MetricRow; 3] = [
     MetricRow { name: "requests", kind: MetricKind::Counter("code"), help: "Requests, by code." },
@@ -12,14 +12,14 @@
 ];
 
 #[test]
-fn counts_times_and_gauges_are_served_with_help_and_labels() {
-    let page = Arc::new(MetricPage::new(&ROWS));
-    let client = page.client();
+fn counters_histograms_and_gauges_are_served_with_help_and_labels() {
+    let metrics = Arc::new(MetricRegistry::new(&ROWS));
+    let client = metrics.client();
     client.count("requests.1000", 2).unwrap();
     client.count("requests.2011", 1).unwrap();
     client.time("request_ms", 120u64).unwrap();
     client.gauge("generation", 7u64).unwrap();
-    let text = page.text();
+    let text = metrics.text();
     for line in [
         "# HELP mustardrill_requests Requests, by code.",
         "# TYPE mustardrill_requests counter",
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn what_is_unknown_or_malformed_changes_nothing() {
-    let page = Arc::new(MetricPage::new(&ROWS));
-    let before = page.text();
-    let _ = page.client().count("no_such_metric", 1);
-    assert_eq!(page.text(), before);
+fn an_unknown_metric_changes_nothing() {
+    let metrics = Arc::new(MetricRegistry::new(&ROWS));
+    let before = metrics.text();
+    let _ = metrics.client().count("no_such_metric", 1);
+    assert_eq!(metrics.text(), before);
 }
--- a/mustardrill_standins/src/experiment/engine.rs
+++ b/mustardrill_standins/src/experiment/engine.rs
@@ -1,96 +1,96 @@
-//! A modelled engine: works in passes, reads prompts between the tokens of others.
+//! Model of an engine with continuous batching: each pass decodes running requests and prefills others.
 
 use std::collections::VecDeque;
 
 use mustardrill_core::direct::{EngineForecast, EngineProfile};
 
-/// Which attempt of which call a run is of.
+/// Identifies a run by its call and attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunId {
-    /// The call.
+    /// Index of the call.
     pub call: usize,
-    /// Its attempt, from one.
+    /// Number of the attempt, counted from one.
     pub attempt: u32,
 }
 
-/// A request at an engine.
+/// A request that an engine has queued or runs.
 #[derive(Debug, Clone)]
 pub struct EngineRun {
-    /// The attempt.
+    /// The call and attempt that the run serves.
     pub id: RunId,
-    /// Prompt tokens yet to be read.
+    /// Prompt tokens left to prefill.
     pub prompt_left: u32,
-    /// Answer tokens yet to be written.
+    /// Answer tokens left to decode.
     pub answer_left: u32,
-    /// Whether the engine ends when it begins to write.
-    pub ends_engine: bool,
+    /// Whether the engine crashes when it would decode the first token.
+    pub crashes_engine: bool,
 }
 
-/// What an engine does at the end of a pass.
+/// What an engine reports at the end of a pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineEvent {
-    /// It writes an event.
-    Event(RunId),
-    /// It writes the last one.
-    Whole(RunId),
-    /// It ends, and everything in it breaks off.
-    Ended,
+    /// An event of an answer that continues.
+    EventSent(RunId),
+    /// The last event of an answer.
+    Completed(RunId),
+    /// The engine crashed; all its runs are lost.
+    Crashed,
 }
 
-/// One engine.
+/// One modelled engine. The simulation starts and finishes its passes.
 #[derive(Debug)]
 pub struct EngineModel {
     profile: EngineProfile,
-    chunk: u32,
+    prefill_chunk: u32,
     waiting: VecDeque<EngineRun>,
     running: Vec<EngineRun>,
-    /// How many times longer its work takes.
-    pub pace: f64,
-    /// Whether a pass is under way.
+    /// Factor on the duration of each pass; 1.0 is the profile's speed.
+    pub slowdown: f64,
+    /// Whether a pass has started and not finished.
     pub is_busy: bool,
 }
 
-/// Requests that wait in an engine, as a part of its slots.
-const QUEUE_PARTS: u32 = 4;
+/// An engine queues a quarter of its slots' number beyond the requests that it runs.
+const SLOTS_PER_QUEUE_PLACE: u32 = 4;
 
 impl EngineModel {
-    /// An idle engine that reads `chunk` prompt tokens in a step.
-    pub fn new(profile: &EngineProfile, chunk: u32) -> Self {
+    /// Creates an idle engine that prefills at most `prefill_chunk` prompt tokens in a step.
+    pub fn new(profile: &EngineProfile, prefill_chunk: u32) -> Self {
         Self {
             profile: profile.clone(),
-            chunk,
+            prefill_chunk,
             waiting: VecDeque::new(),
             running: Vec::new(),
-            pace: 1.0,
+            slowdown: 1.0,
             is_busy: false,
         }
     }
 
-    /// Takes a request; says whether it has room.
-    pub fn take(&mut self, run: EngineRun) -> bool {
-        let present = (self.waiting.len() + self.running.len()) as u32;
-        let has_room = present < self.profile.slots + self.profile.slots / QUEUE_PARTS;
+    /// Queues a request; returns false, and drops it, where slots and queue are full.
+    pub fn try_enqueue(&mut self, run: EngineRun) -> bool {
+        let run_count = (self.waiting.len() + self.running.len()) as u32;
+        let has_room = run_count < self.profile.slots + self.profile.slots / SLOTS_PER_QUEUE_PLACE;
         if has_room {
             self.waiting.push_back(run);
         }
         has_room
     }
 
-    /// Lets go of a request whose caller is gone.
-    pub fn drop_run(&mut self, id: RunId) {
+    /// Removes a run whose caller has left; does nothing where it has finished.
+    pub fn cancel_run(&mut self, id: RunId) {
         self.waiting.retain(|run| run.id != id);
         self.running.retain(|run| run.id != id);
     }
 
-    /// Everything in it, which it forgets.
-    pub fn take_all(&mut self) -> Vec<RunId> {
+    /// Removes and returns all runs, queued and running, as a crash loses them.
+    pub fn drain_runs(&mut self) -> Vec<RunId> {
         self.is_busy = false;
         let runs = self.waiting.drain(..).chain(self.running.drain(..));
         runs.map(|run| run.id).collect()
     }
 
-    /// Begins a pass; how long it takes, in milliseconds. Nothing where there is no work.
-    pub fn begin_pass(&mut self) -> Option<f64> {
+    /// Starts a pass and returns its duration in milliseconds; `None` where there is no work.
+    pub fn start_pass(&mut self) -> Option<f64> {
         while self.running.len() < self.profile.slots as usize
             && let Some(run) = self.waiting.pop_front()
         {
@@ -100,43 +100,43 @@
         if !self.is_busy {
             return None;
         }
-        let writers = self.running.iter().filter(|run| run.prompt_left == 0).count() as u32;
+        let decoding = self.running.iter().filter(|run| run.prompt_left == 0).count() as u32;
         let forecast = EngineForecast::new(&self.profile);
-        let writing = if writers > 0 { forecast.pass_ms(writers) } else { 0.0 };
-        let reading = forecast.prefill_ms(self.readable(writers));
-        Some((writing + reading).max(self.profile.step_ms) * self.pace)
+        let decode_ms = if decoding > 0 { forecast.pass_ms(decoding) } else { 0.0 };
+        let prefill_ms = forecast.prefill_ms(self.prefill_tokens(decoding));
+        Some((decode_ms + prefill_ms).max(self.profile.step_ms) * self.slowdown)
     }
 
-    /// Ends a pass: what was written in it, in the order of the requests.
-    pub fn end_pass(&mut self) -> Vec<EngineEvent> {
-        let writers = self.running.iter().filter(|run| run.prompt_left == 0).count() as u32;
-        let mut readable = self.readable(writers);
+    /// Finishes the pass and returns its events, in the order in which the runs were admitted.
+    pub fn finish_pass(&mut self) -> Vec<EngineEvent> {
+        let decoding = self.running.iter().filter(|run| run.prompt_left == 0).count() as u32;
+        let mut prefill_tokens = self.prefill_tokens(decoding);
         let mut events = Vec::new();
         for run in &mut self.running {
             if run.prompt_left > 0 {
-                let read = run.prompt_left.min(readable);
-                run.prompt_left -= read;
-                readable -= read;
+                let prefilled = run.prompt_left.min(prefill_tokens);
+                run.prompt_left -= prefilled;
+                prefill_tokens -= prefilled;
                 continue;
             }
-            if run.ends_engine {
-                return vec![EngineEvent::Ended];
+            if run.crashes_engine {
+                return vec![EngineEvent::Crashed];
             }
             run.answer_left = run.answer_left.saturating_sub(self.profile.steps_per_pass);
             events.push(if run.answer_left == 0 {
-                EngineEvent::Whole(run.id)
+                EngineEvent::Completed(run.id)
             } else {
-                EngineEvent::Event(run.id)
+                EngineEvent::EventSent(run.id)
             });
         }
         self.running.retain(|run| run.answer_left > 0);
         events
     }
 
-    /// Prompt tokens that one pass reads beside `writers` that write.
-    fn readable(&self, writers: u32) -> u32 {
-        let steps = if writers > 0 { self.profile.steps_per_pass } else { 1 };
-        let unread = self.running.iter().map(|run| run.prompt_left).sum::<u32>();
-        unread.min(self.chunk * steps)
+    /// Prompt tokens that one pass prefills while `decoding` runs decode.
+    fn prefill_tokens(&self, decoding: u32) -> u32 {
+        let steps = if decoding > 0 { self.profile.steps_per_pass } else { 1 };
+        let pending = self.running.iter().map(|run| run.prompt_left).sum::<u32>();
+        pending.min(self.prefill_chunk * steps)
     }
 }
--- a/mustardrill_standins/tests/catalogue.rs
+++ b/mustardrill_standins/tests/catalogue.rs
@@ -22,11 +22,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_accepted_edit_is_in_force_everywhere() {
     let (lab, _) = serving_lab(small_lab_options()).await;
-    let (status, body) = lab.apply(0, &desk_edit(1, 400)).await;
+    let (status, body) = lab.apply_catalogue(0, &desk_edit(1, 400)).await;
     assert_eq!((status, body["generation"].as_u64()), (200, Some(2)), "{body}");
     for entry in 0..2 {
         assert!(
-            lab.wait_in_force(entry, 2, LONG).await,
+            lab.wait_until_in_force(entry, 2, LONG).await,
             "entry {entry} did not see generation 2 in force"
         );
     }
@@ -36,7 +36,8 @@
 async fn of_two_concurrent_edits_one_is_refused_with_the_change_of_the_other() {
     let (lab, _) = serving_lab(small_lab_options()).await;
     let (first, second) = (desk_edit(1, 400), desk_edit(1, 300));
-    let (first_result, second_result) = tokio::join!(lab.apply(0, &first), lab.apply(1, &second));
+    let (first_result, second_result) =
+        tokio::join!(lab.apply_catalogue(0, &first), lab.apply_catalogue(1, &second));
     let (accepted_result, refused_result) = if first_result.0 == 200 {
         (first_result, second_result)
     } else {
@@ -56,11 +57,11 @@
     // Edits of different catalogue entries are both accepted, in either order.
     let (first_edit, second_edit) = (model_file("v1", 1, 1), desk_edit(2, 250));
     let (first_result, second_result) =
-        tokio::join!(lab.apply(0, &first_edit), lab.apply(1, &second_edit));
+        tokio::join!(lab.apply_catalogue(0, &first_edit), lab.apply_catalogue(1, &second_edit));
     assert_eq!((first_result.0, second_result.0), (200, 200), "{first_result:?} {second_result:?}");
     let (path, revision) = ("/v1/catalogue/edits", second_result.1["generation"].as_u64().unwrap());
     let text = desk_edit(revision, 100);
-    let (status, body) = lab.operate(1, "POST", path, &text, SECOND_OPERATOR_TOKEN).await;
+    let (status, body) = lab.call_operator(1, "POST", path, &text, SECOND_OPERATOR_TOKEN).await;
     assert_eq!((status, &body["refusals"][0]["rule"]), (409, &5104.into()), "{body}");
 }
 
@@ -69,47 +70,47 @@
     let edit_timeout = ("edits", "patience = 1s".to_owned());
     let (lab, _) =
         serving_lab(LabOptions { entry_lines: vec![edit_timeout], ..small_lab_options() }).await;
-    lab.switch(lab.key_value.address, "lose_answers=1").await;
+    lab.set_faults(lab.key_value.address, "lose_answers=1").await;
     let path = "/v1/catalogue/edits?id=77aa";
-    let (status, body) = lab.operate(0, "POST", path, &desk_edit(1, 400), OPERATOR_TOKEN).await;
+    let (status, body) = lab.call_operator(0, "POST", path, &desk_edit(1, 400), OPERATOR_TOKEN).await;
     // The catalogue could not be read, so nothing was written: the refusal is final.
     assert_eq!((status, body["outcome"].as_str()), (409, Some("refused")), "{body}");
-    lab.switch(lab.key_value.address, "").await;
-    let (status, body) = lab.operate(0, "POST", path, &desk_edit(1, 400), OPERATOR_TOKEN).await;
+    lab.set_faults(lab.key_value.address, "").await;
+    let (status, body) = lab.call_operator(0, "POST", path, &desk_edit(1, 400), OPERATOR_TOKEN).await;
     assert_eq!((status, body["generation"].as_u64()), (200, Some(2)), "{body}");
     // Only the answer to the write is lost; reads succeed.
-    lab.switch(lab.key_value.address, "lose_writes=1").await;
+    lab.set_faults(lab.key_value.address, "lose_writes=1").await;
     let path = "/v1/catalogue/edits?id=77bb";
-    let (status, body) = lab.operate(1, "POST", path, &desk_edit(2, 300), OPERATOR_TOKEN).await;
+    let (status, body) = lab.call_operator(1, "POST", path, &desk_edit(2, 300), OPERATOR_TOKEN).await;
     assert_eq!((status, body["generation"].as_u64()), (200, Some(3)), "{body}");
-    lab.switch(lab.key_value.address, "").await;
+    lab.set_faults(lab.key_value.address, "").await;
     let (status, body) =
-        lab.operate(0, "GET", "/v1/catalogue/edits/77bb", "", OPERATOR_TOKEN).await;
+        lab.call_operator(0, "GET", "/v1/catalogue/edits/77bb", "", OPERATOR_TOKEN).await;
     assert_eq!((status, body["generation"].as_u64()), (200, Some(3)), "{body}");
-    let (status, body) = lab.operate(0, "POST", path, &desk_edit(2, 300), OPERATOR_TOKEN).await;
+    let (status, body) = lab.call_operator(0, "POST", path, &desk_edit(2, 300), OPERATOR_TOKEN).await;
     assert_eq!((status, body["generation"].as_u64()), (200, Some(3)), "sent again: {body}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_during_an_outage_gets_the_catalogue_from_agents() {
     let (mut lab, digest) = serving_lab(small_lab_options()).await;
-    assert_eq!(lab.apply(0, &desk_edit(1, 400)).await.0, 200);
-    assert!(lab.wait_in_force(0, 2, LONG).await);
-    lab.switch(lab.key_value.address, "down=1").await;
+    assert_eq!(lab.apply_catalogue(0, &desk_edit(1, 400)).await.0, 200);
+    assert!(lab.wait_until_in_force(0, 2, LONG).await);
+    lab.set_faults(lab.key_value.address, "down=1").await;
     lab.entries[1].kill();
     lab.restart_entry(1);
-    assert!(lab.wait_in_force(1, 2, LONG).await, "the new entry did not receive generation 2");
+    assert!(lab.wait_until_in_force(1, 2, LONG).await, "the new entry did not receive generation 2");
     assert!(
-        lab.wait_ready("/v1/models/drafts/x", LONG).await,
+        lab.wait_until_ready("/v1/models/drafts/x", LONG).await,
         "the new entry did not serve in time"
     );
     assert!(lab.serving().await.iter().flatten().all(|it| *it == digest));
-    let (status, body) = lab.apply(1, &desk_edit(2, 300)).await;
+    let (status, body) = lab.apply_catalogue(1, &desk_edit(2, 300)).await;
     assert_eq!((status, body["outcome"].as_str()), (409, Some("refused")), "{body}");
-    lab.switch(lab.key_value.address, "").await;
+    lab.set_faults(lab.key_value.address, "").await;
     let mut accepted = false;
     for _ in 0..100 {
-        accepted = lab.apply(1, &desk_edit(2, 300)).await.0 == 200;
+        accepted = lab.apply_catalogue(1, &desk_edit(2, 300)).await.0 == 200;
         if accepted {
             break;
         }
--- a/mustardrill_standins/tests/common/mod.rs
+++ b/mustardrill_standins/tests/common/mod.rs
@@ -45,17 +45,17 @@
     let agents = options.agents;
     let lab = Lab::spawn(options).await;
     let digest = lab.publish(MODEL, "v1", SIZE, CHUNK, 1).await;
-    assert!(lab.wait_fleet(0, agents + 1, LONG).await, "the entries did not receive all agents");
+    assert!(lab.wait_for_agents(0, agents + 1, LONG).await, "the entries did not receive all agents");
     let file = format!("{}\n{}", model_file("v1", 0, agents), plain_file());
-    let (status, body) = lab.apply(0, &file).await;
+    let (status, body) = lab.apply_catalogue(0, &file).await;
     assert_eq!(status, 200, "{body}");
-    assert!(lab.wait_serving(&digest, agents, LONG).await.is_some(), "v1 was never served");
+    assert!(lab.wait_until_serving(&digest, agents, LONG).await.is_some(), "v1 was never served");
     assert!(
-        lab.wait_ready(&format!("/v1/models/{MODEL}/x"), LONG).await,
+        lab.wait_until_ready(&format!("/v1/models/{MODEL}/x"), LONG).await,
         "the entries were not ready in time"
     );
     assert!(
-        lab.wait_ready("/v1/services/desk/x", LONG).await,
+        lab.wait_until_ready("/v1/services/desk/x", LONG).await,
         "the entries were not ready in time"
     );
     (lab, digest)
@@ -76,7 +76,7 @@
             path: format!("/v1/models/{MODEL}/draft"),
             rate,
             pieces: Some(PIECES),
-            keyed: false,
+            has_idempotency_key: false,
             timeout,
         },
     )
@@ -92,7 +92,7 @@
             path: "/v1/services/desk/file".into(),
             rate,
             pieces: None,
-            keyed: true,
+            has_idempotency_key: true,
             timeout: Duration::from_secs(3),
         },
     )
@@ -118,7 +118,7 @@
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
     let run_count = run_counts.len() as u64;
     assert!(
-        run_count >= report.whole && run_count <= report.whole + report.unknown,
+        run_count >= report.complete && run_count <= report.complete + report.unknown,
         "{run_count} {report:?}"
     );
     report
--- a/mustardrill_standins/tests/liars.rs
+++ b/mustardrill_standins/tests/liars.rs
@@ -165,7 +165,7 @@
         LabOptions { agents: 3, entry_lines: vec![ejection_line], ..LabOptions::default() };
     let (lab, digest) = serving_lab(options).await;
     let faulty_agent = add_faulty_agent(&lab, &[&digest]).await;
-    assert!(lab.wait_fleet(0, 5, LONG).await);
+    assert!(lab.wait_for_agents(0, 5, LONG).await);
     let load = callers(&lab, 100.0);
     for _ in 0..500 {
         if faulty_agent.violation_count.load(Ordering::Relaxed) >= 12 {
@@ -179,7 +179,7 @@
         "the faulty agent got fewer than 12 requests"
     );
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -187,12 +187,12 @@
     let (lab, v1) = serving_lab(LabOptions { agents: 3, ..LabOptions::default() }).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let faulty_agent = add_faulty_agent(&lab, &[&v1]).await;
-    assert!(lab.wait_fleet(0, 5, LONG).await);
+    assert!(lab.wait_for_agents(0, 5, LONG).await);
     // The entry knows the agent; other agents read the list, which lags by 100 ms, every 100 ms.
     tokio::time::sleep(Duration::from_secs(1)).await;
     // With four replicas this agent is one of those that are to serve, and so a peer of the others.
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
-    assert!(lab.wait_serving(&v2, 3, LONG).await.is_some(), "v2 was never served");
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
+    assert!(lab.wait_until_serving(&v2, 3, LONG).await.is_some(), "v2 was never served");
     let sent_chunks = faulty_agent.chunk_count.load(Ordering::Relaxed);
     // Each of three agents asks it a few times until it backs off.
     assert!(
--- a/mustardrill_standins/tests/outages.rs
+++ b/mustardrill_standins/tests/outages.rs
@@ -24,16 +24,16 @@
 
 async fn inject_faults(lab: &Lab) {
     for fault in FAULTS {
-        lab.switch(lab.key_value.address, fault).await;
+        lab.set_faults(lab.key_value.address, fault).await;
         tokio::time::sleep(PHASE).await;
-        lab.switch(lab.key_value.address, "").await;
+        lab.set_faults(lab.key_value.address, "").await;
         tokio::time::sleep(PHASE / 2).await;
     }
 }
 
 /// Edits the plain service at its present revision and returns the outcome.
 async fn edit(lab: &Lab, number: u64) -> EditOutcome {
-    let (_, body) = lab.operate(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
+    let (_, body) = lab.call_operator(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
     let Some(revision) = body["catalogue"]["entries"]["desk"]["revision"].as_u64() else {
         return EditOutcome::Refused;
     };
@@ -41,7 +41,7 @@
         .replace("[plain desk]", &format!("[plain desk]\nrevision = {revision}"))
         .replace("in_flight = 500", &format!("in_flight = {}", 400 + number));
     let path = format!("/v1/catalogue/edits?id={}", edit_id(number));
-    edit_outcome(lab.operate(number as usize % 2, "POST", &path, &text, OPERATOR_TOKEN).await.0)
+    edit_outcome(lab.call_operator(number as usize % 2, "POST", &path, &text, OPERATOR_TOKEN).await.0)
 }
 
 fn edit_id(number: u64) -> String {
@@ -60,7 +60,7 @@
 async fn wait_for_outcome(lab: &Lab, number: u64) -> EditOutcome {
     let path = format!("/v1/catalogue/edits/{}", edit_id(number));
     for _ in 0..200 {
-        let outcome = edit_outcome(lab.operate(1, "GET", &path, "", OPERATOR_TOKEN).await.0);
+        let outcome = edit_outcome(lab.call_operator(1, "GET", &path, "", OPERATOR_TOKEN).await.0);
         if outcome != EditOutcome::NotYetKnown {
             return outcome;
         }
@@ -77,10 +77,10 @@
     inject_faults(&lab).await;
     tokio::time::sleep(PHASE).await;
     let report = load.finish().await;
-    assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
+    assert_eq!(report.complete, report.sent, "{:?} lost {}", report.codes, report.lost);
     let report = assert_truthful_answers(&lab, keyed).await;
     assert!(
-        report.whole > 0 && report.not_run > 0,
+        report.complete > 0 && report.not_run > 0,
         "the calls met times both with and without a fault: {report:?}"
     );
 }
@@ -123,6 +123,6 @@
     }
     assert!(accepted > 0, "{outcomes:?}");
     // One generation for the lab's own edit and one for each accepted edit: none was applied twice.
-    let (_, body) = lab.operate(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
+    let (_, body) = lab.call_operator(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
     assert_eq!(body["catalogue"]["generation"].as_u64(), Some(accepted + 1), "{outcomes:?}");
 }
--- a/mustardrill_standins/tests/prepared/fleet.rs
+++ b/mustardrill_standins/tests/prepared/fleet.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
-use mustardrill_runtime::http::{HttpClient, WholeAnswer, request};
+use mustardrill_runtime::http::{BufferedResponse, HttpClient, request};
 use mustardrill_standins::StandIn;
 use mustardrill_standins::process::{LabProcess, daemon};
 use serde_json::{Value, json};
@@ -101,7 +101,7 @@
     }
 
     pub async fn is_ready(&self) -> bool {
-        let uri = format!("http://{}/v1/readiness", self.entry.second.unwrap());
+        let uri = format!("http://{}/v1/readiness", self.entry.second_address.unwrap());
         let call = self.client.call(request("GET", &uri, ""), Duration::from_secs(1), 1_000);
         call.await.is_ok_and(|answer| answer.status == StatusCode::OK)
     }
@@ -123,7 +123,7 @@
         logs.map(|file| std::fs::read_to_string(file.path()).unwrap_or_default()).collect()
     }
 
-    pub async fn call(&self, attempt: &str, path: &str, key: &str) -> WholeAnswer {
+    pub async fn call(&self, attempt: &str, path: &str, key: &str) -> BufferedResponse {
         let call = caller_request(self.entry.address, attempt, path, key);
         self.client.call(call, Duration::from_secs(10), 1_000_000).await.unwrap_or_else(|error| {
             panic!("{error}\n{}", self.logs());
--- a/mustardrill_standins/tests/prepared/leaving.rs
+++ b/mustardrill_standins/tests/prepared/leaving.rs
@@ -208,9 +208,9 @@
     let fleet = LinkedFleet::start(19, 2, 3).await;
     fleet.store.set_mode(StoreMode::Unavailable);
     fleet.call_for(Duration::from_millis(500), "away").await;
-    fleet.entries[0].freeze();
+    fleet.entries[0].suspend();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    fleet.entries[0].thaw();
+    fleet.entries[0].resume();
     let mut calls = vec![fleet.call_for(Duration::from_millis(1_000), "thawed").await];
     calls.extend(fleet.call_after_registration_loss(Duration::from_millis(500)).await);
     assert!(
--- a/mustardrill_standins/tests/prepared/main.rs
+++ b/mustardrill_standins/tests/prepared/main.rs
@@ -165,7 +165,7 @@
     let all = async |fleet: &Fleet, version| {
         fleet.engines.iter().all(|engine| engine.version() == version)
     };
-    fleet.entry.freeze();
+    fleet.entry.suspend();
     fleet.store.write("op/version/m0", &json!({"model": "m0", "version": 2}));
     fleet.wait_until("all have version 2", async || all(&fleet, 2).await).await;
     fleet.entry.kill();
--- a/mustardrill_standins/tests/prepared/rewound.rs
+++ b/mustardrill_standins/tests/prepared/rewound.rs
@@ -28,11 +28,11 @@
     }
     tokio::time::sleep(Duration::from_millis(400)).await;
     let before = fleet.store.revision();
-    fleet.entry.freeze();
+    fleet.entry.suspend();
     fleet.store.restore_from(&snapshot);
     fleet.store.write("op/config", &configuration(4, fleet.origin_address, &["key-1"]));
     write_past_revision(&fleet.store, before);
-    fleet.entry.thaw();
+    fleet.entry.resume();
     let took = fleet
         .wait_until("key-2 is refused", async || {
             fleet.call("h1", "/notices/x", "key-2").await.status == StatusCode::UNAUTHORIZED
--- a/mustardrill_standins/tests/prepared/soak.rs
+++ b/mustardrill_standins/tests/prepared/soak.rs
@@ -361,7 +361,7 @@
         };
         let action = match kind {
             0 | 1 if running => {
-                self.processes[place].process.as_ref().unwrap().freeze();
+                self.processes[place].process.as_ref().unwrap().suspend();
                 Some(RecoveryAction::Thaw(place))
             }
             2 if running => {
@@ -820,12 +820,12 @@
             match action {
                 RecoveryAction::Thaw(place) => {
                     if let Some(process) = &self.processes[place].process {
-                        process.thaw();
+                        process.resume();
                     }
                 }
                 RecoveryAction::Restart(place) => {
                     if let Some(mut process) = self.processes[place].process.take() {
-                        process.thaw();
+                        process.resume();
                         process.kill();
                     }
                     self.processes[place].start(&self.folder.clone());
--- a/mustardrill_standins/tests/prepared/versions.rs
+++ b/mustardrill_standins/tests/prepared/versions.rs
@@ -322,10 +322,10 @@
     tokio::time::sleep(Duration::from_millis(2_200).saturating_sub(announced_at.elapsed())).await;
     let _burst = fleet.burst(16, "burst").await;
     tokio::time::sleep(after).await;
-    fleet.entries[0].freeze();
+    fleet.entries[0].suspend();
     let rest = (fleet.bound + Duration::from_millis(100)).saturating_sub(announced_at.elapsed());
     tokio::time::sleep(rest).await;
-    fleet.entries[0].thaw();
+    fleet.entries[0].resume();
     tokio::time::sleep(Duration::from_millis(500)).await;
     let starts = fleet.engines[0].request_starts();
     let burst = starts.iter().filter(|it| it.attempt.starts_with("burst")).count();
--- a/mustardrill_standins/tests/requests.rs
+++ b/mustardrill_standins/tests/requests.rs
@@ -9,17 +9,17 @@
     CHUNK, LONG, MODEL, SIZE, assert_truthful_answers, callers, keyed_callers, model_file,
     plain_file, runs, serving_lab,
 };
-use mustardrill_runtime::http::WholeAnswer;
+use mustardrill_runtime::http::BufferedResponse;
 use mustardrill_standins::lab::{Lab, LabOptions, OPERATOR_TOKEN, caller_request};
 use mustardrill_standins::load::{LoadDriver, LoadOptions};
 
-async fn call_desk(lab: &Lab, entry: usize, key: &str, body: &str) -> WholeAnswer {
+async fn call_desk(lab: &Lab, entry: usize, key: &str, body: &str) -> BufferedResponse {
     let mut sent = caller_request(lab.entries[entry].address, "/v1/services/desk/file", body);
     sent.headers_mut().insert("idempotency-key", key.parse().unwrap());
     lab.client.call(sent, Duration::from_secs(20), 1_000_000).await.unwrap()
 }
 
-fn result_code(answer: &WholeAnswer) -> &str {
+fn result_code(answer: &BufferedResponse) -> &str {
     answer.headers["mustardrill-code"].to_str().unwrap()
 }
 
@@ -42,15 +42,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_key_value_service_only_claims_are_refused() {
     let (lab, _) = serving_lab(LabOptions { agents: 2, ..LabOptions::default() }).await;
-    lab.switch(lab.key_value.address, "down=1").await;
+    lab.set_faults(lab.key_value.address, "down=1").await;
     let load = callers(&lab, 50.0);
     let refused = call_desk(&lab, 0, "notice-1", "a hull").await;
     assert_eq!(result_code(&refused), "2014");
     assert!(refused.headers.contains_key("retry-after"));
     tokio::time::sleep(Duration::from_millis(500)).await;
     let report = load.finish().await;
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
-    lab.switch(lab.key_value.address, "").await;
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
+    lab.set_faults(lab.key_value.address, "").await;
     let mut last = String::new();
     for _ in 0..200 {
         last = result_code(&call_desk(&lab, 1, "notice-1", "a hull").await).to_owned();
@@ -68,15 +68,15 @@
     let (lab, _) = serving_lab(LabOptions { agents: 1, plain: 2, ..LabOptions::default() }).await;
     let load = keyed_callers(&lab, 100.0);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    lab.switch(lab.key_value.address, "lose_answers=1").await;
+    lab.set_faults(lab.key_value.address, "lose_answers=1").await;
     tokio::time::sleep(Duration::from_millis(700)).await;
-    lab.switch(lab.key_value.address, "").await;
+    lab.set_faults(lab.key_value.address, "").await;
     tokio::time::sleep(Duration::from_millis(700)).await;
     let report = load.finish().await;
     let run_counts = runs(&lab).await;
     assert!(run_counts.values().all(|count| *count == 1), "{run_counts:?}");
     assert_eq!((report.wrong, report.lost), (0, 0));
-    assert_eq!(run_counts.len() as u64, report.whole + report.unknown, "{:?}", report.codes);
+    assert_eq!(run_counts.len() as u64, report.complete + report.unknown, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -88,7 +88,7 @@
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -99,9 +99,9 @@
     tokio::time::sleep(Duration::from_millis(400)).await;
     lab.plain[0].agent.kill();
     tokio::time::sleep(Duration::from_millis(400)).await;
-    lab.plain[1].agent.freeze();
+    lab.plain[1].agent.suspend();
     tokio::time::sleep(Duration::from_millis(700)).await;
-    lab.plain[1].agent.thaw();
+    lab.plain[1].agent.resume();
     tokio::time::sleep(Duration::from_millis(700)).await;
     assert_truthful_answers(&lab, load).await;
 }
@@ -111,17 +111,17 @@
     let (lab, _) = serving_lab(LabOptions { agents: 1, plain: 3, ..LabOptions::default() }).await;
     let load = keyed_callers(&lab, 150.0);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    lab.entries[0].freeze();
+    lab.entries[0].suspend();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    lab.entries[0].thaw();
+    lab.entries[0].resume();
     tokio::time::sleep(Duration::from_millis(700)).await;
     let report = load.finish().await;
     let run_counts = runs(&lab).await;
     assert!(run_counts.values().all(|count| *count == 1), "{run_counts:?}");
     assert_eq!(report.wrong, 0, "{:?}", report.codes);
     let run_count = run_counts.len() as u64;
-    let may_have_run = report.whole + report.unknown + report.lost;
-    assert!(run_count >= report.whole && run_count <= may_have_run, "{run_count} {report:?}");
+    let may_have_run = report.complete + report.unknown + report.lost;
+    assert!(run_count >= report.complete && run_count <= may_have_run, "{run_count} {report:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -131,11 +131,11 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     // Agents of engines coordinate shards of claims as well; two of the five agents are suspended
     // and resumed.
-    lab.engines[0].agent.freeze();
-    lab.engines[1].agent.freeze();
+    lab.engines[0].agent.suspend();
+    lab.engines[1].agent.suspend();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    lab.engines[0].agent.thaw();
-    lab.engines[1].agent.thaw();
+    lab.engines[0].agent.resume();
+    lab.engines[1].agent.resume();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     assert_truthful_answers(&lab, load).await;
 }
@@ -146,12 +146,12 @@
     let load = callers(&lab, 100.0);
     tokio::time::sleep(Duration::from_millis(300)).await;
     // This engine terminates every answer with an error after its first piece.
-    lab.switch(lab.engines[0].upstream.address, "corrupt=1").await;
+    lab.set_faults(lab.engines[0].upstream.address, "corrupt=1").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    lab.switch(lab.engines[0].upstream.address, "").await;
+    lab.set_faults(lab.engines[0].upstream.address, "").await;
     let report = load.finish().await;
     assert_eq!(report.wrong, 0);
-    assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
+    assert_eq!(report.complete, report.sent, "{:?} lost {}", report.codes, report.lost);
 }
 
 /// The callers send as fast as the machine allows: no request is refused or lost because of the
@@ -185,12 +185,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_from_other_weights_reaches_no_caller() {
     let (lab, digest) = serving_lab(LabOptions { agents: 3, ..LabOptions::default() }).await;
-    lab.switch(lab.engines[0].upstream.address, "wrong_weights=1").await;
+    lab.set_faults(lab.engines[0].upstream.address, "wrong_weights=1").await;
     let load = callers(&lab, 100.0);
     tokio::time::sleep(Duration::from_millis(800)).await;
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost), (0, 0));
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
     assert_eq!(report.weights.keys().collect::<Vec<_>>(), [&digest]);
     assert!(lab.logs().contains("reason=wrong-weights"));
 }
@@ -215,9 +215,9 @@
         "the stopping agent got a new request after two seconds"
     );
     let report = load.finish().await;
-    assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
+    assert_eq!(report.complete, report.sent, "{:?} lost {}", report.codes, report.lost);
     let report = keyed.finish().await;
-    assert_eq!(report.whole, report.sent, "{:?} lost {}", report.codes, report.lost);
+    assert_eq!(report.complete, report.sent, "{:?} lost {}", report.codes, report.lost);
     for _ in 0..500 {
         if lab.engines[2].agent.has_ended() {
             return;
@@ -257,12 +257,12 @@
     let (lab, _) = serving_lab(options).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let load = callers(&lab, 200.0);
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
-    assert!(lab.wait_serving(&v2, 4, LONG).await.is_some(), "v2 was never served");
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
+    assert!(lab.wait_until_serving(&v2, 4, LONG).await.is_some(), "v2 was never served");
     tokio::time::sleep(Duration::from_secs(1)).await;
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost, report.unknown), (0, 0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -270,12 +270,12 @@
     const LIMIT: f64 = 50.0;
     let options = LabOptions { agents: 1, plain: 2, entries: 3, ..LabOptions::default() };
     let (lab, _) = serving_lab(options).await;
-    let (_, body) = lab.operate(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
+    let (_, body) = lab.call_operator(0, "GET", "/v1/catalogue?json=1", "", OPERATOR_TOKEN).await;
     let revision = body["catalogue"]["entries"]["desk"]["revision"].as_u64().unwrap();
     let text = plain_file()
         .replace("requests_per_second = 100000", &format!("requests_per_second = {LIMIT}"))
         .replace("[plain desk]\n", &format!("[plain desk]\nrevision = {revision}\n"));
-    let (status, body) = lab.apply(0, &text).await;
+    let (status, body) = lab.apply_catalogue(0, &text).await;
     assert_eq!(status, 200, "{body}");
     // Four of five calls use one entry, at four times the rate that the limit allows.
     let address = |place: usize| lab.entries[place].address;
@@ -285,7 +285,7 @@
         path: "/v1/services/desk/x".into(),
         rate: LIMIT * 4.0,
         pieces: None,
-        keyed: false,
+        has_idempotency_key: false,
         timeout: Duration::from_secs(5),
     };
     let load = LoadDriver::spawn(lab.client.clone(), options);
@@ -296,7 +296,7 @@
     let report = load.report();
     let allowed = LIMIT * started.elapsed().as_secs_f64();
     load.finish().await;
-    let share = report.whole as f64 / allowed;
+    let share = report.complete as f64 / allowed;
     assert!((0.6..=1.4).contains(&share), "{share} of the limit was admitted: {report:?}");
     assert!(report.codes.keys().all(|result_code| result_code == "2010"), "{:?}", report.codes);
 }
--- a/mustardrill_standins/tests/weights.rs
+++ b/mustardrill_standins/tests/weights.rs
@@ -44,14 +44,14 @@
     let (mut lab, v1) = serving_lab(options).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let before = lab.origin_sent().await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 10)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 10)).await.0, 200);
     tokio::time::sleep(Duration::from_millis(500)).await;
     for place in [3, 7] {
         lab.engines[place].agent.kill();
         lab.engines[place].upstream.kill();
     }
     assert!(
-        lab.wait_serving(&v2, 8, LONG).await.is_some(),
+        lab.wait_until_serving(&v2, 8, LONG).await.is_some(),
         "the other engines did not serve v2 in time"
     );
     let share = (lab.origin_sent().await - before) as f64 / SIZE as f64;
@@ -63,23 +63,23 @@
 async fn a_burst_completes_while_the_key_value_service_is_down() {
     let (lab, _) = serving_lab(rate_limited_options(4)).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
-    lab.switch(lab.key_value.address, "down=1").await;
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
+    lab.set_faults(lab.key_value.address, "down=1").await;
     let load = callers(&lab, 50.0);
     // The outage lasts longer than the leases of three seconds.
     tokio::time::sleep(Duration::from_millis(3_500)).await;
-    assert!(lab.wait_serving(&v2, 4, LONG).await.is_some(), "v2 was not served in time");
+    assert!(lab.wait_until_serving(&v2, 4, LONG).await.is_some(), "v2 was not served in time");
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost, report.unknown), (0, 0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn changed_bytes_at_the_origin_are_never_loaded() {
     let (lab, v1) = serving_lab(rate_limited_options(4)).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
-    lab.switch(lab.origin.address, "corrupt=1").await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
+    lab.set_faults(lab.origin.address, "corrupt=1").await;
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
     let load = callers(&lab, 50.0);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let serving = lab.serving().await;
@@ -90,30 +90,30 @@
         troubles.push(status["versions"][0]["trouble"].as_str().unwrap_or_default().to_owned());
     }
     assert!(troubles.iter().any(|it| it.contains("another digest")), "{troubles:?}");
-    lab.switch(lab.origin.address, "").await;
-    assert!(lab.wait_serving(&v2, 4, LONG).await.is_some(), "v2 was not served in time");
+    lab.set_faults(lab.origin.address, "").await;
+    assert!(lab.wait_until_serving(&v2, 4, LONG).await.is_some(), "v2 was not served in time");
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost), (0, 0), "{:?}", report.codes);
-    assert_eq!(report.whole, report.sent, "{:?}", report.codes);
+    assert_eq!(report.complete, report.sent, "{:?}", report.codes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stalled_origin_and_a_suspended_agent_only_delay_a_burst() {
     let (lab, v1) = serving_lab(rate_limited_options(6)).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 6)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 6)).await.0, 200);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    lab.switch(lab.origin.address, "stall=1").await;
-    lab.engines[2].agent.freeze();
+    lab.set_faults(lab.origin.address, "stall=1").await;
+    lab.engines[2].agent.suspend();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    lab.switch(lab.origin.address, "").await;
+    lab.set_faults(lab.origin.address, "").await;
     assert!(
-        lab.wait_serving(&v2, 5, LONG).await.is_some(),
+        lab.wait_until_serving(&v2, 5, LONG).await.is_some(),
         "the other engines did not serve v2 in time"
     );
-    lab.engines[2].agent.thaw();
+    lab.engines[2].agent.resume();
     assert!(
-        lab.wait_serving(&v2, 6, LONG).await.is_some(),
+        lab.wait_until_serving(&v2, 6, LONG).await.is_some(),
         "the suspended agent's engine did not serve v2 in time"
     );
     assert_known_weights(&lab, &[&v1, &v2]).await;
@@ -124,18 +124,18 @@
     let (lab, v1) = serving_lab(rate_limited_options(8)).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let before = lab.origin_sent().await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 8)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 8)).await.0, 200);
     tokio::time::sleep(Duration::from_millis(400)).await;
     // Every other agent is in the second data centre; while suspended, it answers nobody.
     let cut = || lab.engines.iter().skip(1).step_by(2);
-    cut().for_each(|engine| engine.agent.freeze());
+    cut().for_each(|engine| engine.agent.suspend());
     assert!(
-        lab.wait_serving(&v2, 4, LONG).await.is_some(),
+        lab.wait_until_serving(&v2, 4, LONG).await.is_some(),
         "the first data centre did not serve v2 in time"
     );
-    cut().for_each(|engine| engine.agent.thaw());
+    cut().for_each(|engine| engine.agent.resume());
     assert!(
-        lab.wait_serving(&v2, 8, LONG).await.is_some(),
+        lab.wait_until_serving(&v2, 8, LONG).await.is_some(),
         "the second data centre did not serve v2 in time"
     );
     let share = (lab.origin_sent().await - before) as f64 / SIZE as f64;
@@ -148,11 +148,11 @@
     let (lab, v1) = serving_lab(rate_limited_options(4)).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     let v3 = lab.publish(MODEL, "v3", SIZE, CHUNK, 3).await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
     let load = callers(&lab, 50.0);
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(lab.apply(1, &model_file("v3", 2, 4)).await.0, 200);
-    assert!(lab.wait_serving(&v3, 4, LONG).await.is_some(), "v3 was not served in time");
+    assert_eq!(lab.apply_catalogue(1, &model_file("v3", 2, 4)).await.0, 200);
+    assert!(lab.wait_until_serving(&v3, 4, LONG).await.is_some(), "v3 was not served in time");
     assert_known_weights(&lab, &[&v1, &v2, &v3]).await;
     let report = load.finish().await;
     assert_eq!((report.wrong, report.lost, report.unknown), (0, 0, 0), "{:?}", report.codes);
@@ -164,12 +164,12 @@
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
     lab.add_engine();
     lab.publish_instances().await;
-    assert!(lab.wait_fleet(0, 6, LONG).await);
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 5)).await.0, 200);
+    assert!(lab.wait_for_agents(0, 6, LONG).await);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 5)).await.0, 200);
     tokio::time::sleep(Duration::from_millis(400)).await;
     lab.add_engine();
     lab.publish_instances().await;
-    assert!(lab.wait_serving(&v2, 5, LONG).await.is_some(), "v2 was not served in time");
+    assert!(lab.wait_until_serving(&v2, 5, LONG).await.is_some(), "v2 was not served in time");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -179,7 +179,7 @@
         serving_lab(LabOptions { agents: 2, agent_lines: vec![limit], ..LabOptions::default() })
             .await;
     lab.publish(MODEL, "v2", 4_000_000, CHUNK, 2).await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 2)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 2)).await.0, 200);
     let mut trouble = String::new();
     for _ in 0..500 {
         let status = lab.agent_status(&lab.engines[0]).await;
@@ -199,12 +199,12 @@
     let (lab, _) =
         serving_lab(LabOptions { machine_rate: SIZE / 3, ..rate_limited_options(4) }).await;
     let v2 = lab.publish(MODEL, "v2", SIZE, CHUNK, 2).await;
-    assert_eq!(lab.apply(0, &model_file("v2", 1, 4)).await.0, 200);
+    assert_eq!(lab.apply_catalogue(0, &model_file("v2", 1, 4)).await.0, 200);
     assert!(
         wait_for_status(&lab, |model| model.contains("; fetched in about")).await,
         "the status shows no estimate"
     );
-    assert!(lab.wait_serving(&v2, 4, LONG).await.is_some(), "v2 was not served in time");
+    assert!(lab.wait_until_serving(&v2, 4, LONG).await.is_some(), "v2 was not served in time");
     let is_over = |model: &str| model.contains("4 serving") && !model.contains("fetched in");
     assert!(wait_for_status(&lab, is_over).await, "the status shows an estimate after the burst");
 }
@@ -213,7 +213,7 @@
 async fn wait_for_status(lab: &Lab, is_expected: impl Fn(&str) -> bool) -> bool {
     let poll_status = async {
         loop {
-            let (_, text) = lab.command(0, &["status"]);
+            let (_, text) = lab.run_catalogue_command(0, &["status"]);
             if text.lines().any(|line| line.starts_with("model") && is_expected(line)) {
                 return;
             }
