--- a/mustardrill_runtime/src/adapters.rs
+++ b/mustardrill_runtime/src/adapters.rs
@@ -156,10 +156,10 @@
         after: Option<&str>,
     ) -> Request<()>;
 
-    /// Classifies an upstream's answer to the request with the head `asked`.
+    /// Classifies an upstream's answer to the request with the head `request_head`.
     fn read_answer(
         &self,
-        asked: &http::request::Parts,
+        request_head: &http::request::Parts,
         status: StatusCode,
         headers: &HeaderMap,
     ) -> AnswerKind;
--- a/mustardrill_runtime/src/agents.rs
+++ b/mustardrill_runtime/src/agents.rs
@@ -25,7 +25,7 @@
     /// Returns a client for the agent at `address`, or `None` if the address is not valid. The
     /// connection is established by the first call.
     pub fn client(&self, address: &str) -> Option<AgentClient<Channel>> {
-        let mut channels = self.channels.lock().expect("no holder panics");
+        let mut channels = self.channels.lock().expect("no lock holder panics");
         let channel = match channels.get(address) {
             Some(channel) => channel.clone(),
             None => {
@@ -40,7 +40,7 @@
 
     /// Closes the channels to addresses that are not in `listed`.
     pub fn retain(&self, listed: &[Box<str>]) {
-        let mut channels = self.channels.lock().expect("no holder panics");
+        let mut channels = self.channels.lock().expect("no lock holder panics");
         channels.retain(|address, _| listed.contains(address));
     }
 }
--- a/mustardrill_runtime/src/datagram.rs
+++ b/mustardrill_runtime/src/datagram.rs
@@ -1,7 +1,7 @@
 //! Datagrams between entries, and from agents to entries and to each other.
 //!
-//! They carry state that is sent again soon, so a lost datagram only makes it outdated for a moment.
-//! Streams would need memory for each pair of processes, and handling of dead connections.
+//! They carry state that is sent again soon, so a lost datagram only makes it outdated for a
+//! moment. Streams would need memory for each pair of processes, and handling of dead connections.
 
 use std::net::SocketAddr;
 
@@ -33,8 +33,8 @@
     /// Newly announced version, sent by an entry to agents.
     #[prost(message, optional, tag = "5")]
     pub announced_version: Option<VersionRow>,
-    /// Whether `loads` is incremental: the last reported load still holds for upstreams that it does
-    /// not contain.
+    /// Whether `loads` is incremental: the last reported load still holds for upstreams that it
+    /// does not contain.
     #[prost(bool, tag = "6")]
     pub partial: bool,
     /// Requests that wait in an entry, for all services.
@@ -197,8 +197,8 @@
 }
 
 impl AvailabilityRow {
-    /// Builds the answer sent at `now` to the request that was made at `requested_at` on the requester's
-    /// clock.
+    /// Builds the answer sent at `now` to the request that was made at `requested_at` on the
+    /// requester's clock.
     pub fn new(
         now: Moment,
         span: AvailabilitySpan,
@@ -242,8 +242,8 @@
         if round_trip > MAX_ROUND_TRIP {
             return None;
         }
-        // The answer may have been sent as early as the request was made, so the store's last answer
-        // may be older by the whole round trip.
+        // The answer may have been sent as early as the request was made, so the store's last
+        // answer may be older by the whole round trip.
         let until = Moment(now.0.checked_sub(round_trip.0.saturating_add(self.until_ms))?);
         Some(AvailabilitySpan { since: now - Millis(self.since_ms), until })
     }
@@ -254,7 +254,8 @@
         Self {
             model: report.model.to_string(),
             version: report.version.0,
-            // A version that existed when this process started may have been announced at any time before.
+            // A version that existed when this process started may have been announced at any time
+            // before.
             earliest_ms: match report.time.earliest {
                 Moment(0) => u64::MAX,
                 earliest => now.since(earliest).0,
@@ -264,10 +265,11 @@
         }
     }
 
-    /// Converts the row to the clock of the requester, which receives it at `now`, `round_trip` after
-    /// its request.
+    /// Converts the row to the clock of the requester, which receives it at `now`, `round_trip`
+    /// after its request.
     fn report(&self, now: Moment, round_trip: Millis) -> Option<AnnouncementReport> {
-        // It may have been sent at any time since the request, so it may be older by the round trip.
+        // It may have been sent at any time since the request, so it may be older by the round
+        // trip.
         let oldest = |age_ms: u64| now - round_trip - Millis(age_ms);
         let time = AnnouncementTime {
             earliest: oldest(self.earliest_ms),
@@ -287,7 +289,8 @@
     /// Builds the row that an agent sends about the engine at `address`.
     pub fn new(address: SocketAddr, model: &ModelName, notice: EngineNotice) -> Self {
         let (address, model) = (address.to_string(), model.to_string());
-        // Receivers that do not know `loading_in_ms` treat the engine as having newer weights to come.
+        // Receivers that do not know `loading_in_ms` treat the engine as having newer weights to
+        // come.
         let (update_pending, version, loading_in_ms) = match notice {
             EngineNotice::UpdatePending => (true, 0, 0),
             EngineNotice::LoadingIn(after) => (true, 0, after.0.max(1)),
--- a/mustardrill_runtime/src/exposition.rs
+++ b/mustardrill_runtime/src/exposition.rs
@@ -58,8 +58,8 @@
     gauges: FastMap<&'static str, IntGauge>,
 }
 
-/// Records what cadence emits. Unwind safety is asserted because each update is atomic: after a panic
-/// it is either complete or missing.
+/// Records what cadence emits. Unwind safety is asserted because each update is atomic: after a
+/// panic it is either complete or missing.
 struct RegistrySink(AssertUnwindSafe<Arc<MetricRegistry>>);
 
 /// HTTP handler that answers every request with all metrics as text.
--- a/mustardrill_runtime/src/fleet_digest.rs
+++ b/mustardrill_runtime/src/fleet_digest.rs
@@ -1,8 +1,8 @@
 //! Extract of the fleet's state that an agent gets from a nearby entry when it starts.
 //!
-//! When all processes restart at once and each agent reads a full snapshot from the store, although it
-//! needs only a few lines of the configuration, the links between regions are saturated for seconds,
-//! and entries can't read the store either. An entry has the full state anyway.
+//! When all processes restart at once and each agent reads a full snapshot from the store, although
+//! it needs only a few lines of the configuration, the links between regions are saturated for
+//! seconds, and entries can't read the store either. An entry has the full state anyway.
 
 use std::sync::Arc;
 
@@ -128,8 +128,8 @@
 }
 
 impl FleetDigest {
-    /// Builds the digest of `update` for the agents of `service`. Returns `None` if `update` contains
-    /// no configuration.
+    /// Builds the digest of `update` for the agents of `service`. Returns `None` if `update`
+    /// contains no configuration.
     pub fn of(update: &FleetUpdate, service: &ServiceName) -> Option<Self> {
         let mut digest = Self { at: update.revision.0, era: update.era.0, ..Self::default() };
         let mut configured = false;
--- a/mustardrill_runtime/src/http.rs
+++ b/mustardrill_runtime/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP client and server on top of hyper, used towards the platform, the origin, upstreams, callers
-//! and operators.
+//! HTTP client and server on top of hyper, used towards the platform, the origin, upstreams,
+//! callers and operators.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -99,8 +99,8 @@
 }
 
 impl HttpClient {
-    /// Creates a client that gives up connecting after `connect_timeout`, and closes connections that
-    /// are idle for 20 s.
+    /// Creates a client that gives up connecting after `connect_timeout`, and closes connections
+    /// that are idle for 20 s.
     pub fn open(connect_timeout: Duration) -> Self {
         Self::open_with_idle_timeout(connect_timeout, Duration::from_secs(20))
     }
@@ -125,8 +125,8 @@
         Self { inner, connect_timeout, idle_timeout }
     }
 
-    /// Creates a client with the same settings and no connections. Used when a server does not answer
-    /// on one connection, since the other pooled connections to it may be dead as well.
+    /// Creates a client with the same settings and no connections. Used when a server does not
+    /// answer on one connection, since the other pooled connections to it may be dead as well.
     pub fn reopen(&self) -> Self {
         Self::open_with_idle_timeout(self.connect_timeout, self.idle_timeout)
     }
@@ -175,7 +175,8 @@
         Ok(BufferedResponse { status, headers, body: bytes.freeze() })
     }
 
-    /// Sends a request and reads an answer of at most `limit` bytes; `timeout` is for the whole call.
+    /// Sends a request and reads an answer of at most `limit` bytes; `timeout` is for the whole
+    /// call.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -218,8 +219,8 @@
     }
 }
 
-/// Whether the machine refuses connections to `address`, so that the process that listened there has
-/// ended.
+/// Whether the machine refuses connections to `address`, so that the process that listened there
+/// has ended.
 ///
 /// Returns `false` if the connection is accepted, and also if the machine does not answer.
 pub async fn refuses_connections(address: SocketAddr) -> bool {
--- a/mustardrill_runtime/src/metrics.rs
+++ b/mustardrill_runtime/src/metrics.rs
@@ -17,8 +17,8 @@
     ("generation", "the catalogue's generation in force"),
 ];
 
-/// Opens a client that sends metrics with the given name prefix to `sink`, or discards them if there
-/// is none.
+/// Opens a client that sends metrics with the given name prefix to `sink`, or discards them if
+/// there is none.
 pub fn open(prefix: &str, sink: Option<SocketAddr>) -> std::io::Result<StatsdClient> {
     let Some(sink) = sink else {
         return Ok(StatsdClient::from_sink(prefix, NopMetricSink));
--- a/mustardrill_runtime/src/origin.rs
+++ b/mustardrill_runtime/src/origin.rs
@@ -38,8 +38,8 @@
 }
 
 impl HttpOrigin {
-    /// Creates a client of the origin at the first of `addresses`; the others are tried in turn if it
-    /// fails.
+    /// Creates a client of the origin at the first of `addresses`; the others are tried in turn if
+    /// it fails.
     pub fn open(client: HttpClient, addresses: &[Box<str>]) -> Self {
         let base_urls =
             addresses.iter().map(|address| format!("http://{address}").into()).collect();
--- a/mustardrill_runtime/src/platform.rs
+++ b/mustardrill_runtime/src/platform.rs
@@ -58,8 +58,8 @@
         wait: Millis,
     ) -> BoxFuture<'a, Result<VersionedValue, KeyValueError>>;
 
-    /// Writes a key if its revision is `expect` (0 if it must be absent) and returns the new revision.
-    /// A key written under a lease is deleted with it.
+    /// Writes a key if its revision is `expect` (0 if it must be absent) and returns the new
+    /// revision. A key written under a lease is deleted with it.
     fn write<'a>(
         &'a self,
         key: &'a str,
--- a/mustardrill_runtime/src/settings.rs
+++ b/mustardrill_runtime/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings files in INI format. Every value is checked at start, and each error names the file, the
-//! line, the key and a remedy.
+//! Settings files in INI format. Every value is checked at start, and each error names the file,
+//! the line, the key and a remedy.
 
 use std::fmt::Display;
 use std::path::Path;
--- a/mustardrill_runtime/src/upload.rs
+++ b/mustardrill_runtime/src/upload.rs
@@ -25,7 +25,7 @@
     /// Enqueues an upload of `bytes` bytes and returns the delay until it may start. Returns
     /// `None` without enqueuing it if the delay would exceed `max_wait`.
     pub fn accept(&self, now: Moment, bytes: usize, max_wait: Millis) -> Option<Millis> {
-        let mut free_at = self.free_at.lock().expect("no holder panics");
+        let mut free_at = self.free_at.lock().expect("no lock holder panics");
         let starts_at = free_at.max(now.0 as f64);
         let wait = starts_at - now.0 as f64;
         if wait > max_wait.0 as f64 {
@@ -37,7 +37,7 @@
 
     /// Returns how many uploads of `bytes` bytes each would take as long as the pending ones.
     pub fn waiting(&self, now: Moment, bytes: usize) -> u32 {
-        let free_at = *self.free_at.lock().expect("no holder panics");
+        let free_at = *self.free_at.lock().expect("no lock holder panics");
         let remaining_ms = (free_at - now.0 as f64).max(0.0);
         (remaining_ms * self.bytes_per_ms / bytes.max(1) as f64) as u32
     }
