--- a/mustardrill_agent/src/actor.rs
+++ b/mustardrill_agent/src/actor.rs
@@ -98,8 +98,8 @@
 pub(crate) struct HoldingReply {
     pub(crate) bitmap: ChunkBitmap,
     pub(crate) serving: bool,
-    /// The peers that hold the chunk; empty where none was asked for.
-    pub(crate) others: Vec<InstanceId>,
+    /// The peers that hold the chunk; empty where the query names no chunk.
+    pub(crate) holders: Vec<InstanceId>,
 }
 
 /// Asks for the status of the agent.
@@ -212,7 +212,7 @@
         HoldingReply {
             bitmap: self.reducer.held(digest).cloned().unwrap_or_default(),
             serving: self.reducer.serving().contains(&digest),
-            others: index.map_or_else(Vec::new, |index| self.reducer.holders(digest, index)),
+            holders: index.map_or_else(Vec::new, |index| self.reducer.holders(digest, index)),
         }
     }
 }
--- a/mustardrill_agent/src/effects.rs
+++ b/mustardrill_agent/src/effects.rs
@@ -216,8 +216,8 @@
                 self.verify_and_store(digest, fetch, bytes, "chunk_bytes_peer").await
             }
             Some(Reply::Refusal(refusal)) if refusal.busy => {
-                let others = refusal.others.iter().filter_map(|name| name.parse().ok());
-                FetchOutcome::Busy(others.collect())
+                let holders = refusal.others.iter().filter_map(|name| name.parse().ok());
+                FetchOutcome::Busy(holders.collect())
             }
             _ => FetchOutcome::Missing,
         }
--- a/mustardrill_agent/src/execute.rs
+++ b/mustardrill_agent/src/execute.rs
@@ -224,7 +224,7 @@
             return RunError::Broken(error.to_string().into());
         }
         let now = self.context.clock.now();
-        let mut incarnations = self.context.incarnations.lock().expect("no holder panics");
+        let mut incarnations = self.context.incarnations.lock().expect("no lock holder panics");
         RunError::UpstreamCrashed(incarnations.record_crash(now))
     }
 
--- a/mustardrill_agent/src/link.rs
+++ b/mustardrill_agent/src/link.rs
@@ -54,7 +54,7 @@
         }
         let span = Duration::from_secs_f64(size.0 as f64 / self.rate.0 as f64);
         let until = {
-            let mut free_at = self.free_at.lock().expect("no holder panics");
+            let mut free_at = self.free_at.lock().expect("no lock holder panics");
             *free_at = through_at(*free_at, Instant::now(), span);
             *free_at
         };
--- a/mustardrill_agent/src/main.rs
+++ b/mustardrill_agent/src/main.rs
@@ -100,13 +100,13 @@
     let (stop, halt) = (CancellationToken::new(), CancellationToken::new());
     signal::spawn(stop.clone(), halt).expect("signals can be watched");
     let client = HttpClient::open(CONNECT_TIMEOUT);
-    let platform = PlatformAdapters {
+    let adapters = PlatformAdapters {
         fleet_source: Box::new(PlatformStore::open(client.clone(), config.store)),
         engine: Box::new(PlatformEngine::open(client, config.settings.engine)),
         origin: Box::new(PlatformOrigin::open(CONNECT_TIMEOUT)),
     };
     let listen = config.listen;
-    let handle = match provisioning::spawn(config, platform).await {
+    let handle = match provisioning::spawn(config, adapters).await {
         Ok(handle) => handle,
         Err(error) => {
             eprintln!(
--- a/mustardrill_agent/src/provisioning/actor.rs
+++ b/mustardrill_agent/src/provisioning/actor.rs
@@ -47,7 +47,7 @@
 pub(crate) struct ProvisioningContext {
     pub(crate) clock: ProcessClock,
     pub(crate) config: ProvisioningConfig,
-    pub(crate) platform: PlatformAdapters,
+    pub(crate) adapters: PlatformAdapters,
     /// For calls to other agents and to entries.
     pub(crate) peer_client: HttpClient,
     pub(crate) socket: UdpSocket,
@@ -264,12 +264,12 @@
 /// cannot be bound.
 pub async fn spawn(
     config: ProvisioningConfig,
-    platform: PlatformAdapters,
+    adapters: PlatformAdapters,
 ) -> std::io::Result<ProvisioningHandle> {
     let halt = CancellationToken::new();
     let socket = UdpSocket::bind(config.listen).await?;
     let reducer = ProvisioningReducer::new(config.settings.clone(), rand::random());
-    let page = Arc::new(MetricRegistry::new(&METRICS));
+    let metric_registry = Arc::new(MetricRegistry::new(&METRICS));
     let (listen, link_mbps) = (config.listen, config.link_mbps);
     log::info!(
         "start instance={} address={listen} engine={} store={}",
@@ -280,11 +280,11 @@
     let context = Arc::new(ProvisioningContext {
         clock: ProcessClock::start(),
         config,
-        platform,
+        adapters,
         peer_client: HttpClient::open(effects::CONNECT_TIMEOUT),
         socket,
         uploads: UploadQueue::new(link_mbps * UPLOAD_SHARE),
-        metrics: page.client(),
+        metrics: metric_registry.client(),
         early_chunks: EarlyChunkBuffer::new(),
         entries: Mutex::default(),
         engine_notices: AtomicU64::default(),
@@ -294,7 +294,7 @@
     let state = ProvisioningActor { reducer, context: context.clone(), chunk_lists, fetches };
     let actor = ProvisioningActor::spawn_with_mailbox(state, mailbox::unbounded());
     if let Some(address) = context.config.metrics {
-        HttpServer::bind(address, Box::new(MetricHandler(page)), halt.clone()).await?;
+        HttpServer::bind(address, Box::new(MetricHandler(metric_registry)), halt.clone()).await?;
         let updating = update_gauges(actor.clone(), context.clone());
         tokio::spawn(halt.clone().run_until_cancelled_owned(updating));
     }
--- a/mustardrill_agent/src/provisioning/early_chunks.rs
+++ b/mustardrill_agent/src/provisioning/early_chunks.rs
@@ -36,7 +36,7 @@
     /// Adds a chunk and returns whether it was added; it is not once the buffer is closed or full.
     /// A chunk of another version replaces everything that was buffered.
     pub(crate) fn push(&self, version: &VersionId, index: ChunkIndex, bytes: &Bytes) -> bool {
-        let mut chunks = self.chunks.lock().expect("no holder panics");
+        let mut chunks = self.chunks.lock().expect("no lock holder panics");
         let Some(early) = chunks.as_mut() else { return false };
         if early.version.as_ref() != Some(version) {
             *early = EarlyChunks { version: Some(version.clone()), chunks: Vec::new() };
@@ -51,6 +51,6 @@
 
     /// Closes the buffer and returns its content; `None` where it was closed before.
     pub(crate) fn close(&self) -> Option<EarlyChunks> {
-        self.chunks.lock().expect("no holder panics").take()
+        self.chunks.lock().expect("no lock holder panics").take()
     }
 }
--- a/mustardrill_agent/src/provisioning/effects.rs
+++ b/mustardrill_agent/src/provisioning/effects.rs
@@ -58,7 +58,7 @@
             }
             Err(error) => log::warn!("entries outcome=kept reason=\"{error}\""),
         }
-        match context.platform.fleet_source.read_part(FleetPart::Upstreams).await {
+        match context.adapters.fleet_source.read_part(FleetPart::Upstreams).await {
             Ok(update) => {
                 let _ = actor.tell(Event(ProvisioningEvent::FleetUpdated(update))).await;
             }
@@ -100,7 +100,7 @@
     version: &VersionId,
     source: &ManifestSource,
 ) -> Result<ChunkList, Box<str>> {
-    let origin = &context.platform.origin;
+    let origin = &context.adapters.origin;
     let list = match source {
         ManifestSource::Origin(address) => {
             origin.list(*address, &version.model, version.version).await?
@@ -135,7 +135,7 @@
     if answer.status != StatusCode::OK {
         return Err(format!("status {}", answer.status).into());
     }
-    context.platform.origin.read_list(answer.body)
+    context.adapters.origin.read_list(answer.body)
 }
 
 /// Fetches a chunk, verifies it and stages it; reports the outcome unless `token` cancels the
@@ -170,7 +170,7 @@
     let ChunkFetchTask { version, fetch, address } = task;
     let bytes = match &fetch.source {
         ChunkSource::Origin => {
-            let origin = &context.platform.origin;
+            let origin = &context.adapters.origin;
             let chunk = origin.chunk(*address, &version.model, version.version, fetch.index);
             chunk.await.map_err(|reason| {
                 log::info!("chunk version={version} index={} source=origin outcome=failed reason=\"{reason}\"", fetch.index);
@@ -183,12 +183,12 @@
         Ok(bytes) => bytes,
         Err(outcome) => return outcome,
     };
-    if !context.platform.origin.verifies(list, fetch.index, &bytes) {
+    if !context.adapters.origin.verifies(list, fetch.index, &bytes) {
         return FetchOutcome::Corrupt;
     }
     let length = bytes.len() as i64;
     let is_buffered = context.early_chunks.push(version, fetch.index, &bytes);
-    if !is_buffered && !context.platform.engine.stage(&version.model, fetch.index, bytes).await {
+    if !is_buffered && !context.adapters.engine.stage(&version.model, fetch.index, bytes).await {
         log::warn!("chunk version={version} index={} outcome=not-staged", fetch.index);
         // The engine failed to stage it; the source must not be blamed.
         return FetchOutcome::Busy(Vec::new());
@@ -254,9 +254,9 @@
         let total = list.digests.len() as u32;
         let mut verified = ChunkBitmap::empty(total);
         for index in (0..total).map(ChunkIndex) {
-            let bytes = context.platform.engine.staged(&version.model, index).await;
+            let bytes = context.adapters.engine.staged(&version.model, index).await;
             let Some(bytes) = bytes else { continue };
-            if context.platform.origin.verifies(&list, index, &bytes) {
+            if context.adapters.origin.verifies(&list, index, &bytes) {
                 verified.insert(index);
             }
         }
@@ -272,7 +272,7 @@
     sequence: u64,
 ) {
     tokio::spawn(async move {
-        let answer = context.platform.engine.load(&version.model, version.version, sequence).await;
+        let answer = context.adapters.engine.load(&version.model, version.version, sequence).await;
         if answer != OrderAnswer::Taken {
             log::warn!("order version={version} sequence={sequence} outcome=\"{answer}\"");
         }
--- a/mustardrill_agent/src/provisioning/fleet.rs
+++ b/mustardrill_agent/src/provisioning/fleet.rs
@@ -79,7 +79,7 @@
     if !is_read_due(context).await {
         return Ok(context.entries.lock().await.entries().to_vec());
     }
-    let update = context.platform.fleet_source.read_part(FleetPart::Entries).await?;
+    let update = context.adapters.fleet_source.read_part(FleetPart::Entries).await?;
     record_entries(context, &update).await;
     Ok(peers_of(&update))
 }
--- a/mustardrill_agent/src/provisioning/peers.rs
+++ b/mustardrill_agent/src/provisioning/peers.rs
@@ -84,7 +84,7 @@
     {
         return text_response(StatusCode::SERVICE_UNAVAILABLE, "busy\n");
     }
-    let bytes = context.platform.engine.staged(&model, index).await;
+    let bytes = context.adapters.engine.staged(&model, index).await;
     match bytes {
         Some(bytes) => Response::new(buffered_body(bytes)),
         None => text_response(StatusCode::NOT_FOUND, "not staged\n"),
--- a/mustardrill_agent/src/provisioning/watch.rs
+++ b/mustardrill_agent/src/provisioning/watch.rs
@@ -15,12 +15,12 @@
 use crate::provisioning::early_chunks::EarlyChunks;
 use crate::provisioning::fleet;
 
-/// The longest delay after the first failed call.
-const FIRST_BACKOFF_LIMIT: Millis = Millis(400);
+/// The longest backoff after the first failed call.
+const FIRST_BACKOFF: Millis = Millis(400);
 
-/// The longest delay after any failed call. Refused calls are billed, and agents outnumber entries;
-/// entries retry more often and notify the agents.
-const BACKOFF_LIMIT: Millis = Millis(2_000);
+/// The longest backoff after any failed call. Refused calls are billed, and agents outnumber
+/// entries; entries retry more often and notify the agents.
+const MAX_BACKOFF: Millis = Millis(2_000);
 
 /// Interval of the reducer's ticks while chunks are fetched or a load order is in progress: a chunk
 /// takes about 30 ms on the links of the engines.
@@ -38,10 +38,10 @@
 }
 
 async fn follow_store(actor: ActorRef<ProvisioningActor>, context: Arc<ProvisioningContext>) {
-    let fleet_source = &context.platform.fleet_source;
+    let fleet_source = &context.adapters.fleet_source;
     let (mut cursor, mut scope) = (StoreCursor::default(), FleetScope::Operator);
     let mut has_read = false;
-    let mut backoff = RetryBackoff::new(FIRST_BACKOFF_LIMIT, BACKOFF_LIMIT);
+    let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MAX_BACKOFF);
     loop {
         let read_result = match cursor.revision() {
             Some(revision) => {
@@ -99,7 +99,7 @@
 /// Polls the engine for its state; both polls and ticks come more often while there is work.
 async fn poll_engine(actor: ActorRef<ProvisioningActor>, context: Arc<ProvisioningContext>) {
     loop {
-        let state = context.platform.engine.state().await.map(engine_view);
+        let state = context.adapters.engine.state().await.map(engine_view);
         if state.is_some() {
             stage_early_chunks(&context).await;
         }
@@ -129,7 +129,7 @@
     };
     info!("weights version={version} decision=stage-kept chunks={}", chunks.len());
     for (index, bytes) in chunks {
-        if !context.platform.engine.stage(&version.model, index, bytes).await {
+        if !context.adapters.engine.stage(&version.model, index, bytes).await {
             warn!("chunk version={version} index={index} outcome=not-staged");
         }
     }
--- a/mustardrill_agent/src/server.rs
+++ b/mustardrill_agent/src/server.rs
@@ -248,7 +248,7 @@
         let answer = self.holding(digest, queried_index).await?;
         let result = match result {
             Reply::Refusal(mut refusal) => {
-                refusal.others = answer.others.iter().map(ToString::to_string).collect();
+                refusal.others = answer.holders.iter().map(ToString::to_string).collect();
                 Reply::Refusal(refusal)
             }
             data => data,
--- a/mustardrill_agent/src/store.rs
+++ b/mustardrill_agent/src/store.rs
@@ -68,10 +68,10 @@
     }
 
     fn read(&self) -> std::sync::RwLockReadGuard<'_, FastMap<ManifestDigest, StagedVersion>> {
-        self.versions.read().expect("no holder panics")
+        self.versions.read().expect("no lock holder panics")
     }
 
     fn write(&self) -> std::sync::RwLockWriteGuard<'_, FastMap<ManifestDigest, StagedVersion>> {
-        self.versions.write().expect("no holder panics")
+        self.versions.write().expect("no lock holder panics")
     }
 }
--- a/mustardrill_agent/tests/engine_notices.rs
+++ b/mustardrill_agent/tests/engine_notices.rs
@@ -229,7 +229,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let is_configuration_read = Arc::new(AtomicBool::new(false));
     let entry = socket.local_addr().unwrap();
-    let platform = PlatformAdapters {
+    let adapters = PlatformAdapters {
         fleet_source: Box::new(SlowStore {
             entry,
             is_configuration_read: is_configuration_read.clone(),
@@ -238,7 +238,7 @@
         engine: Box::new(LoadingEngine { is_configuration_read, polls: AtomicUsize::new(0) }),
         origin: Box::new(UnavailableOrigin),
     };
-    let agent = provisioning::spawn(config(free_port()), platform).await.unwrap();
+    let agent = provisioning::spawn(config(free_port()), adapters).await.unwrap();
     let mut versions = Vec::new();
     let mut buffer = vec![0; 2_048];
     // Stops once nothing was received for longer than the store's slow answer takes.
