--- a/mustardrill_entry/src/callers.rs
+++ b/mustardrill_entry/src/callers.rs
@@ -183,16 +183,16 @@
 
     fn timeout(&self, headers: &HeaderMap) -> Result<Millis, Refusal> {
         let config = &self.context.callers;
-        let Some(named) = header_text(headers, TIMEOUT_HEADER) else { return Ok(config.timeout) };
+        let Some(value) = header_text(headers, TIMEOUT_HEADER) else { return Ok(config.timeout) };
         let longest = config.longest_timeout.0;
-        let parsed = named.parse().ok().filter(|named| (1..=longest).contains(named));
-        let message = format!("{TIMEOUT_HEADER}: {named}: write 1 to {longest}");
+        let parsed = value.parse().ok().filter(|value| (1..=longest).contains(value));
+        let message = format!("{TIMEOUT_HEADER}: {value}: write 1 to {longest}");
         parsed.map(Millis).ok_or(refusal(ResultCode::BadRequest, message))
     }
 
     fn affinity(&self, call: &CallHead, headers: &HeaderMap, body: &Bytes) -> Option<Box<str>> {
-        if let Some(named) = header_text(headers, PREFIX_HEADER) {
-            return Some(named.into());
+        if let Some(value) = header_text(headers, PREFIX_HEADER) {
+            return Some(value.into());
         }
         let prefix = self.context.callers.prefix.0 as usize;
         // A shorter body has no prefix for which using the same upstream is worth it.
--- a/mustardrill_entry/src/direct/actor.rs
+++ b/mustardrill_entry/src/direct/actor.rs
@@ -33,7 +33,7 @@
 /// The adapters through which the entry uses its platform.
 pub struct PlatformAdapters {
     /// The platform's store: configuration, registrations and announced versions.
-    pub source: Box<dyn FleetSource>,
+    pub fleet_source: Box<dyn FleetSource>,
     /// Reads and writes the HTTP heads of callers' requests and upstreams' answers.
     pub dialect: Box<dyn CallDialect>,
     /// Fetches and verifies weights from their origin.
@@ -350,14 +350,14 @@
 ) -> std::io::Result<DirectHandle> {
     let halt = CancellationToken::new();
     let stop_callers = halt.child_token();
-    let metric_page = Arc::new(MetricRegistry::new(&METRICS));
+    let metric_registry = Arc::new(MetricRegistry::new(&METRICS));
     let clock = ProcessClock::start();
     let context = Arc::new(DirectContext {
         clock,
         config: config.clone(),
         adapters,
         pool: ConnectionPool::new(clock),
-        metrics: metric_page.client(),
+        metrics: metric_registry.client(),
         socket: UdpSocket::bind(config.peer_listen).await?,
         is_draining: AtomicBool::new(false),
         halt: halt.clone(),
@@ -372,7 +372,7 @@
     let caller_server =
         HttpServer::bind(config.listen, Box::new(handler), stop_callers.clone()).await?;
     if let Some(address) = config.metrics {
-        HttpServer::bind(address, Box::new(MetricHandler(metric_page)), halt.clone()).await?;
+        HttpServer::bind(address, Box::new(MetricHandler(metric_registry)), halt.clone()).await?;
         let gauge_updates = update_gauges(actor.clone(), context.clone());
         tokio::spawn(halt.clone().run_until_cancelled_owned(gauge_updates));
     }
@@ -388,7 +388,7 @@
 impl DirectHandle {
     /// Fails the readiness probe, serves for `linger` until the load balancer sends no more
     /// callers, finishes the requests in progress and ends. Requests that arrive late are served
-    /// like all others; what still runs shortly before `grace` is over is cut.
+    /// like all others; those still running shortly before `grace` is over are aborted.
     pub async fn stop(&self) {
         let config = &self.context.config;
         self.context.is_draining.store(true, Ordering::Relaxed);
@@ -410,7 +410,7 @@
         self.halt();
     }
 
-    /// Ends at once, cutting requests in progress.
+    /// Ends at once, aborting requests in progress.
     pub fn halt(&self) {
         self.context.halt.cancel();
     }
--- a/mustardrill_entry/src/direct/availability.rs
+++ b/mustardrill_entry/src/direct/availability.rs
@@ -15,7 +15,7 @@
 
 use crate::direct::actor::{AvailabilityQuery, DirectActor, DirectContext, Event};
 
-/// Peers queried at a time. One that had contact with the store all the time is enough.
+/// Peers queried at a time. One to which the store was available all the time is enough.
 const PEERS_PER_QUERY: usize = 8;
 
 /// Queries peers at a limited rate.
@@ -48,18 +48,19 @@
     }
 }
 
-/// Answers a peer whose query carries `asked`, its own clock's time in milliseconds when it asked.
+/// Answers a peer whose query carries `requested_at`, its own clock's time in milliseconds when it
+/// made the query.
 pub(crate) async fn send_answer(
     actor: &ActorRef<DirectActor>,
     context: &DirectContext,
     to: SocketAddr,
-    asked: u64,
+    requested_at: u64,
 ) {
     let Ok(reply) = actor.ask(AvailabilityQuery).await else { return };
     let Some(span) = reply.availability_span else { return };
     let mut datagram = Datagram::new(&context.config.direct.own_id);
     let now = context.clock.now();
-    let row = AvailabilityRow::new(now, span, reply.generation, asked);
+    let row = AvailabilityRow::new(now, span, reply.generation, requested_at);
     datagram.availability = Some(row.with_announcements(now, reply.announcements));
     context.send_datagram(to, &datagram.to_bytes()).await;
 }
--- a/mustardrill_entry/src/direct/gossip.rs
+++ b/mustardrill_entry/src/direct/gossip.rs
@@ -79,8 +79,8 @@
         };
         let Some(datagram) = Datagram::read(&buffer[..length]) else { continue };
         let now = context.clock.now();
-        if let Some(asked) = datagram.availability_request {
-            availability::send_answer(&actor, &context, from, asked).await;
+        if let Some(requested_at) = datagram.availability_request {
+            availability::send_answer(&actor, &context, from, requested_at).await;
             continue;
         }
         if let Some(row) = &datagram.availability {
--- a/mustardrill_entry/src/direct/quarantine_records.rs
+++ b/mustardrill_entry/src/direct/quarantine_records.rs
@@ -36,13 +36,13 @@
     digest: RequestDigest,
     change: RecordChange,
 ) {
-    let source = &context.adapters.source;
+    let fleet_source = &context.adapters.fleet_source;
     let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MAX_BACKOFF);
     let started_at = context.clock.now();
     while context.clock.now().since(started_at) < QUARANTINE_SPAN {
         let written = match change {
-            RecordChange::Keep(span) => source.keep_quarantine(digest, span).await,
-            RecordChange::End => source.end_quarantine(digest).await,
+            RecordChange::Keep(span) => fleet_source.keep_quarantine(digest, span).await,
+            RecordChange::End => fleet_source.end_quarantine(digest).await,
         };
         match written {
             Ok(()) => {
--- a/mustardrill_entry/src/direct/relay.rs
+++ b/mustardrill_entry/src/direct/relay.rs
@@ -33,7 +33,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long a call waits for an item that is being fetched before it is answered "not yet". The
-/// caller can so tell an entry that is fetching from one that is gone within a fraction of a
+/// caller can thus tell an entry that is fetching from one that is gone within a fraction of a
 /// second.
 const HOLD_TIME: Duration = Duration::from_millis(300);
 
--- a/mustardrill_entry/src/direct/watch.rs
+++ b/mustardrill_entry/src/direct/watch.rs
@@ -103,10 +103,10 @@
     revision: Option<StoreRevision>,
     timing: WatchTiming,
 ) -> Result<FleetUpdate, StoreError> {
-    let source = &context.adapters.source;
+    let fleet_source = &context.adapters.fleet_source;
     match revision {
-        Some(revision) => source.read_changes(FleetScope::All, revision, timing).await,
-        None => source.read_all().await,
+        Some(revision) => fleet_source.read_changes(FleetScope::All, revision, timing).await,
+        None => fleet_source.read_all().await,
     }
 }
 
@@ -125,10 +125,10 @@
 /// available again.
 async fn keep_registered(context: Arc<DirectContext>, store_recovered: Arc<Notify>) {
     let peer = own_record(&context.config);
-    let source = &context.adapters.source;
+    let fleet_source = &context.adapters.fleet_source;
     let mut backoff = RetryBackoff::new(FIRST_BACKOFF, MAX_BACKOFF);
     loop {
-        let lease = match source.register(&peer, REGISTRATION_LEASE).await {
+        let lease = match fleet_source.register(&peer, REGISTRATION_LEASE).await {
             Ok(lease) => lease,
             Err(error) => {
                 warn!("registration outcome=failed reason=\"{error}\"");
@@ -140,7 +140,7 @@
         info!("registration lease={lease} outcome=made");
         loop {
             let _ = tokio::time::timeout(RENEW_INTERVAL.to_std(), store_recovered.notified()).await;
-            match source.renew(lease).await {
+            match fleet_source.renew(lease).await {
                 Ok(()) => {}
                 Err(StoreError::LeaseGone) => break,
                 Err(error) => warn!("registration lease={lease} outcome=late reason=\"{error}\""),
--- a/mustardrill_entry/src/main.rs
+++ b/mustardrill_entry/src/main.rs
@@ -132,7 +132,7 @@
     signal::spawn(stop.clone(), halt.clone()).expect("signals can be watched");
     let client = HttpClient::open(CONNECT_TIMEOUT);
     let adapters = PlatformAdapters {
-        source: Box::new(PlatformStore::open(client, config.store)),
+        fleet_source: Box::new(PlatformStore::open(client, config.store)),
         dialect: Box::new(PlatformDialect),
         origin: Box::new(PlatformOrigin::open(CONNECT_TIMEOUT)),
     };
