--- a/mustardrill_core/src/direct/admit.rs
+++ b/mustardrill_core/src/direct/admit.rs
@@ -81,8 +81,8 @@
         window.record_request(now, &self.settings.retry_share);
         let customer = customer.map(|customer| (customer.name.clone(), customer.priority));
         let profile = self.engine_profile(&service);
-        let is_large = profile.is_some_and(|it| EngineForecast::new(it).is_large(request.size));
-        let state = RequestState::new(request, route, service, customer, is_large);
+        let large = profile.is_some_and(|it| EngineForecast::new(it).is_large(request.size));
+        let state = RequestState::new(request, route, service, customer, large);
         self.requests.insert(number, state);
         self.hold_suspect(now, number).unwrap_or_else(|| self.dispatch_or_queue(now, number))
     }
--- a/mustardrill_core/src/direct/dispatch.rs
+++ b/mustardrill_core/src/direct/dispatch.rs
@@ -59,7 +59,7 @@
         let newest = state.model.as_ref().and_then(|model| self.versions.newest(model));
         let forecast =
             if weights < newest { self.start_forecast(state, target) } else { Millis(0) };
-        let replaced =
+        let superseded_attempt =
             weights.and_then(|version| self.superseded_attempt(state, version, forecast));
         let plan = SendPlan {
             upstream: upstream.clone(),
@@ -68,7 +68,7 @@
             customer: state.customer.clone(),
             pinned_version,
             deadline: state.deadline,
-            start_by: replaced.map(|attempt| attempt.begin_by()),
+            start_by: superseded_attempt.map(|attempt| attempt.start_by()),
             silence_timeout: self.settings.silence_timeout,
             repeat_rule: state.repeat_rule,
             priority: state.priority,
@@ -84,20 +84,20 @@
             target.evidence(now, self.store_freshness.age(now).unwrap_or_default()),
             state.digest,
         );
-        if let Some(replaced) = &replaced {
+        if let Some(superseded_attempt) = &superseded_attempt {
             info!(
                 "request={} instance={upstream} weights={} forecast={} replaced_in={}",
                 state.attempt_id,
-                replaced.version,
-                replaced.forecast,
-                replaced.usable_until.since(now),
+                superseded_attempt.version,
+                superseded_attempt.forecast,
+                superseded_attempt.usable_until.since(now),
             );
         }
-        let reading = self.prefill_time(state);
+        let prefill_time = self.prefill_time(state);
         let start = target.start();
-        self.upstreams.record_sent(&start, reading);
+        self.upstreams.record_sent(&start, prefill_time);
         if let Some(state) = self.requests.get_mut(&number) {
-            state.pending_prefill = reading;
+            state.pending_prefill = prefill_time;
             state.has_started = false;
             state.sent_at = now;
             state.expected_version = weights;
@@ -105,7 +105,7 @@
             state.tried_upstreams.push(upstream);
             state.stage = RequestStage::Sent(start);
         }
-        self.track_attempt(number, replaced);
+        self.track_attempt(number, superseded_attempt);
         vec![DirectEffect::Send(number, plan)]
     }
 
--- a/mustardrill_core/src/direct/event.rs
+++ b/mustardrill_core/src/direct/event.rs
@@ -228,7 +228,7 @@
     /// How long after the announcement of a newer version requests may still start on older
     /// weights.
     pub version_bound: Millis,
-    /// The budget for repeating requests.
+    /// The budget for retries.
     pub retry_share: RetryShare,
     /// Requests beyond its slots that an upstream may have, counted over all entries, so that no
     /// slot idles for a network round trip.
--- a/mustardrill_core/src/direct/fleet/entry_counter.rs
+++ b/mustardrill_core/src/direct/fleet/entry_counter.rs
@@ -1,9 +1,9 @@
 //! Counts the live entries, as seen by one of them.
 //!
-//! While the store is unavailable the registrations of all entries expire, although the entries keep
-//! serving. Without further evidence each entry would assume that it is alone and use the whole
-//! shared budget. A peer entry is therefore counted for a full window after its last sign of life,
-//! which is its registration or a load update.
+//! While the store is unavailable the registrations of all entries expire, although the entries
+//! keep serving. Without further evidence each entry would assume that it is alone and use the
+//! whole shared budget. A peer entry is therefore counted for a full window after its last sign of
+//! life, which is its registration or a load update.
 
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment};
 
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Counts the entries that are registered or gave a sign of life within `window`, including this
-    /// one. Peers that have been silent for longer are dropped.
+    /// Counts the entries that are registered or gave a sign of life within `window`, including
+    /// this one. Peers that have been silent for longer are dropped.
     pub(crate) fn count_live(
         &mut self,
         now: Moment,
--- a/mustardrill_core/src/direct/fleet/load_broadcast.rs
+++ b/mustardrill_core/src/direct/fleet/load_broadcast.rs
@@ -1,16 +1,17 @@
 //! Decides when an entry broadcasts its load at the upstreams to its peers, and which part of it.
 //!
 //! When several entries have queued requests and one engine gets capacity, each of them sends to it
-//! until it learns of the others' requests. With late updates the same capacity is used twice or more,
-//! and the first events of all these requests wait for each other's prefill. Increases are therefore
-//! sent at once. Only changed rows are sent, because traffic across region borders is billed.
+//! until it learns of the others' requests. With late updates the same capacity is used twice or
+//! more, and the first events of all these requests wait for each other's prefill. Increases are
+//! therefore sent at once. Only changed rows are sent, because traffic across region borders is
+//! billed.
 
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment, ServiceName};
 
 use crate::direct::event::UpstreamLoad;
 
-/// Delay before decreases are sent. It is shorter than the time in which a full engine completes its
-/// next request; overestimating a load for that long costs less than overloading the engine.
+/// Delay before decreases are sent. It is shorter than the time in which a full engine completes
+/// its next request; overestimating a load for that long costs less than overloading the engine.
 const DECREASE_DELAY: Millis = Millis(50);
 
 /// Interval of snapshots, which make up for lost datagrams and let peers take silence for absence.
--- a/mustardrill_core/src/direct/fleet/peer_loads.rs
+++ b/mustardrill_core/src/direct/fleet/peer_loads.rs
@@ -1,7 +1,8 @@
 //! Requests that peer entries have reported at each upstream, aggregated as the reports arrive.
 //!
-//! Every request is routed by comparing all engines of the fleet. Adding up the reports at that point
-//! would take entries times engines look-ups; with running totals it takes one look-up per engine.
+//! Every request is routed by comparing all engines of the fleet. Adding up the reports at that
+//! point would take entries times engines look-ups; with running totals it takes one look-up per
+//! engine.
 
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment, ServiceName};
 
@@ -26,7 +27,8 @@
 }
 
 impl PeerLoadTotals {
-    /// Applies a load update of a peer entry. A snapshot replaces all that the peer reported before.
+    /// Applies a load update of a peer entry. A snapshot replaces all that the peer reported
+    /// before.
     pub(crate) fn apply_update(&mut self, now: Moment, load: PeerLoad) {
         let peer = self.peers.entry(load.from).or_default();
         peer.reported_at = now;
--- a/mustardrill_core/src/direct/fleet/upstream.rs
+++ b/mustardrill_core/src/direct/fleet/upstream.rs
@@ -18,33 +18,33 @@
 /// Longest ejection of an upstream that loses the requests it is sent.
 const MAX_LOST_EJECTION: Millis = Millis(8_000);
 
-/// Longest ejection of an upstream that cannot be reached. Trying it costs a request time but not its
-/// answer, and after a restart of the whole fleet most upstreams are unreachable for some seconds
-/// because links are full.
+/// Longest ejection of an upstream that cannot be reached. Trying it costs a request time but not
+/// its answer, and after a restart of the whole fleet most upstreams are unreachable for some
+/// seconds because links are full.
 const MAX_UNREACHABLE_EJECTION: Millis = Millis(2_000);
 
 /// An upstream that answered within this time is alive; it refuses connections because too many are
 /// open.
 ///
-/// With more requests than slots, upstreams with a long queue accept fewer connections. Ejecting them
-/// would send their share to the others, whose queues would grow in turn.
+/// With more requests than slots, upstreams with a long queue accept fewer connections. Ejecting
+/// them would send their share to the others, whose queues would grow in turn.
 const ALIVE_WINDOW: Millis = Millis(1_000);
 
 /// Cool-down of an upstream after it turned a request away: about the time in which a fully loaded
 /// engine completes one of its requests.
 ///
 /// An entry that starts, or whose messages get lost, does not know what its peers have sent. A
-/// rejected request is back within some milliseconds, so the fullest upstream looks like the emptiest
-/// one and would get the next request as well. The same happens if the upstream was restarted or
-/// serves other weights than this entry assumes.
+/// rejected request is back within some milliseconds, so the fullest upstream looks like the
+/// emptiest one and would get the next request as well. The same happens if the upstream was
+/// restarted or serves other weights than this entry assumes.
 const FIRST_COOLDOWN: Millis = Millis(150);
 
 /// Number of times the cool-down is doubled at most: an upstream with a long queue of its own needs
 /// that long to work it off.
 const MAX_COOLDOWN_DOUBLINGS: u32 = 3;
 
-/// One incarnation of an upstream. Requests sent to it are not counted for a later incarnation, which
-/// does not have them.
+/// One incarnation of an upstream. Requests sent to it are not counted for a later incarnation,
+/// which does not have them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct UpstreamStart {
     pub(crate) id: InstanceId,
@@ -121,11 +121,11 @@
         UpstreamStart { id: self.record.id.clone(), start: self.record.start }
     }
 
-    /// Returns why it is listed; `proof_age` is the age of the store's last answer.
-    pub(crate) fn evidence(&self, now: Moment, proof_age: Millis) -> ListingEvidence {
+    /// Returns why it is listed; `confirmed_ago` is the age of the store's last answer.
+    pub(crate) fn evidence(&self, now: Moment, confirmed_ago: Millis) -> ListingEvidence {
         match self.expired_registration {
             Some(expired) => ListingEvidence::Expired(now.since(expired.at)),
-            None => ListingEvidence::Registered(proof_age),
+            None => ListingEvidence::Registered(confirmed_ago),
         }
     }
 
@@ -229,8 +229,8 @@
         served.map(|served| served.version)
     }
 
-    /// Records a rejected request. Rejections of requests that were sent before the cool-down started
-    /// do not prolong it.
+    /// Records a rejected request. Rejections of requests that were sent before the cool-down
+    /// started do not prolong it.
     fn record_rejection(&mut self, now: Moment) {
         self.record_answer(now);
         if self.cooldown_until > now {
--- a/mustardrill_core/src/direct/fleet/upstream_table.rs
+++ b/mustardrill_core/src/direct/fleet/upstream_table.rs
@@ -14,8 +14,8 @@
     ExpiredRegistration, ExpiryCause, UpstreamStart, UpstreamState,
 };
 
-/// How long a removed upstream is remembered: longer than the age of the copies from which a store is
-/// restored.
+/// How long a removed upstream is remembered: longer than the age of the copies from which a store
+/// is restored.
 const DEPARTURE_RETENTION: Millis = Millis(120_000);
 
 /// A store that loses registrations loses most of them at once. If no more than one in this many
@@ -34,7 +34,8 @@
 pub(crate) struct UpstreamTable {
     states: FastMap<InstanceId, UpstreamState>,
     by_service: FastMap<ServiceName, Vec<InstanceId>>,
-    /// Upstreams that were removed lately, so that an older copy of the store does not list them again.
+    /// Upstreams that were removed lately, so that an older copy of the store does not list them
+    /// again.
     departed: FastMap<InstanceId, Departure>,
     /// The load of the peer entries at the upstreams.
     pub(crate) peer_loads: PeerLoadTotals,
@@ -93,8 +94,8 @@
     }
 
     /// Removes the upstream that was at an address before. A restarted upstream may have a new id
-    /// while the old one stays registered for some seconds; after a restart of the whole fleet every
-    /// second request went to an old one.
+    /// while the old one stays registered for some seconds; after a restart of the whole fleet
+    /// every second request went to an old one.
     fn remove_predecessor(&mut self, now: Moment, address: SocketAddr) {
         let predecessor = self.states.values().find(|state| state.record.address == address);
         if let Some(id) = predecessor.map(|state| state.record.id.clone()) {
@@ -103,9 +104,9 @@
         }
     }
 
-    /// Removes an upstream whose registration has expired, or keeps it if the store may have lost the
-    /// registration. `limit` is the moment by which running upstreams have registered again; `None`
-    /// means that the store cannot have lost any.
+    /// Removes an upstream whose registration has expired, or keeps it if the store may have lost
+    /// the registration. `limit` is the moment by which running upstreams have registered again;
+    /// `None` means that the store cannot have lost any.
     pub(crate) fn expire(
         &mut self,
         now: Moment,
@@ -132,8 +133,9 @@
         self.remove(id);
     }
 
-    /// Applies a registration from an older copy of the store. Changes that are known to be newer are
-    /// not reverted. An upstream that is not listed because of this is listed once it registers again.
+    /// Applies a registration from an older copy of the store. Changes that are known to be newer
+    /// are not reverted. An upstream that is not listed because of this is listed once it registers
+    /// again.
     pub(crate) fn register_from_older_copy(
         &mut self,
         now: Moment,
@@ -230,21 +232,23 @@
         ids.filter_map(|id| self.states.get(id))
     }
 
-    /// Returns the upstreams of a service that requests may be sent to now. If all of them are ejected
-    /// or have crashed, those are returned instead.
+    /// Returns the upstreams of a service that requests may be sent to now. If all of them are
+    /// ejected or have crashed, those are returned instead.
     pub(crate) fn usable(&self, now: Moment, service: &ServiceName) -> Vec<&UpstreamState> {
         let staying = self.of_service(service).filter(|state| !state.record.leaving);
-        let mut open: Vec<_> = staying.collect();
-        let doubted = open.iter().filter(|state| state.may_have_shut_down()).count();
-        let are_few = doubted * LOST_FRACTION_DIVISOR <= open.len();
-        open.retain(|state| state.paused_until <= now && !(are_few && state.may_have_shut_down()));
+        let mut available: Vec<_> = staying.collect();
+        let uncertain = available.iter().filter(|state| state.may_have_shut_down()).count();
+        let is_small_share = uncertain * LOST_FRACTION_DIVISOR <= available.len();
+        available.retain(|state| {
+            state.paused_until <= now && !(is_small_share && state.may_have_shut_down())
+        });
         let running: Vec<_> =
-            open.iter().copied().filter(|state| state.crashed_until <= now).collect();
-        let sound: Vec<_> =
+            available.iter().copied().filter(|state| state.crashed_until <= now).collect();
+        let healthy: Vec<_> =
             running.iter().copied().filter(|state| state.ejected_until <= now).collect();
         // If all are ejected, trying one of them is better than refusing all requests.
-        let tiers = [sound, running];
-        tiers.into_iter().find(|tier| !tier.is_empty()).unwrap_or(open)
+        let tiers = [healthy, running];
+        tiers.into_iter().find(|tier| !tier.is_empty()).unwrap_or(available)
     }
 
     /// Whether an upstream of a service is loading weights or is about to.
@@ -259,7 +263,8 @@
         self.of_service(service).map(|state| state.record.slots).sum()
     }
 
-    /// Returns the load at an upstream: this entry's own and that of the peers that reported lately.
+    /// Returns the load at an upstream: this entry's own and that of the peers that reported
+    /// lately.
     pub(crate) fn total_load(&self, id: &InstanceId) -> UpstreamLoad {
         let own = self.states.get(id).map_or(UpstreamLoad::default(), |state| state.own_load);
         let peers = self.peer_loads.total_at(id);
--- a/mustardrill_core/src/direct/placement/load_slot.rs
+++ b/mustardrill_core/src/direct/placement/load_slot.rs
@@ -12,11 +12,11 @@
 const LOAD_SLOT_SLACK: Millis = Millis(150);
 
 /// An engine that has not started to load this long after its load slot is used again: its agent
-/// may have ended.
+/// may have crashed.
 const LOAD_SLOT_TIMEOUT: Millis = Millis(1_000);
 
-/// Whether an engine that is to load at `loads_at` may be sent a request. `service_time` computes how
-/// long the request takes there; it is called only for an engine whose load slot is near.
+/// Whether an engine that is to load at `loads_at` may be sent a request. `service_time` computes
+/// how long the request takes there; it is called only for an engine whose load slot is near.
 pub(crate) fn accepts_before_load(
     now: Moment,
     loads_at: Option<Moment>,
--- a/mustardrill_core/src/direct/reducer.rs
+++ b/mustardrill_core/src/direct/reducer.rs
@@ -152,7 +152,7 @@
                 Vec::new()
             }
             DirectEvent::AttemptEnded(number, outcome) => self.finish_attempt(now, number, outcome),
-            DirectEvent::StoreAnswered(page, sent) => self.apply_fleet_update(now, page, sent),
+            DirectEvent::StoreAnswered(update, sent) => self.apply_fleet_update(now, update, sent),
             DirectEvent::StoreFailed => self.record_store_failure(now),
             DirectEvent::PeerLoadReceived(load) => {
                 self.entry_counter.record_activity(now, &load.from);
@@ -166,15 +166,15 @@
                 self.settle_announcements(now);
                 Vec::new()
             }
-            DirectEvent::AnnouncementsReceived(words) => {
-                self.receive_announcement_reports(now, &words);
+            DirectEvent::AnnouncementsReceived(reports) => {
+                self.receive_announcement_reports(now, &reports);
                 Vec::new()
             }
             DirectEvent::GenerationReceived(generation) => {
                 self.peer_generation.record_report(now, generation);
                 self.release_all_held(now)
             }
-            DirectEvent::CrashReportReceived(word) => self.receive_crash_report(now, word),
+            DirectEvent::CrashReportReceived(report) => self.receive_crash_report(now, report),
             DirectEvent::EngineNoticeReceived { address, model, notice } => {
                 let Some(state) = self.upstreams.by_address(address) else { return Vec::new() };
                 match notice {
@@ -232,10 +232,10 @@
     /// its start. More rarely while none has answered yet, or where peers may know of versions or
     /// of when they were announced.
     pub fn peer_query_interval(&self, now: Moment) -> Option<Millis> {
-        let may_have_forgotten = self.reregistration_deadline().is_some();
+        let may_have_lost_registrations = self.reregistration_deadline().is_some();
         if self.peer_generation.is_awaited(now)
             || self.announcement_inquiry.is_urgent()
-            || (may_have_forgotten && self.upstreams.expired_count() > 0)
+            || (may_have_lost_registrations && self.upstreams.expired_count() > 0)
         {
             return Some(URGENT_QUERY_INTERVAL);
         }
--- a/mustardrill_core/src/direct/request.rs
+++ b/mustardrill_core/src/direct/request.rs
@@ -26,7 +26,7 @@
     pub(crate) model: Option<ModelName>,
     pub(crate) size: WorkSize,
     /// Whether its work is much more than a usual request's, see `EngineForecast::is_large`.
-    pub(crate) is_large: bool,
+    pub(crate) large: bool,
     /// The prefill time still counted as pending at its upstream.
     pub(crate) pending_prefill: Millis,
     pub(crate) repeat_rule: RepeatRule,
@@ -78,7 +78,7 @@
         route: &RouteRule,
         service: ServiceName,
         customer: Option<(CustomerName, Option<u8>)>,
-        is_large: bool,
+        large: bool,
     ) -> Self {
         let timeout = request.timeout.unwrap_or(route.timeout).min(route.timeout);
         let priority = customer.as_ref().and_then(|(_, priority)| *priority);
@@ -98,7 +98,7 @@
             service,
             model: request.model,
             size: request.size,
-            is_large,
+            large,
             pending_prefill: Millis(0),
             repeat_rule: route.repeat_rule,
             priority: priority.unwrap_or(route.priority),
@@ -122,7 +122,7 @@
 
     /// The queue position, by whether the request can still meet its objective.
     pub(crate) fn wait_rank(&self, late: bool) -> WaitRank {
-        let Self { priority, is_large: large, number, .. } = *self;
+        let Self { priority, large, number, .. } = *self;
         WaitRank { late, priority, large, since: self.arrived_at, number }
     }
 
--- a/mustardrill_core/src/direct/retries/suspicion.rs
+++ b/mustardrill_core/src/direct/retries/suspicion.rs
@@ -59,8 +59,8 @@
     /// write it, since one of them may be killed or cut off from the store.
     fn writes_quarantine(&self, digest: RequestDigest) -> bool {
         const WRITERS: usize = 2;
-        let others = self.peers().iter().map(|peer| &peer.id);
-        let entries: Vec<_> = others.chain([&self.settings.own_id]).collect();
+        let peer_ids = self.peers().iter().map(|peer| &peer.id);
+        let entries: Vec<_> = peer_ids.chain([&self.settings.own_id]).collect();
         let subject = digest.0.to_be_bytes();
         let ranked = rendezvous::ranked(&subject, &entries, |id| id.as_str());
         ranked.into_iter().take(WRITERS).any(|id| **id == self.settings.own_id)
@@ -80,10 +80,10 @@
                     info!("quarantine digest={digest} outcome=sound source=entry");
                 }
             }
-            CrashReport::Quarantined(digest, left) => {
-                if self.quarantine.start(now, digest, left) {
+            CrashReport::Quarantined(digest, remaining) => {
+                if self.quarantine.start(now, digest, remaining) {
                     info!("quarantine digest={digest} outcome=begun source=entry");
-                    return self.apply_verdict(now, digest, left);
+                    return self.apply_verdict(now, digest, remaining);
                 }
             }
         }
@@ -107,18 +107,20 @@
     pub(in crate::direct) fn rewrite_quarantines(&self, now: Moment) -> Vec<DirectEffect> {
         let active = self.quarantine.active(now).into_iter();
         let to_write = active.filter(|(digest, _)| self.writes_quarantine(*digest));
-        to_write.map(|(digest, left)| DirectEffect::StoreQuarantine(digest, left)).collect()
+        to_write
+            .map(|(digest, remaining)| DirectEffect::StoreQuarantine(digest, remaining))
+            .collect()
     }
 
     fn apply_verdict(
         &mut self,
         now: Moment,
         digest: RequestDigest,
-        left: Millis,
+        remaining: Millis,
     ) -> Vec<DirectEffect> {
         let mut effects = self.refuse_waiting_requests(now, digest);
         if self.writes_quarantine(digest) {
-            effects.push(DirectEffect::StoreQuarantine(digest, left));
+            effects.push(DirectEffect::StoreQuarantine(digest, remaining));
         }
         effects
     }
--- a/mustardrill_core/src/direct/store/availability.rs
+++ b/mustardrill_core/src/direct/store/availability.rs
@@ -1,9 +1,9 @@
 //! Tracks since when the store has been available, to any of the entries.
 //!
-//! A store that is unavailable for longer than upstreams take to renew their registrations loses the
-//! registrations of running upstreams. To a single entry that is cut off from the store this looks
-//! the same. A registration that ended while the store answered any entry has really ended; only one
-//! that ended while the store answered no entry may have been lost.
+//! A store that is unavailable for longer than upstreams take to renew their registrations loses
+//! the registrations of running upstreams. To a single entry that is cut off from the store this
+//! looks the same. A registration that ended while the store answered any entry has really ended;
+//! only one that ended while the store answered no entry may have been lost.
 
 use mustardrill_types::{Millis, Moment};
 
@@ -28,14 +28,17 @@
 }
 
 impl StoreAvailability {
-    /// Records an answer that arrived at `now` and shows that the store was available at `confirmed`.
+    /// Records an answer that arrived at `now` and shows that the store was available at
+    /// `confirmed`.
     ///
-    /// The store loses nothing in a gap shorter than `expiry`, so such a gap does not end the period.
+    /// The store loses nothing in a gap shorter than `expiry`, so such a gap does not end the
+    /// period.
     pub fn record_answer(&mut self, now: Moment, confirmed: Moment, expiry: Millis) {
         if self.span.is_none() {
             self.first_answer_at = now;
         }
-        // The store may have come back at any time before its first answer, so the later moment counts.
+        // The store may have come back at any time before its first answer, so the later moment
+        // counts.
         self.merge(AvailabilitySpan { since: now, until: confirmed }, expiry);
     }
 
@@ -58,9 +61,9 @@
         self.span
     }
 
-    /// Returns the moment until which a missing upstream may still register again, if upstreams need
-    /// `grace` for that after the store is back. `None` if the store was neither unavailable nor
-    /// restored since its first answer to this entry.
+    /// Returns the moment until which a missing upstream may still register again, if upstreams
+    /// need `grace` for that after the store is back. `None` if the store was neither unavailable
+    /// nor restored since its first answer to this entry.
     pub fn reregistration_deadline(&self, grace: Millis) -> Option<Moment> {
         let since = self.span?.since;
         let gap_end = (since > self.first_answer_at).then_some(since);
--- a/mustardrill_core/src/direct/store/coalescing.rs
+++ b/mustardrill_core/src/direct/store/coalescing.rs
@@ -1,26 +1,26 @@
 //! Decides how long an entry lets changes accumulate in the store before it reads them.
 //!
-//! Engines that load weights update their registrations many times a second. Each answered watch is a
-//! billed call, and entries learn the state of engines from agents anyway, so such changes are
+//! Engines that load weights update their registrations many times a second. Each answered watch is
+//! a billed call, and entries learn the state of engines from agents anyway, so such changes are
 //! coalesced. Upstreams that register or go are more urgent: after a restart of the whole fleet an
 //! entry that knows only the old instances has nobody to send to, and requests for a service are
 //! refused while its last upstream is gone.
 //!
-//! Large configurations in quick succession are coalesced, too. A watch sends each of them in full to
-//! each entry and fills the links between regions for seconds, so that other entries reach neither
-//! the store nor weights. If an entry reads a snapshot after a pause, only the newest configuration
-//! is transferred.
+//! Large configurations in quick succession are coalesced, too. A watch sends each of them in full
+//! to each entry and fills the links between regions for seconds, so that other entries reach
+//! neither the store nor weights. If an entry reads a snapshot after a pause, only the newest
+//! configuration is transferred.
 
 use mustardrill_types::{FastMap, Generation, InstanceId, Millis, Moment, ServiceName, StartStamp};
 
 use crate::direct::fleet::update::{FleetChange, FleetUpdate};
 
-/// Pause after changes of the membership or any other kind. An upstream that shuts down must receive
-/// no further requests within twice this time.
+/// Pause after changes of the membership or any other kind. An upstream that shuts down must
+/// receive no further requests within twice this time.
 const MEMBERSHIP_PAUSE: Millis = Millis(150);
 
-/// Pause after changes of engines' served weights only: a quarter of the tightest limit on the delay
-/// of a change.
+/// Pause after changes of engines' served weights only: a quarter of the tightest limit on the
+/// delay of a change.
 const SERVING_PAUSE: Millis = Millis(500);
 
 /// A configuration that follows another one within this time belongs to a series.
@@ -41,8 +41,8 @@
 
 /// Chooses the pause before the next read from the changes of the last one.
 ///
-/// It remembers the upstreams that were reported, to tell which ones are new and which services have
-/// none left.
+/// It remembers the upstreams that were reported, to tell which ones are new and which services
+/// have none left.
 #[derive(Debug, Default)]
 pub struct ChangeCoalescer {
     known_upstreams: FastMap<InstanceId, KnownUpstream>,
--- a/mustardrill_core/src/direct/store/cursor.rs
+++ b/mustardrill_core/src/direct/store/cursor.rs
@@ -1,8 +1,9 @@
 //! The position up to which a process has read the store, and the store's era that it belongs to.
 //!
 //! When the store is restored from a copy some seconds old, it assigns the same revisions a second
-//! time. Once it has grown past the revision of a reader, a watch from that revision does not report
-//! what changed below it. A revision is therefore used only within the era in which it was read.
+//! time. Once it has grown past the revision of a reader, a watch from that revision does not
+//! report what changed below it. A revision is therefore used only within the era in which it was
+//! read.
 
 use mustardrill_types::{StoreEra, StoreRevision};
 
--- a/mustardrill_core/src/direct/store/fleet_updates.rs
+++ b/mustardrill_core/src/direct/store/fleet_updates.rs
@@ -13,8 +13,8 @@
 use crate::direct::versions::table::AnnouncementTime;
 
 impl DirectReducer {
-    /// Applies an update from the store. `sent` is when the call was sent, or a later moment for which
-    /// its answer confirms the configuration as current.
+    /// Applies an update from the store. `sent` is when the call was sent, or a later moment for
+    /// which its answer confirms the configuration as current.
     pub(in crate::direct) fn apply_fleet_update(
         &mut self,
         now: Moment,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Returns whether an update is the first one since the store was restored from an older copy, and
-    /// records the restore.
+    /// Returns whether an update is the first one since the store was restored from an older copy,
+    /// and records the restore.
     fn detect_restore(&mut self, now: Moment, update: &FleetUpdate) -> bool {
         let is_restored = update.is_snapshot
             && self.store_freshness.last_confirmed().is_some()
@@ -85,8 +85,9 @@
         is_restored
     }
 
-    /// Records that the store held the newest configuration at `sent`. A store restored from an older
-    /// copy may lack a configuration that no entry had read, until the operator has written again.
+    /// Records that the store held the newest configuration at `sent`. A store restored from an
+    /// older copy may lack a configuration that no entry had read, until the operator has written
+    /// again.
     fn confirm_config(&mut self, sent: Moment) {
         if sent >= self.store_incomplete_until {
             self.config_freshness.confirm(sent);
@@ -114,7 +115,8 @@
         effects
     }
 
-    /// Applies a snapshot from an older copy of the store, without reverting what is known to be newer.
+    /// Applies a snapshot from an older copy of the store, without reverting what is known to be
+    /// newer.
     fn apply_older_copy(
         &mut self,
         now: Moment,
@@ -141,8 +143,9 @@
         document.is_none_or(|document| document.service(&record.service).is_some())
     }
 
-    /// Notifies local agents of the newest versions in a snapshot. A version may have been announced while no
-    /// entry was running, and the agents' calls may hang in a store that had stopped answering.
+    /// Notifies local agents of the newest versions in a snapshot. A version may have been
+    /// announced while no entry was running, and the agents' calls may hang in a store that had
+    /// stopped answering.
     fn notify_agents_of_newest(&self) -> Vec<DirectEffect> {
         let machines = self.local_engine_machines();
         let newest = self.versions.all_newest();
@@ -195,7 +198,8 @@
         self.store_availability.reregistration_deadline(self.settings.expiry_grace)
     }
 
-    /// Removes upstreams and peers that are still missing after they had the time to register again.
+    /// Removes upstreams and peers that are still missing after they had the time to register
+    /// again.
     pub(in crate::direct) fn remove_unreturned(&mut self, now: Moment) {
         if self
             .reregistration_deadline()
@@ -258,7 +262,8 @@
         }
     }
 
-    /// Records that the store does not answer, and releases the requests that are held for its answer.
+    /// Records that the store does not answer, and releases the requests that are held for its
+    /// answer.
     pub(in crate::direct) fn record_store_failure(&mut self, now: Moment) -> Vec<DirectEffect> {
         if !self.is_store_unreachable {
             warn!(
@@ -271,6 +276,6 @@
     }
 }
 
-fn format_age(proof: &FreshnessClock, now: Moment) -> String {
-    proof.age(now).map_or("none".into(), |age| age.to_string())
+fn format_age(clock: &FreshnessClock, now: Moment) -> String {
+    clock.age(now).map_or("none".into(), |age| age.to_string())
 }
--- a/mustardrill_core/src/direct/store/freshness.rs
+++ b/mustardrill_core/src/direct/store/freshness.rs
@@ -1,9 +1,9 @@
 //! Tracks when the configuration was last confirmed as current.
 //!
 //! A key that was removed from the configuration must be refused within a bounded time, also by
-//! entries that the store does not answer. Such an entry does not learn of the removal, so it goes by
-//! the age of its last confirmation. Moments must come from a clock that counts time in suspension, so
-//! that an entry that was frozen sees an old confirmation.
+//! entries that the store does not answer. Such an entry does not learn of the removal, so it goes
+//! by the age of its last confirmation. Moments must come from a clock that counts time in
+//! suspension, so that an entry that was frozen sees an old confirmation.
 
 use mustardrill_types::{Millis, Moment};
 
@@ -46,9 +46,9 @@
 /// the watch was sent at `sent` for `wait` and answered at `answered`.
 ///
 /// The store answers a watch on a change, or else once `wait` has passed. An unchanged answer after
-/// `wait` means that it looked at the end of that time. Any other answer may have been produced right
-/// after `sent`. When the store becomes unavailable, counting from the end of a watch lets entries
-/// serve known customers for longer, by the length of that watch.
+/// `wait` means that it looked at the end of that time. Any other answer may have been produced
+/// right after `sent`. When the store becomes unavailable, counting from the end of a watch lets
+/// entries serve known customers for longer, by the length of that watch.
 pub fn confirmation_time(sent: Moment, answered: Moment, wait: Millis, unchanged: bool) -> Moment {
     if unchanged && answered.since(sent) >= wait { sent + wait } else { sent }
 }
--- a/mustardrill_core/src/direct/store/generation_report.rs
+++ b/mustardrill_core/src/direct/store/generation_report.rs
@@ -1,8 +1,8 @@
 //! What peer entries report about the newest configuration to an entry that starts.
 //!
 //! If the store was restored from an older copy and an entry starts before the operator has written
-//! the configuration again, the newest configuration it can read is an older one, with keys that were
-//! removed since. Its peers know the newer generation.
+//! the configuration again, the newest configuration it can read is an older one, with keys that
+//! were removed since. Its peers know the newer generation.
 
 use mustardrill_types::{Generation, Millis, Moment};
 
@@ -21,9 +21,9 @@
     newest: Generation,
     wait_until: Option<Moment>,
     ask_until: Moment,
-    /// Reports are ignored after this moment. From then on the age of the entry's own freshness check
-    /// decides, which the store renews or lets run out: a newer configuration that a cut-off entry
-    /// cannot read would make it refuse requests sooner than that.
+    /// Reports are ignored after this moment. From then on the age of the entry's own freshness
+    /// check decides, which the store renews or lets run out: a newer configuration that a cut-off
+    /// entry cannot read would make it refuse requests sooner than that.
     accept_until: Moment,
 }
 
--- a/mustardrill_core/src/direct/store/reader.rs
+++ b/mustardrill_core/src/direct/store/reader.rs
@@ -38,12 +38,12 @@
     }
 
     /// Records the answer, received at `now`, to a call that was sent at `sent` with the timing
-    /// `span`. Returns `None` if it belongs to another era of the store and must be dropped.
+    /// `timing`. Returns `None` if it belongs to another era of the store and must be dropped.
     pub fn record_answer(
         &mut self,
         now: Moment,
         sent: Moment,
-        span: WatchTiming,
+        timing: WatchTiming,
         update: &FleetUpdate,
     ) -> Option<ReadOutcome> {
         let unchanged = self.revision() == Some(update.revision) && update.changes.is_empty();
@@ -53,7 +53,7 @@
             self.watch_scheduler
                 .record_restore(earliest_restore_time(now, self.freshness.last_confirmed()));
         }
-        let confirmed_at = confirmation_time(sent, now, span.wait, unchanged);
+        let confirmed_at = confirmation_time(sent, now, timing.wait, unchanged);
         self.freshness.confirm(confirmed_at);
         Some(ReadOutcome { confirmed_at, is_recovered })
     }
--- a/mustardrill_core/src/direct/store/watch_timing.rs
+++ b/mustardrill_core/src/direct/store/watch_timing.rs
@@ -1,17 +1,18 @@
 //! Chooses how long a watch of the store may wait, and when the store is considered unavailable.
 //!
 //! A connection to the store may go silent, or the store may be unavailable for a moment. A watch
-//! detects that only at its end, and until then requests are sent to an upstream that is shutting down
-//! and that the watch would have reported. After the store is back, a watch of the usual length would
-//! be as slow to detect the next outage.
+//! detects that only at its end, and until then requests are sent to an upstream that is shutting
+//! down and that the watch would have reported. After the store is back, a watch of the usual
+//! length would be as slow to detect the next outage.
 
 use mustardrill_types::{Millis, Moment};
 
 /// Answer timeout beyond the wait of a watch while the store answers.
 const STEADY_ANSWER_TIMEOUT: Millis = Millis(500);
 
-/// Answer timeout after a failed call, as the store or the link to it may be slow. The return of the
-/// store is noticed later by at most this time, and lost registrations are kept from that moment on.
+/// Answer timeout after a failed call, as the store or the link to it may be slow. The return of
+/// the store is noticed later by at most this time, and lost registrations are kept from that
+/// moment on.
 const RECOVERY_ANSWER_TIMEOUT: Millis = Millis(600);
 
 /// Answer timeout beyond the wait of a watch by an agent.
--- a/mustardrill_core/src/direct/versions/announcements.rs
+++ b/mustardrill_core/src/direct/versions/announcements.rs
@@ -37,7 +37,8 @@
 
 impl AnnouncementInquiry {
     /// Starts polling for a version that was learned of at `now`; the version it supersedes may be
-    /// used for `bound`. `is_exact` is whether the store reported the announcement as it was made.
+    /// used for `bound`. `is_observed` is whether the store reported the announcement as it was
+    /// made.
     fn start(&mut self, now: Moment, bound: Millis, is_observed: bool) {
         self.poll_until = now + POLL_SPAN;
         self.unanswered_until = now + bound;
@@ -65,8 +66,8 @@
         self.settle_at
     }
 
-    /// Returns whether the announcement times are to be settled now. `others` is whether there are
-    /// peers to ask.
+    /// Returns whether the announcement times are to be settled now. `has_peers` is whether there
+    /// are peers to ask.
     fn take_due_decision(&mut self, now: Moment, has_peers: bool) -> bool {
         let Some(settle_at) = self.settle_at else { return false };
         if has_peers && now < settle_at {
@@ -93,10 +94,10 @@
         &self,
         now: Moment,
         sent: Moment,
-        was_away: bool,
+        was_unavailable: bool,
     ) -> AnnouncementTime {
         let earliest = self.store_freshness.last_confirmed().unwrap_or_default();
-        if was_away || self.store_freshness.last_confirmed().is_none() {
+        if was_unavailable || self.store_freshness.last_confirmed().is_none() {
             return AnnouncementTime::bounded(earliest, now);
         }
         if now.since(sent) <= sent.since(self.store_read_at) {
--- a/mustardrill_core/src/direct/versions/superseded.rs
+++ b/mustardrill_core/src/direct/versions/superseded.rs
@@ -40,7 +40,7 @@
 
 impl SupersededAttempt {
     /// When the attempt is withdrawn unless it has started.
-    pub(crate) fn begin_by(&self) -> Moment {
+    pub(crate) fn start_by(&self) -> Moment {
         self.usable_until - SUPERSEDED_START_MARGIN
     }
 
@@ -67,24 +67,24 @@
 impl UnstartedAttempts {
     /// Tracks an attempt until it starts or is withdrawn.
     pub(crate) fn insert(&mut self, number: RequestNumber, attempt: &SupersededAttempt) {
-        self.attempts.insert((attempt.begin_by(), number));
+        self.attempts.insert((attempt.start_by(), number));
     }
 
     pub(crate) fn remove(&mut self, number: RequestNumber, attempt: &SupersededAttempt) {
-        self.attempts.remove(&(attempt.begin_by(), number));
+        self.attempts.remove(&(attempt.start_by(), number));
     }
 
     /// When the next attempt is to be withdrawn.
     pub(crate) fn next_overdue(&self) -> Option<Moment> {
-        self.attempts.first().map(|(begin_by, _)| *begin_by)
+        self.attempts.first().map(|(start_by, _)| *start_by)
     }
 
     fn take_overdue(&mut self, now: Moment) -> Option<RequestNumber> {
-        let (begin_by, number) = *self.attempts.first()?;
-        if begin_by > now {
+        let (start_by, number) = *self.attempts.first()?;
+        if start_by > now {
             return None;
         }
-        self.attempts.remove(&(begin_by, number));
+        self.attempts.remove(&(start_by, number));
         Some(number)
     }
 }
@@ -195,7 +195,7 @@
             let RequestStage::Sent(upstream) = &state.stage else { continue };
             match self.current_superseded_attempt(state, &upstream.id) {
                 None => {}
-                Some(attempt) if attempt.begin_by() > now => {
+                Some(attempt) if attempt.start_by() > now => {
                     self.track_attempt(number, Some(attempt));
                 }
                 Some(attempt) => {
--- a/mustardrill_core/src/direct/versions/table.rs
+++ b/mustardrill_core/src/direct/versions/table.rs
@@ -132,7 +132,7 @@
     }
 
     /// Takes versions learned of since the store came back at `returned` as announced then, if the
-    /// store had answered nobody for `least` or longer: the platform counts in the same way.
+    /// store had answered nobody for `min_outage` or longer: the platform counts in the same way.
     pub fn count_from_return(&mut self, returned: Moment, min_outage: Millis) {
         for AnnouncedVersion { time, .. } in self.announced.values_mut().flatten() {
             let is_learned_after_return =
@@ -187,14 +187,19 @@
         announced.map(|announced| announced.time.effective_at())
     }
 
-    /// The lowest version that a request may start on at `begins`: every version announced at least
-    /// `bound` earlier has superseded those before it.
-    pub fn floor(&self, begins: Moment, model: &ModelName, bound: Millis) -> Option<WeightVersion> {
+    /// The lowest version that a request may start on at `starts_at`: every version announced at
+    /// least `bound` earlier has superseded those before it.
+    pub fn floor(
+        &self,
+        starts_at: Moment,
+        model: &ModelName,
+        bound: Millis,
+    ) -> Option<WeightVersion> {
         let versions = self.announced.get(model)?;
         let superseding = versions
             .iter()
             .rev()
-            .find(|announced| begins.since(announced.time.effective_at()) >= bound);
+            .find(|announced| starts_at.since(announced.time.effective_at()) >= bound);
         superseding.map(|announced| announced.version)
     }
 }
--- a/mustardrill_core/src/direct/waiting/held_requests.rs
+++ b/mustardrill_core/src/direct/waiting/held_requests.rs
@@ -28,8 +28,8 @@
 impl HeldRequests {
     /// Holds a request until a share of the caller's timeout has passed, `MAX_HOLD` at most.
     pub(crate) fn hold(&mut self, request: DirectRequest) {
-        let patience = request.timeout.map_or(MAX_HOLD, |it| Millis(it.0 / TIMEOUT_FRACTION));
-        let until = request.arrived_at + patience.min(MAX_HOLD);
+        let hold_limit = request.timeout.map_or(MAX_HOLD, |it| Millis(it.0 / TIMEOUT_FRACTION));
+        let until = request.arrived_at + hold_limit.min(MAX_HOLD);
         self.requests.push_back((until, request));
     }
 
@@ -45,8 +45,8 @@
     /// Removes and returns the requests whose hold has ended.
     pub(crate) fn take_overdue(&mut self, now: Moment) -> Vec<DirectRequest> {
         let held = std::mem::take(&mut self.requests).into_iter();
-        let (overdue, others): (VecDeque<_>, _) = held.partition(|(until, _)| *until <= now);
-        self.requests = others;
+        let (overdue, remaining): (VecDeque<_>, _) = held.partition(|(until, _)| *until <= now);
+        self.requests = remaining;
         overdue.into_iter().map(|(_, request)| request).collect()
     }
 
--- a/mustardrill_core/src/entry/dispatch.rs
+++ b/mustardrill_core/src/entry/dispatch.rs
@@ -16,8 +16,8 @@
 const RETRY_AFTER_NO_UPSTREAM: Millis = Millis(1_000);
 
 impl EntryReducer {
-    /// Sends the next attempt of a request. The request is rejected where its deadline has passed or
-    /// no upstream can serve it.
+    /// Sends the next attempt of a request. The request is rejected where its deadline has passed
+    /// or no upstream can serve it.
     pub(super) fn send_attempt(&mut self, now: Moment, id: RequestId) -> Vec<EntryEffect> {
         self.send_attempt_preferring(now, id, None)
     }
@@ -172,8 +172,8 @@
             return self.retry(now, id, *code, *retry_after, None);
         }
         self.routing.update_serving(instance, serving);
-        // This upstream has just reported which weights it serves. What is known of the others may be
-        // outdated, as they may have switched versions too.
+        // This upstream has just reported which weights it serves. What is known of the others may
+        // be outdated, as they may have switched versions too.
         let preferred = Some(instance).filter(|instance| self.serves_other_weights(id, instance));
         self.retry(now, id, *code, *retry_after, preferred)
     }
@@ -199,8 +199,8 @@
         self.retry(now, id, code, RETRY_AFTER_NO_UPSTREAM, None)
     }
 
-    /// Sends another attempt, or rejects the request with `code` where its deadline has passed or the
-    /// retry budget is used up.
+    /// Sends another attempt, or rejects the request with `code` where its deadline has passed or
+    /// the retry budget is used up.
     fn retry(
         &mut self,
         now: Moment,
--- a/mustardrill_core/src/entry/reducer.rs
+++ b/mustardrill_core/src/entry/reducer.rs
@@ -339,7 +339,8 @@
     fn synced(&mut self, now: Moment, sync: AgentSync) -> Vec<EntryEffect> {
         let Some(view) = self.agents.get_mut(&sync.id) else { return Vec::new() };
         view.is_sync_pending = false;
-        // May be lower than before: a restarted agent has no catalogue, whatever its predecessor had.
+        // May be lower than before: a restarted agent has no catalogue, whatever its predecessor
+        // had.
         view.generation = sync.generation;
         self.record_crash_reports(now, sync.crashes);
         let Some(view) = self.agents.get_mut(&sync.id) else { return Vec::new() };
--- a/mustardrill_core/src/entry/suspicion.rs
+++ b/mustardrill_core/src/entry/suspicion.rs
@@ -79,8 +79,8 @@
         Some(effects)
     }
 
-    /// Rejects a quarantined request, or holds a suspected one until the verdict on it. `None` where
-    /// the request may be sent.
+    /// Rejects a quarantined request, or holds a suspected one until the verdict on it. `None`
+    /// where the request may be sent.
     pub(super) fn hold_suspect(&mut self, now: Moment, id: RequestId) -> Option<Vec<EntryEffect>> {
         if let Some(refusal) = self.reject_quarantined(now, id) {
             return Some(refusal);
--- a/mustardrill_core/tests/budgets.rs
+++ b/mustardrill_core/tests/budgets.rs
@@ -17,8 +17,8 @@
 }
 
 fn settings(own: usize) -> DirectSettings {
-    let retry = RetryShare { ratio: 0.0, allowance: ALLOWANCE, window: WINDOW };
-    DirectSettings { own_id: entry_id(own), retry_share: retry, ..common::direct_settings() }
+    let retry_share = RetryShare { ratio: 0.0, allowance: ALLOWANCE, window: WINDOW };
+    DirectSettings { own_id: entry_id(own), retry_share, ..common::direct_settings() }
 }
 
 /// An entry that knows of `entries` in total, including itself.
@@ -92,8 +92,8 @@
 fn entries_heard_from_count_even_where_the_store_does_not_list_them() {
     let mut reducer = entry_of(1);
     for index in 1..36 {
-        let news = LoadUpdate { rows: Vec::new(), is_snapshot: true, waiting: Vec::new() };
-        let load = PeerLoad { from: entry_id(index), update: news };
+        let update = LoadUpdate { rows: Vec::new(), is_snapshot: true, waiting: Vec::new() };
+        let load = PeerLoad { from: entry_id(index), update };
         reducer.reduce(START, DirectEvent::PeerLoadReceived(load));
     }
     assert_eq!(count_retries(&mut reducer, START, 1..300), 5);
--- a/mustardrill_core/tests/departures.rs
+++ b/mustardrill_core/tests/departures.rs
@@ -1,5 +1,5 @@
-//! Tells upstreams that shut down from upstreams whose registration the store lost, in entries that can
-//! and cannot reach the store.
+//! Tells upstreams that shut down from upstreams whose registration the store lost, in entries that
+//! can and cannot reach the store.
 
 use mustardrill_core::direct::{
     AvailabilitySpan, DirectEvent, DirectReducer, DirectSettings, FleetChange, FleetUpdate,
@@ -44,8 +44,8 @@
 
 /// An entry that got its first answer at `START`.
 fn entry(number: u16) -> DirectReducer {
-    let own = format!("entry-{number}").parse().unwrap();
-    let settings = DirectSettings { own_id: own, ..common::direct_settings() };
+    let own_id = format!("entry-{number}").parse().unwrap();
+    let settings = DirectSettings { own_id, ..common::direct_settings() };
     let mut reducer = DirectReducer::new(settings, u64::from(number));
     apply_answer(&mut reducer, START, common::desk_fleet(UPSTREAMS));
     reducer
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Restores a copy: later changes are lost, and their revisions are assigned again. The restored
-    /// registrations expire as if they had been renewed at the restore.
+    /// Restores a copy: later changes are lost, and their revisions are assigned again. The
+    /// restored registrations expire as if they had been renewed at the restore.
     fn restore_from(&mut self, now: Moment, copy: &Self) {
         let (era, departed_at) = (self.era + 1, self.departed_at);
         *self = copy.clone();
@@ -419,7 +419,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: common::cases(100), ..ProptestConfig::default() })]
 
-    /// An upstream that shut down gets no requests after `SHUTDOWN_LIMIT`, and running ones stay listed.
+    /// An upstream that shut down gets no requests after `SHUTDOWN_LIMIT`, and running ones stay
+    /// listed.
     #[test]
     fn upstreams_that_shut_down_are_told_from_those_that_the_store_lost(schedule in schedules()) {
         let outcome = run_schedule(&schedule);
--- a/mustardrill_core/tests/rebirth.rs
+++ b/mustardrill_core/tests/rebirth.rs
@@ -121,8 +121,8 @@
     apply_change(&mut reducer, START + Millis(10), FleetChange::Upstream(record("u1", 20, 1)));
     assert!(reducer.outstanding_load().is_empty());
     assert!(is_sent(&arrive(&mut reducer, START + Millis(20), 9)));
-    // The earlier requests fail now. They neither free capacity of the later incarnation nor count as
-    // its failures.
+    // The earlier requests fail now. They neither free capacity of the later incarnation nor count
+    // as its failures.
     for number in 0..4 {
         let lost = AttemptOutcome::Lost { delivered: false, crashed: false };
         reducer.reduce(START + Millis(30), DirectEvent::AttemptEnded(RequestNumber(number), lost));
@@ -279,7 +279,8 @@
     reducer
 }
 
-/// An added engine answers one second after its agent has started, which is half the time of a copy.
+/// An added engine answers one second after its agent has started, which is half the time of a
+/// copy.
 #[test]
 fn an_agent_fetches_chunks_while_its_engine_starts() {
     let mut reducer = agent_without_engine();
--- a/mustardrill_core/tests/requests.rs
+++ b/mustardrill_core/tests/requests.rs
@@ -171,8 +171,8 @@
     runs: Vec<usize>,
     /// The key-value service's shards of claims, each with its revision.
     claims: BTreeMap<ShardIndex, (u64, ClaimDocument)>,
-    /// Claim requests in progress: entry, its incarnation, index of the coordinator in the order, and
-    /// the coordinator's agent.
+    /// Claim requests in progress: entry, its incarnation, index of the coordinator in the order,
+    /// and the coordinator's agent.
     claim_calls: BTreeMap<AttemptId, (usize, u32, usize, usize)>,
     outage_until: u64,
     responses_lost_until: u64,
--- a/mustardrill_core/tests/store_eras.rs
+++ b/mustardrill_core/tests/store_eras.rs
@@ -233,8 +233,8 @@
     assert!(reducer.is_ready(START + Millis(200)));
 }
 
-/// A link that loses datagrams for a moment, or a stalled peer, does not prove that no peer knows of a
-/// newer configuration.
+/// A link that loses datagrams for a moment, or a stalled peer, does not prove that no peer knows
+/// of a newer configuration.
 #[test]
 fn a_starting_entry_keeps_asking_peers_that_do_not_answer() {
     let mut reducer = started_entry();
@@ -288,8 +288,8 @@
     assert_eq!(count_sends(&keyed_call(&mut reducer, rewritten, 3)), 1);
 }
 
-/// An entry that is cut off from the store asks its peers for versions and learns of a configuration
-/// that it cannot read. It keeps serving until its own freshness check has expired.
+/// An entry that is cut off from the store asks its peers for versions and learns of a
+/// configuration that it cannot read. It keeps serving until its own freshness check has expired.
 #[test]
 fn a_cut_off_entry_keeps_serving_when_peers_report_a_newer_configuration() {
     let mut reducer = started_entry();
--- a/mustardrill_core/tests/tellings.rs
+++ b/mustardrill_core/tests/tellings.rs
@@ -1,5 +1,5 @@
-//! Load updates between entries: increases are sent at once, decreases after a delay, unchanged loads
-//! only in snapshots.
+//! Load updates between entries: increases are sent at once, decreases after a delay, unchanged
+//! loads only in snapshots.
 
 use mustardrill_core::direct::{LoadBroadcaster, LoadRows, LoadUpdate, UpstreamLoad};
 use mustardrill_types::{FastMap, InstanceId, Millis, Moment};
--- a/mustardrill_core/tests/versions.rs
+++ b/mustardrill_core/tests/versions.rs
@@ -64,10 +64,10 @@
     let now = START + after;
     reducer.reduce(now, DirectEvent::StoreAnswered(page(Vec::new()), now));
     let rows = vec![("u1".parse().unwrap(), load)];
-    let news = LoadUpdate { rows, is_snapshot: true, waiting: Vec::new() };
+    let update = LoadUpdate { rows, is_snapshot: true, waiting: Vec::new() };
     reducer.reduce(
         now,
-        DirectEvent::PeerLoadReceived(PeerLoad { from: "entry-2".parse().unwrap(), update: news }),
+        DirectEvent::PeerLoadReceived(PeerLoad { from: "entry-2".parse().unwrap(), update }),
     );
     let request = DirectRequest {
         model: Some("m".parse().unwrap()),
@@ -84,15 +84,15 @@
     fn nothing_starts_on_superseded_weights_past_their_bound(
         after in 0u64..8_000,
         requests in 0u32..40,
-        reading in 0u64..200,
-        prompt in 1u32..8_000,
+        prefill in 0u64..200,
+        prompt_tokens in 1u32..8_000,
     ) {
-        let size = WorkSize { prompt_tokens: prompt, answer_tokens: 120 };
-        let load = UpstreamLoad { requests, pending_prefill: Millis(reading) };
+        let size = WorkSize { prompt_tokens, answer_tokens: 120 };
+        let load = UpstreamLoad { requests, pending_prefill: Millis(prefill) };
         if is_sent_under_load(Millis(after), load, size) {
             let profile = common::engine_profile();
             let first = EngineForecast::new(&profile).time_to_first_token(requests, size);
-            let started = after + 2 * (first.0 + reading);
+            let started = after + 2 * (first.0 + prefill);
             prop_assert!(started < common::direct_settings().version_bound.0, "{started}");
         }
     }
@@ -170,11 +170,11 @@
     let request =
         common::direct_request(1, "/x", WorkSize { prompt_tokens: 300, answer_tokens: 120 }, sent);
     let effects = reducer.reduce(sent, DirectEvent::RequestArrived(request));
-    let begin_by = effects.iter().find_map(|effect| match effect {
+    let start_by = effects.iter().find_map(|effect| match effect {
         DirectEffect::Send(_, plan) => plan.start_by,
         _ => None,
     });
-    (reducer, begin_by.expect("the request is sent with a time limit"))
+    (reducer, start_by.expect("the request is sent with a time limit"))
 }
 
 fn is_withdrawn(effects: &[DirectEffect]) -> bool {
@@ -183,20 +183,20 @@
 
 #[test]
 fn a_withdrawn_request_is_not_sent_to_another_engine() {
-    let (mut reducer, begin_by) =
+    let (mut reducer, start_by) =
         entry_with_attempt_shortly_before_bound(RepeatRule::StreamResumable);
     let newer = FleetChange::Upstream(engine_with(2));
-    let soon = begin_by - Millis(1);
+    let soon = start_by - Millis(1);
     let effects = reducer.reduce(soon, DirectEvent::StoreAnswered(page(vec![newer]), soon));
     assert!(!is_withdrawn(&effects));
-    assert!(is_withdrawn(&reducer.reduce(begin_by, DirectEvent::TimerFired)));
+    assert!(is_withdrawn(&reducer.reduce(start_by, DirectEvent::TimerFired)));
     assert!(
-        !is_withdrawn(&reducer.reduce(begin_by, DirectEvent::TimerFired)),
+        !is_withdrawn(&reducer.reduce(start_by, DirectEvent::TimerFired)),
         "withdrawn only once"
     );
     let ended =
         DirectEvent::AttemptEnded(RequestNumber(1), AttemptOutcome::Withdrawn { sent: true });
-    let effects = reducer.reduce(begin_by, ended);
+    let effects = reducer.reduce(start_by, ended);
     let plan = effects.iter().find_map(|effect| match effect {
         DirectEffect::Send(_, plan) => Some((plan.upstream.as_str(), plan.start_by)),
         _ => None,
@@ -206,12 +206,12 @@
 
 #[test]
 fn a_request_that_may_run_only_once_is_retried_after_its_withdrawal() {
-    let (mut reducer, begin_by) = entry_with_attempt_shortly_before_bound(RepeatRule::StreamOnce);
+    let (mut reducer, start_by) = entry_with_attempt_shortly_before_bound(RepeatRule::StreamOnce);
     let newer = FleetChange::Upstream(engine_with(2));
-    reducer.reduce(begin_by, DirectEvent::StoreAnswered(page(vec![newer]), begin_by));
+    reducer.reduce(start_by, DirectEvent::StoreAnswered(page(vec![newer]), start_by));
     let ended =
         DirectEvent::AttemptEnded(RequestNumber(1), AttemptOutcome::Withdrawn { sent: true });
-    let effects = reducer.reduce(begin_by, ended);
+    let effects = reducer.reduce(start_by, ended);
     let code = effects.iter().find_map(|effect| match effect {
         DirectEffect::Refuse(_, plan) => Some(plan.code),
         _ => None,
@@ -221,22 +221,22 @@
 
 #[test]
 fn a_started_answer_is_withdrawn() {
-    let (mut reducer, begin_by) =
+    let (mut reducer, start_by) =
         entry_with_attempt_shortly_before_bound(RepeatRule::StreamResumable);
     let version = Some(WeightVersion(1));
-    reducer.reduce(begin_by, DirectEvent::AnswerStarted(RequestNumber(1), None, version));
-    assert!(!is_withdrawn(&reducer.reduce(begin_by + Millis(300), DirectEvent::TimerFired)));
+    reducer.reduce(start_by, DirectEvent::AnswerStarted(RequestNumber(1), None, version));
+    assert!(!is_withdrawn(&reducer.reduce(start_by + Millis(300), DirectEvent::TimerFired)));
 }
 
 /// A request queued in an engine that loads newer weights starts on those.
 #[test]
 fn a_request_is_withdrawn_from_an_engine_that_loaded_newer_weights() {
-    let (mut reducer, begin_by) =
+    let (mut reducer, start_by) =
         entry_with_attempt_shortly_before_bound(RepeatRule::StreamResumable);
     let (address, model) = (engine_with(1).address, "m".parse().unwrap());
-    let word = EngineNotice::Serving(WeightVersion(2));
-    reducer.reduce(begin_by, DirectEvent::EngineNoticeReceived { address, model, notice: word });
-    assert!(!is_withdrawn(&reducer.reduce(begin_by, DirectEvent::TimerFired)));
+    let notice = EngineNotice::Serving(WeightVersion(2));
+    reducer.reduce(start_by, DirectEvent::EngineNoticeReceived { address, model, notice });
+    assert!(!is_withdrawn(&reducer.reduce(start_by, DirectEvent::TimerFired)));
 }
 
 /// No newer version was known when the request was sent, but what peers report afterwards still
@@ -373,7 +373,7 @@
     };
     assert_eq!(pinned(&mut reducer, 1), Some(("u2".into(), Some(WeightVersion(2)))));
     let (address, model) = (engine_with(2).address, "m".parse().unwrap());
-    let word = EngineNotice::Serving(WeightVersion(3));
-    reducer.reduce(bound_end, DirectEvent::EngineNoticeReceived { address, model, notice: word });
+    let notice = EngineNotice::Serving(WeightVersion(3));
+    reducer.reduce(bound_end, DirectEvent::EngineNoticeReceived { address, model, notice });
     assert_eq!(pinned(&mut reducer, 2), Some(("u2".into(), Some(WeightVersion(3)))));
 }
