--- a/mustardrill_core/src/provisioning/engine.rs
+++ b/mustardrill_core/src/provisioning/engine.rs
@@ -14,7 +14,7 @@
         view: Option<EngineView>,
     ) -> Vec<ProvisioningEffect> {
         let before = self.engine.take();
-        self.engine_polled = true;
+        self.is_engine_polled = true;
         let Some(view) = view else { return Vec::new() };
         let mut effects = Vec::new();
         if self.last_engine_view.is_none() && self.stage.is_some() {
@@ -39,8 +39,8 @@
         {
             let version = version_id_of(now_served);
             info!("engine serving={version} sequence={} outcome=changed", view.sequence);
-            let word = EngineNotice::Serving(version.version);
-            effects.push(ProvisioningEffect::NotifyEntries(version.model, word));
+            let notice = EngineNotice::Serving(version.version);
+            effects.push(ProvisioningEffect::NotifyEntries(version.model, notice));
         }
         self.engine = Some(view);
         effects
--- a/mustardrill_core/src/provisioning/fetching.rs
+++ b/mustardrill_core/src/provisioning/fetching.rs
@@ -8,9 +8,9 @@
 use crate::provisioning::reducer::{ProvisioningReducer, ProvisioningStage};
 use crate::transfer::{ChunkSource, FetchOutcome, TransferPlan};
 
-/// Share of a version's chunks held, in percent, from which entries are told that the version is
-/// coming.
-const COMING_PERCENT: u32 = 67;
+/// Share of a version's chunks held, in percent, from which entries are notified that
+/// an update is pending.
+const UPDATE_PENDING_PERCENT: u32 = 67;
 
 impl ProvisioningReducer {
     pub(super) fn fetch_chunks(
@@ -33,8 +33,10 @@
         let mut effects: Vec<_> =
             overdue.map(|(index, source)| ProvisioningEffect::CancelFetch(index, source)).collect();
         let held_percent = plan.held().count() * 100 / plan.manifest().chunk_count().max(1);
-        if held_percent >= COMING_PERCENT && self.coming_reported.as_ref() != Some(wanted) {
-            self.coming_reported = Some(wanted.clone());
+        if held_percent >= UPDATE_PENDING_PERCENT
+            && self.update_pending_reported.as_ref() != Some(wanted)
+        {
+            self.update_pending_reported = Some(wanted.clone());
             effects.push(ProvisioningEffect::NotifyEntries(
                 wanted.model.clone(),
                 EngineNotice::UpdatePending,
--- a/mustardrill_core/src/provisioning/load_order.rs
+++ b/mustardrill_core/src/provisioning/load_order.rs
@@ -14,7 +14,7 @@
 
 /// How long before an engine's load slot the entries are notified of it; most answers complete
 /// within this time.
-const CLOSING_NOTICE: Millis = Millis(1_500);
+const LOAD_SLOT_NOTICE: Millis = Millis(1_500);
 
 /// A load slot that has moved by less than this is not reported again.
 const MIN_SLOT_CHANGE: Millis = Millis(100);
@@ -56,8 +56,8 @@
         if staged <= slot {
             return slot;
         }
-        // This engine missed its slot, as others may have done: the rest of the window is divided
-        // anew.
+        // This engine missed its slot, as other engines may have done: the rest of the window is
+        // divided anew.
         self.rollout_window(wanted)
             .map_or(slot, |window| self.slot_in(wanted, window.remaining_from(staged)))
     }
@@ -107,24 +107,27 @@
         }
         (
             Some(ProvisioningStage::AwaitingSlot(plan, staged)),
-            self.report_closing(now, wanted, slot),
+            self.report_load_slot(now, wanted, slot),
         )
     }
 
     /// Notifies the entries of this engine's slot shortly before it, and again if it has moved.
-    fn report_closing(
+    fn report_load_slot(
         &mut self,
         now: Moment,
         wanted: &VersionId,
         slot: Moment,
     ) -> Vec<ProvisioningEffect> {
-        let left = slot.since(now);
+        let until_slot = slot.since(now);
         let is_reported = |reported: Moment| slot.0.abs_diff(reported.0) < MIN_SLOT_CHANGE.0;
-        if left > CLOSING_NOTICE || self.closing_reported.is_some_and(is_reported) {
+        if until_slot > LOAD_SLOT_NOTICE || self.load_slot_reported.is_some_and(is_reported) {
             return Vec::new();
         }
-        self.closing_reported = Some(slot);
-        vec![ProvisioningEffect::NotifyEntries(wanted.model.clone(), EngineNotice::LoadingIn(left))]
+        self.load_slot_reported = Some(slot);
+        vec![ProvisioningEffect::NotifyEntries(
+            wanted.model.clone(),
+            EngineNotice::LoadingIn(until_slot),
+        )]
     }
 
     pub(super) fn staged_verified(
@@ -199,8 +202,8 @@
     fn cancel_pause(&self) -> Vec<ProvisioningEffect> {
         let served = self.engine.as_ref().and_then(|engine| engine.serving.first());
         let notify = |served: &ServedWeights| {
-            let word = EngineNotice::Serving(served.version);
-            ProvisioningEffect::NotifyEntries(served.model.clone(), word)
+            let notice = EngineNotice::Serving(served.version);
+            ProvisioningEffect::NotifyEntries(served.model.clone(), notice)
         };
         served.map(notify).into_iter().collect()
     }
--- a/mustardrill_core/src/provisioning/reducer.rs
+++ b/mustardrill_core/src/provisioning/reducer.rs
@@ -70,7 +70,7 @@
     pub(super) versions: VersionTable,
     pub(super) engine: Option<EngineView>,
     /// Whether the engine's state has been polled at least once.
-    pub(super) engine_polled: bool,
+    pub(super) is_engine_polled: bool,
     /// The last state that the engine reported; kept while it does not respond, to detect a
     /// restart.
     pub(super) last_engine_view: Option<EngineView>,
@@ -79,16 +79,17 @@
     /// The version of which all chunks are staged, and their number.
     pub(super) staged: Option<(VersionId, u32)>,
     pub(super) holdings_sent_at: Moment,
-    /// Number of held chunks that others fetch from here first, at the last report of holdings.
+    /// Number of held chunks that other agents fetch from here first, at the last report of
+    /// holdings.
     pub(super) awaited_when_sent: usize,
     /// Manifest of a newer version that was announced while the current one is provisioned.
     pub(super) newer_manifest: Option<PendingManifest>,
     /// When a manifest was last fetched for other agents.
     pub(super) peer_manifest_fetched_at: Moment,
-    /// The version that the entries were told is coming.
-    pub(super) coming_reported: Option<VersionId>,
+    /// The version that the entries were notified of as pending.
+    pub(super) update_pending_reported: Option<VersionId>,
     /// The load slot that the entries were notified of.
-    pub(super) closing_reported: Option<Moment>,
+    pub(super) load_slot_reported: Option<Moment>,
     /// Whether the staged copy may hold chunks of the wanted version, as after a restart.
     pub(super) inspects_staged: bool,
     pub(super) random: SmallRng,
@@ -106,7 +107,7 @@
             agents_by_registration: FastMap::default(),
             versions: VersionTable::default(),
             engine: None,
-            engine_polled: false,
+            is_engine_polled: false,
             last_engine_view: None,
             wanted: None,
             stage: None,
@@ -115,8 +116,8 @@
             awaited_when_sent: 0,
             newer_manifest: None,
             peer_manifest_fetched_at: Moment(0),
-            coming_reported: None,
-            closing_reported: None,
+            update_pending_reported: None,
+            load_slot_reported: None,
             inspects_staged: true,
             random: SmallRng::seed_from_u64(seed),
         }
@@ -245,7 +246,7 @@
     }
 
     /// Records an announced version. The known peers may be outdated by then, so they are read
-    /// again to find the others that need it.
+    /// again to find the other agents that need it.
     fn record_announcement(
         &mut self,
         since: Moment,
@@ -336,7 +337,7 @@
     fn select_version(&mut self, now: Moment) -> Vec<ProvisioningEffect> {
         let Some(target) = self.target_version() else { return Vec::new() };
         // An engine that has never responded is still starting; its weights are fetched meanwhile.
-        let engine_is_starting = self.engine_polled && self.last_engine_view.is_none();
+        let engine_is_starting = self.is_engine_polled && self.last_engine_view.is_none();
         if self.engine.is_none() && !engine_is_starting {
             return Vec::new();
         }
@@ -351,8 +352,8 @@
             self.stage = None;
             self.inspects_staged = false;
             info!("weights version={target} outcome=served");
-            let word = EngineNotice::Serving(target.version);
-            return vec![ProvisioningEffect::NotifyEntries(target.model, word)];
+            let notice = EngineNotice::Serving(target.version);
+            return vec![ProvisioningEffect::NotifyEntries(target.model, notice)];
         }
         if serves {
             self.wanted = Some(target);
--- a/mustardrill_core/src/provisioning/sources.rs
+++ b/mustardrill_core/src/provisioning/sources.rs
@@ -11,7 +11,7 @@
 use crate::relays::RelayItem;
 use crate::rendezvous;
 
-/// Number of agents that ask the origin for a manifest first; the others ask these agents.
+/// Number of agents that ask the origin for a manifest first; the other agents ask these.
 const MANIFEST_SEEDERS: usize = 2;
 
 /// Delay before a manifest is requested again: about the time in which the first agents in rank
@@ -62,9 +62,11 @@
         let subject = wanted.to_string();
         let ranked = rendezvous::ranked(subject.as_bytes(), &ids, |id| id.as_str());
         let own_rank = ranked.iter().position(|id| **id == self.settings.own).unwrap_or(0);
-        let others = ranked.iter().filter(|id| ***id != self.settings.own);
-        let mut peers: Vec<_> =
-            others.take(MANIFEST_SEEDERS).map(|id| ManifestSource::Peer((*id).clone())).collect();
+        let other_ids = ranked.iter().filter(|id| ***id != self.settings.own);
+        let mut peers: Vec<_> = other_ids
+            .take(MANIFEST_SEEDERS)
+            .map(|id| ManifestSource::Peer((*id).clone()))
+            .collect();
         if !ids.is_empty() && tries > 0 {
             let any = &ids[self.random.random_range(0..ids.len())];
             peers.push(ManifestSource::Peer(any.clone()));
--- a/mustardrill_core/tests/stock.rs
+++ b/mustardrill_core/tests/stock.rs
@@ -304,8 +304,8 @@
     );
     reducer.reduce(slot, ProvisioningEvent::LoadOrderEnded(version(2), LoadOrderOutcome::Accepted));
     let effects = reducer.reduce(slot + Millis(900), engine_state(2, 1));
-    let word = EngineNotice::Serving(WeightVersion(2));
-    assert!(effects.contains(&ProvisioningEffect::NotifyEntries("m".parse().unwrap(), word)));
+    let notice = EngineNotice::Serving(WeightVersion(2));
+    assert!(effects.contains(&ProvisioningEffect::NotifyEntries("m".parse().unwrap(), notice)));
     assert!(!reducer.is_busy());
 }
 
