--- a/mustardrill_core/src/agent/reducer.rs
+++ b/mustardrill_core/src/agent/reducer.rs
@@ -49,8 +49,8 @@
 #[derive(Debug, Clone, Copy)]
 struct AttemptState {
     pinned: Option<ManifestDigest>,
-    arrived: Moment,
-    finished: bool,
+    arrived_at: Moment,
+    is_finished: bool,
 }
 
 /// How long a finished attempt is kept, so that a delayed duplicate of it is not run.
@@ -280,7 +280,7 @@
         if let Admission::Refused(code, retry_after) = admission {
             return refusal(attempt, code, retry_after);
         }
-        let state = AttemptState { pinned, arrived: now, finished: false };
+        let state = AttemptState { pinned, arrived_at: now, is_finished: false };
         self.attempts.insert(attempt, state);
         match admission {
             Admission::Run => vec![AgentEffect::Dispatch(attempt)],
@@ -311,7 +311,7 @@
 
     fn mark_finished(&mut self, attempt: AttemptId) {
         if let Some(state) = self.attempts.get_mut(&attempt) {
-            state.finished = true;
+            state.is_finished = true;
         }
     }
 
@@ -362,8 +362,9 @@
             effects.extend(refusal(attempt, ResultCode::DeadlinePassed, Millis(0)));
         }
         effects.extend(self.run_next(now));
-        self.attempts
-            .retain(|_, state| !state.finished || now.since(state.arrived) < ATTEMPT_RETENTION);
+        self.attempts.retain(|_, state| {
+            !state.is_finished || now.since(state.arrived_at) < ATTEMPT_RETENTION
+        });
         if self.is_engine && !self.leaving {
             effects.extend(self.owner.due(now).map(AgentEffect::CallOwner));
         }
--- a/mustardrill_core/src/agent/weights_table.rs
+++ b/mustardrill_core/src/agent/weights_table.rs
@@ -26,7 +26,7 @@
     pub(super) settings: AgentSettings,
     pub(super) versions: FastMap<ManifestDigest, VersionState>,
     /// The live instances of the service from which `versions` was computed.
-    placed_among: Vec<InstanceId>,
+    live_at_refresh: Vec<InstanceId>,
     pub(super) serving: Vec<ManifestDigest>,
     pub(super) served_by: FastMap<ManifestDigest, FastSet<InstanceId>>,
     pub(super) loading: Option<ManifestDigest>,
@@ -42,7 +42,7 @@
         Self {
             settings,
             versions: FastMap::default(),
-            placed_among: Vec::new(),
+            live_at_refresh: Vec::new(),
             serving: Vec::new(),
             served_by: FastMap::default(),
             loading: None,
@@ -63,7 +63,7 @@
         document: &CatalogueDocument,
         members: &MemberTable,
     ) -> Vec<AgentEffect> {
-        if self.live_instances(now, members) == self.placed_among {
+        if self.live_instances(now, members) == self.live_at_refresh {
             return Vec::new();
         }
         self.refresh(now, document, members)
@@ -101,7 +101,7 @@
                 plan.set_peers(&peers);
             }
         }
-        self.placed_among = live;
+        self.live_at_refresh = live;
         effects.extend(self.advance(now, members, None));
         effects
     }
@@ -367,8 +367,8 @@
         unwanted.into_iter().map(AgentEffect::DropWeights).collect()
     }
 
-    /// Requests a manifest: a few instances ask the origin, the others ask peers first, so that not
-    /// all ask the origin at once.
+    /// Requests a manifest: a few instances ask the origin, the other instances ask peers first, so
+    /// that not all ask the origin at once.
     fn request_manifest(&mut self, now: Moment, digest: ManifestDigest) -> Option<AgentEffect> {
         const ORIGIN_FETCHERS: usize = 2;
         const PEERS_PER_TRY: usize = 3;
@@ -380,10 +380,11 @@
         }
         let ranked = rendezvous::ranked(&digest.0, &state.assigned, |id| id.as_str());
         let asks_origin = ranked.iter().take(ORIGIN_FETCHERS).any(|id| *id == own);
-        let others: Vec<_> = state.assigned.iter().filter(|id| *id != own).collect();
+        let other_ids: Vec<_> = state.assigned.iter().filter(|id| *id != own).collect();
         let mut sources = Vec::new();
-        if !asks_origin && !others.is_empty() {
-            let mut random_peer = || others[self.random.random_range(0..others.len())].clone();
+        if !asks_origin && !other_ids.is_empty() {
+            let mut random_peer =
+                || other_ids[self.random.random_range(0..other_ids.len())].clone();
             sources.extend((0..PEERS_PER_TRY).map(|_| ChunkSource::Peer(random_peer())));
         }
         state.tries += 1;
--- a/mustardrill_core/src/entry/reducer.rs
+++ b/mustardrill_core/src/entry/reducer.rs
@@ -460,13 +460,13 @@
 ///
 /// The mean of the other reporting entries is extrapolated to those that did not report. This
 /// entry's own demand is not: a customer that uses only this entry would seem to send as much to
-/// each of the others. Where no other entry reported, nothing is known of them, and 0 is returned,
+/// each of its peers. Where no other entry reported, nothing is known of them, and 0 is returned,
 /// which gives equal shares.
 fn estimate_total_demand(own: u32, reported: u32, reporting: u32, entries: usize) -> u32 {
-    let (others, others_reporting) = (entries as u64 - 1, u64::from(reporting) - 1);
-    if others_reporting == 0 {
-        return if others == 0 { own } else { 0 };
+    let (peers, reporting_peers) = (entries as u64 - 1, u64::from(reporting) - 1);
+    if reporting_peers == 0 {
+        return if peers == 0 { own } else { 0 };
     }
-    let of_others = u64::from(reported.saturating_sub(own)) * others / others_reporting;
-    u64::from(own).saturating_add(of_others).min(u64::from(u32::MAX)) as u32
+    let by_peers = u64::from(reported.saturating_sub(own)) * peers / reporting_peers;
+    u64::from(own).saturating_add(by_peers).min(u64::from(u32::MAX)) as u32
 }
--- a/mustardrill_core/src/partner.rs
+++ b/mustardrill_core/src/partner.rs
@@ -44,7 +44,7 @@
     }
 
     /// Replaces the partners by `chosen`, each with whether it is in the own data centre. Partners
-    /// that stay keep their state; returns the names of those that were removed.
+    /// that stay keep their state; returns the ids of those that were removed.
     pub fn set_partners(&mut self, chosen: FastMap<InstanceId, bool>) -> Vec<InstanceId> {
         let removed: Vec<_> =
             self.partners.keys().filter(|id| !chosen.contains_key(*id)).cloned().collect();
@@ -67,7 +67,7 @@
     /// the chunks that it newly holds.
     ///
     /// Reports of a partner in backoff that has sent corrupt chunks are ignored.
-    pub fn record_holding(
+    pub fn record_holdings(
         &mut self,
         now: Moment,
         id: &InstanceId,
@@ -131,19 +131,19 @@
         partner.corrupt_chunks += 1;
         if partner.corrupt_chunks >= limit {
             self.back_off(now, id, CORRUPT_BACKOFF);
-            self.clear_holding(id);
+            self.clear_holdings(id);
         }
     }
 
     /// Records a failure of a partner, which starts a backoff of 1 s.
     pub fn record_failure(&mut self, now: Moment, id: &InstanceId) {
         self.back_off(now, id, FAILURE_BACKOFF);
-        self.clear_holding(id);
+        self.clear_holdings(id);
     }
 
     /// Treats a partner as holding no chunks, so that chunks which only it holds are fetched
     /// elsewhere. When the partner responds again, it reports anew what it holds.
-    fn clear_holding(&mut self, id: &InstanceId) {
+    fn clear_holdings(&mut self, id: &InstanceId) {
         let Some(partner) = self.partners.get_mut(id) else { return };
         let empty = ChunkBitmap::empty(self.copies.len() as u32);
         let cleared = std::mem::replace(&mut partner.bitmap, empty);
@@ -165,17 +165,19 @@
     }
 
     /// Returns the least loaded usable partner that holds the chunk. Between equally loaded ones,
-    /// those in the own data centre are preferred; where `far` is false, only these are considered.
+    /// those in the own data centre are preferred; where `may_be_remote` is false, only
+    /// these are considered.
     pub fn best_holder(
         &self,
         now: Moment,
         index: ChunkIndex,
-        far: bool,
+        may_be_remote: bool,
         random: &mut SmallRng,
     ) -> Option<InstanceId> {
         let mut best: Option<(u32, u32, &InstanceId)> = None;
-        let usable =
-            |partner: &PartnerState| partner.is_usable(now, index) && (far || partner.is_local);
+        let usable = |partner: &PartnerState| {
+            partner.is_usable(now, index) && (may_be_remote || partner.is_local)
+        };
         for (id, partner) in self.partners.iter().filter(|(_, it)| usable(it)) {
             let load = (partner.queue + partner.fetches) * 2 + u32::from(!partner.is_local);
             let tie = random.random::<u32>();
@@ -202,7 +204,7 @@
         stale.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Iterates over the partners' names in arbitrary order.
+    /// Iterates over the partners' ids in arbitrary order.
     pub fn ids(&self) -> impl Iterator<Item = &InstanceId> {
         self.partners.keys()
     }
--- a/mustardrill_core/src/transfer/mod.rs
+++ b/mustardrill_core/src/transfer/mod.rs
@@ -157,7 +157,7 @@
         bitmap: ChunkBitmap,
         queue: u32,
     ) {
-        for index in self.partners.record_holding(now, id, bitmap, queue) {
+        for index in self.partners.record_holdings(now, id, bitmap, queue) {
             self.record_observed(now, index);
         }
     }
