--- a/mustardrill_core/src/catalogue.rs
+++ b/mustardrill_core/src/catalogue.rs
@@ -144,9 +144,9 @@
 
     fn read_header(&mut self) -> Option<(&'static str, ModelName)> {
         let title = self.section.name.clone();
-        let (word, rest) = title.split_once(' ').unwrap_or((&title, ""));
-        let Some(kind) = SECTION_KINDS.into_iter().find(|kind| *kind == word) else {
-            let near = suggestion(word, SECTION_KINDS);
+        let (kind_name, rest) = title.split_once(' ').unwrap_or((&title, ""));
+        let Some(kind) = SECTION_KINDS.into_iter().find(|kind| *kind == kind_name) else {
+            let near = suggestion(kind_name, SECTION_KINDS);
             let message = format!("[{title}] is not a kind of entry{near}");
             self.refuse(self.section.line, EditRule::UnknownSection, message);
             return None;
--- a/mustardrill_core/src/check.rs
+++ b/mustardrill_core/src/check.rs
@@ -101,8 +101,8 @@
         }
         let kept = current.and_then(|entry| entry.weights.as_ref());
         let kept = kept.filter(|weights| weights.version == *version);
-        let fact = self.facts.versions.get(&(draft.name.clone(), version.clone()));
-        let manifest = match (kept, fact) {
+        let published = self.facts.versions.get(&(draft.name.clone(), version.clone()));
+        let manifest = match (kept, published) {
             // An unchanged version keeps its pinned digest, even if the origin now has another.
             (Some(weights), _) => weights.manifest,
             (None, None) => {
@@ -110,19 +110,20 @@
                 refuse(EditRule::VersionMissing, message);
                 return None;
             }
-            (None, Some(fact)) => {
-                if fact.size > self.facts.staging_limit {
+            (None, Some(published)) => {
+                if published.size > self.facts.staging_limit {
                     let limit = self.facts.staging_limit;
-                    let message = format!("{version} has {}, an agent stages {limit}", fact.size);
+                    let message =
+                        format!("{version} has {}, an agent stages {limit}", published.size);
                     refuse(EditRule::VersionTooLarge, message);
                 }
                 if let Some(pinned) = self.find_pinned_digest(&draft.name, version)
-                    && pinned != fact.manifest
+                    && pinned != published.manifest
                 {
                     let message = format!("{version} stood for other bytes ({})", pinned.short());
                     refuse(EditRule::VersionReused, message);
                 }
-                fact.manifest
+                published.manifest
             }
         };
         Some(ModelWeights { version: version.clone(), manifest, replicas: *replicas })
--- a/mustardrill_core/src/claim.rs
+++ b/mustardrill_core/src/claim.rs
@@ -197,11 +197,11 @@
         now: Moment,
         wall_s: u64,
         index: ShardIndex,
-        answer: ShardResponse,
+        response: ShardResponse,
     ) -> Vec<ClaimEffect> {
         let Some(shard) = self.shards.get_mut(&index) else { return Vec::new() };
         let pending = std::mem::take(&mut shard.pending);
-        match (answer, pending) {
+        match (response, pending) {
             (ShardResponse::Read(document, revision), PendingCall::Reading) => {
                 shard.known = Some((document, revision));
             }
--- a/mustardrill_core/src/crash_report_relay.rs
+++ b/mustardrill_core/src/crash_report_relay.rs
@@ -30,8 +30,8 @@
         self.reports.retain(|(received, _)| now.since(*received) < RELAY_SPAN);
         self.quarantined_until.retain(|_, until| *until > now);
         match &report {
-            CrashReport::Quarantined(digest, left) => {
-                return self.record_quarantine(now, *digest, *left);
+            CrashReport::Quarantined(digest, remaining) => {
+                return self.record_quarantine(now, *digest, *remaining);
             }
             CrashReport::Sound(digest, _) => self.remove_quarantine(*digest),
             CrashReport::Crashed(_) => {}
@@ -57,10 +57,10 @@
         fresh.chain(quarantines).collect()
     }
 
-    fn record_quarantine(&mut self, now: Moment, digest: RequestDigest, left: Millis) {
+    fn record_quarantine(&mut self, now: Moment, digest: RequestDigest, remaining: Millis) {
         // A report that was under way for longer gives a quarantine that ends earlier.
-        let until = self.quarantined_until.entry(digest).or_insert(now + left);
-        *until = (*until).max(now + left);
+        let until = self.quarantined_until.entry(digest).or_insert(now + remaining);
+        *until = (*until).max(now + remaining);
         if self.quarantined_until.len() > QUARANTINES_LIMIT {
             let shortest = self.quarantined_until.iter().min_by_key(|(_, until)| **until);
             if let Some(shortest) = shortest.map(|(digest, _)| *digest) {
--- a/mustardrill_core/src/membership.rs
+++ b/mustardrill_core/src/membership.rs
@@ -97,7 +97,7 @@
         self.records.get(id)
     }
 
-    /// Returns the live instances of a service, ordered by name.
+    /// Returns the live instances of a service, ordered by id.
     pub fn live_instances(&self, now: Moment, service: &ServiceName) -> Vec<&InstanceRecord> {
         let mut instances: Vec<_> = self
             .records
--- a/mustardrill_core/src/relays.rs
+++ b/mustardrill_core/src/relays.rs
@@ -88,7 +88,7 @@
         backoff_until.retain(|id, _| relays.iter().any(|relay| relay.id == *id));
     }
 
-    /// Adds an entry, or replaces the record of one with the same name.
+    /// Adds an entry, or replaces the record of one with the same id.
     pub fn add(&mut self, relay: PeerRecord) {
         self.remove(&relay.id);
         self.relays.push(relay);
--- a/mustardrill_core/src/routing.rs
+++ b/mustardrill_core/src/routing.rs
@@ -258,9 +258,9 @@
         // The report lags, so attempts that this entry sent since are added.
         let estimated = view.report.outstanding + view.attempts_since_report;
         let outstanding = f64::from(estimated.max(view.own_attempts));
-        let far_penalty = if view.is_local { 0.0 } else { self.settings.near_bonus };
+        let remote_penalty = if view.is_local { 0.0 } else { self.settings.near_bonus };
         let share = view.traffic_share(now, self.settings.slow_start);
-        (outstanding + 1.0 + far_penalty) / (f64::from(view.report.capacity.max(1)) * share)
+        (outstanding + 1.0 + remote_penalty) / (f64::from(view.report.capacity.max(1)) * share)
     }
 }
 
