--- a/mustardrill_agent/src/lib.rs
+++ b/mustardrill_agent/src/lib.rs
@@ -1,4 +1,5 @@
-//! The process in the slot beside each upstream: draws weights, orders the upstream, runs requests.
+//! The agent, a process on the machine of each upstream: it fetches weights, orders the upstream to
+//! load them, and passes requests on to it.
 #![deny(missing_docs, unsafe_code, clippy::unwrap_used)]
 
 pub mod actor;
@@ -6,8 +7,8 @@
 pub mod config;
 mod context;
 mod effects;
-mod ends;
 mod execute;
+mod incarnation;
 mod link;
 mod server;
 mod status;
@@ -16,6 +17,6 @@
 mod weights_http;
 
 pub use actor::{AgentHandle, spawn};
-pub mod stock;
+pub mod provisioning;
 
 pub use config::AgentConfig;
