--- a/mustardrill_core/tests/agents.rs
+++ b/mustardrill_core/tests/agents.rs
@@ -166,12 +166,12 @@
                     AgentEvent::ManifestLoaded(manifest(version.as_str()), digest),
                 );
             }
-            AgentEffect::FetchChunk(digest, draw) => {
+            AgentEffect::FetchChunk(digest, fetch) => {
                 let is_corrupt =
-                    draw.source == ChunkSource::Origin && self.now < self.corrupt_until;
+                    fetch.source == ChunkSource::Origin && self.now < self.corrupt_until;
                 let outcome =
                     if is_corrupt { FetchOutcome::Corrupt } else { FetchOutcome::Verified };
-                let (index, source) = (draw.index, draw.source);
+                let (index, source) = (fetch.index, fetch.source);
                 self.schedule(
                     agent_index,
                     AgentEvent::FetchEnded { digest, index, source, outcome },
--- a/mustardrill_core/tests/budgets.rs
+++ b/mustardrill_core/tests/budgets.rs
@@ -36,9 +36,9 @@
     changes: Vec<FleetChange>,
     is_snapshot: bool,
 ) {
-    let page =
+    let update =
         FleetUpdate { changes, revision: StoreRevision(1), is_snapshot, ..FleetUpdate::default() };
-    reducer.reduce(now, DirectEvent::StoreAnswered(page, now));
+    reducer.reduce(now, DirectEvent::StoreAnswered(update, now));
 }
 
 /// How often the entry retries at `now` when every attempt is lost.
--- a/mustardrill_core/tests/common/mod.rs
+++ b/mustardrill_core/tests/common/mod.rs
@@ -76,7 +76,7 @@
 }
 
 /// The rollout schedule of the engines in these tests.
-pub const TURNS: RolloutSettings =
+pub const ROLLOUT: RolloutSettings =
     RolloutSettings { first: Millis(3_600), last: Millis(6_500), load_duration: Millis(2_000) };
 
 /// Settings of the entry in these tests.
@@ -101,7 +101,7 @@
 }
 
 /// Settings of the agent in these tests.
-pub fn stock_settings() -> ProvisioningSettings {
+pub fn provisioning_settings() -> ProvisioningSettings {
     ProvisioningSettings {
         own: "10.0.0.1".parse().unwrap(),
         data_centre: "hall-a".parse().unwrap(),
@@ -113,7 +113,7 @@
             remote_fetchers: 1,
             ..TransferSettings::default()
         },
-        rollout: TURNS,
+        rollout: ROLLOUT,
         holdings_interval: Millis(35),
     }
 }
@@ -192,22 +192,22 @@
     let limits = CallerLimits::default();
     let document = RouteDocument::new(Generation(1), vec![route], services, Vec::new(), limits);
     let mut changes = vec![FleetChange::Configured(Arc::new(document))];
-    changes.extend((0..upstreams).map(|place| FleetChange::Upstream(desk(place))));
+    changes.extend((0..upstreams).map(|number| FleetChange::Upstream(desk(number))));
     changes
 }
 
 /// The instance ID of an upstream of `desk_fleet`.
-pub fn desk_id(place: u16) -> InstanceId {
-    format!("desk-{place}").parse().unwrap()
+pub fn desk_id(number: u16) -> InstanceId {
+    format!("desk-{number}").parse().unwrap()
 }
 
 /// An upstream of `desk_fleet`.
-pub fn desk(place: u16) -> UpstreamRecord {
+pub fn desk(number: u16) -> UpstreamRecord {
     UpstreamRecord {
-        id: desk_id(place),
+        id: desk_id(number),
         start: StartStamp(1),
         service: "desk".parse().unwrap(),
-        address: ([10, 0, 0, 1], 1_000 + place).into(),
+        address: ([10, 0, 0, 1], 1_000 + number).into(),
         data_centre: "hall-a".parse().unwrap(),
         slots: 4,
         leaving: false,
--- a/mustardrill_core/tests/contention.rs
+++ b/mustardrill_core/tests/contention.rs
@@ -62,13 +62,13 @@
     let mut changes = vec![FleetChange::Configured(document())];
     changes.extend((1..=1 + pattern.paused_engines).map(engine));
     changes.extend((0..pattern.entries).map(peer));
-    let page = FleetUpdate {
+    let update = FleetUpdate {
         changes,
         revision: StoreRevision(1),
         is_snapshot: false,
         ..FleetUpdate::default()
     };
-    reducer.reduce(START, DirectEvent::StoreAnswered(page, START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(update, START));
     reducer
 }
 
--- a/mustardrill_core/tests/direct.rs
+++ b/mustardrill_core/tests/direct.rs
@@ -145,8 +145,8 @@
 fn traffic_split_misses_the_configured_weights() {
     let mut rule = route("split", "/", "a", RepeatRule::Idempotent);
     rule.traffic_split = vec![("a".parse().unwrap(), 90), ("b".parse().unwrap(), 10)];
-    let lots = (0..1_000u64).map(|step| (step * u64::from(u32::MAX) / 1_000) as u32);
-    let share = lots.filter(|lot| rule.choose_service(*lot).as_str() == "b").count();
+    let random_values = (0..1_000u64).map(|step| (step * u64::from(u32::MAX) / 1_000) as u32);
+    let share = random_values.filter(|random| rule.choose_service(*random).as_str() == "b").count();
     assert!((95..=105).contains(&share), "{share} of 1,000");
 }
 
@@ -600,29 +600,29 @@
     assert_eq!(sent_plans(&arrive(&mut restarted, START, 1, "/drafts/x")).len(), 0);
     // One call failed and the next succeeded: the version may have been announced at the start of
     // that gap.
-    let mut away = entry(std::slice::from_ref(&old));
-    away.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
+    let mut cut_off = entry(std::slice::from_ref(&old));
+    cut_off.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(3_000);
-    away.reduce(back, DirectEvent::StoreAnswered(fleet_update(vec![announced.clone()]), back));
+    cut_off.reduce(back, DirectEvent::StoreAnswered(fleet_update(vec![announced.clone()]), back));
     let due = START + Millis(7_000);
-    away.reduce(due, DirectEvent::StoreAnswered(fleet_update(Vec::new()), due));
-    assert_eq!(sent_plans(&arrive(&mut away, due, 1, "/drafts/x")).len(), 0);
+    cut_off.reduce(due, DirectEvent::StoreAnswered(fleet_update(Vec::new()), due));
+    assert_eq!(sent_plans(&arrive(&mut cut_off, due, 1, "/drafts/x")).len(), 0);
     // After an outage the bound counts from the return of the store.
-    let mut away = entry(&[old]);
-    away.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
+    let mut cut_off = entry(&[old]);
+    cut_off.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(8_000);
-    away.reduce(back, DirectEvent::StoreAnswered(fleet_update(vec![announced]), back));
-    assert_eq!(sent_plans(&arrive(&mut away, back, 1, "/drafts/x")).len(), 1);
+    cut_off.reduce(back, DirectEvent::StoreAnswered(fleet_update(vec![announced]), back));
+    assert_eq!(sent_plans(&arrive(&mut cut_off, back, 1, "/drafts/x")).len(), 1);
 }
 
-/// While changes are debounced nobody asks the store, so a version that its next answer brings may
+/// While changes are coalesced nobody asks the store, so a version that its next answer brings may
 /// have been announced before the call.
 #[test]
-fn version_announced_during_debouncing_counts_from_the_later_call() {
+fn version_announced_during_coalescing_counts_from_the_later_call() {
     let announced = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
-    let sends_at = |debounced: u64, waited: u64, due: Moment| {
+    let sends_at = |coalesced: u64, waited: u64, due: Moment| {
         let mut reducer = entry(&[upstream("u1", "pool", 1)]);
-        let asked_at = START + Millis(debounced);
+        let asked_at = START + Millis(coalesced);
         let answered_at = asked_at + Millis(waited);
         reducer.reduce(
             answered_at,
@@ -667,19 +667,19 @@
 /// Engines that load send frequent updates; arrivals and departures of upstreams must still be seen
 /// soon.
 #[test]
-fn membership_changes_are_debounced_as_long_as_other_changes() {
-    let mut debounce = ChangeCoalescer::default();
-    let whole = FleetUpdate {
+fn membership_changes_are_coalesced_as_long_as_other_changes() {
+    let mut coalescer = ChangeCoalescer::default();
+    let snapshot = FleetUpdate {
         is_snapshot: true,
         ..fleet_update(vec![FleetChange::Upstream(upstream("u1", "pool", 1))])
     };
     assert_eq!(
-        debounce.next_read(START, &whole).pause,
+        coalescer.next_read(START, &snapshot).pause,
         Millis(0),
         "changes made during the read are asked for at once"
     );
-    assert_eq!(debounce.next_read(START, &fleet_update(Vec::new())).pause, Millis(0));
-    let mut pause_after = |change| debounce.next_read(START, &fleet_update(vec![change])).pause;
+    assert_eq!(coalescer.next_read(START, &fleet_update(Vec::new())).pause, Millis(0));
+    let mut pause_after = |change| coalescer.next_read(START, &fleet_update(vec![change])).pause;
     let loaded_pause = pause_after(FleetChange::Upstream(upstream("u1", "pool", 2)));
     let arrival_pause = pause_after(FleetChange::Upstream(upstream("u2", "pool", 2)));
     assert!(
@@ -702,15 +702,15 @@
     );
 }
 
-/// While changes are debounced, requests of a service without upstreams are refused.
+/// While changes are coalesced, requests of a service without upstreams are refused.
 #[test]
-fn debouncing_delays_the_first_upstream_of_an_empty_service() {
-    let mut debounce = ChangeCoalescer::default();
+fn coalescing_delays_the_first_upstream_of_an_empty_service() {
+    let mut coalescer = ChangeCoalescer::default();
     let fleet =
         ["d1", "d2", "e1"].map(|id| upstream(id, if id == "e1" { "pool" } else { "desk" }, 1));
     let changes: Vec<_> = fleet.iter().cloned().map(FleetChange::Upstream).collect();
-    debounce.next_read(START, &FleetUpdate { is_snapshot: true, ..fleet_update(changes) });
-    let mut pause_after = |change| debounce.next_read(START, &fleet_update(vec![change])).pause;
+    coalescer.next_read(START, &FleetUpdate { is_snapshot: true, ..fleet_update(changes) });
+    let mut pause_after = |change| coalescer.next_read(START, &fleet_update(vec![change])).pause;
     let gone = |id: &str| FleetChange::UpstreamGone(id.parse().unwrap());
     assert!(pause_after(gone("d1")) > Millis(0), "the other upstream still serves");
     assert_eq!(
@@ -749,7 +749,7 @@
     let short = DirectRequest { size, ..request(1, "/drafts/x", START) };
     assert_eq!(sent_plans(&alone.reduce(START, DirectEvent::RequestArrived(short))).len(), 1);
     assert_eq!(sent_plans(&arrive(&mut alone, START, 2, "/drafts/x")).len(), 0);
-    // Its agent has ended, so that the engine does not load.
+    // Its agent has crashed, so that the engine does not load.
     let mut left = entry(&[upstream("u1", "pool", 1)]);
     closing(&mut left, 500);
     assert_eq!(sent_plans(&arrive(&mut left, START + Millis(1_600), 3, "/drafts/x")).len(), 1);
@@ -794,10 +794,10 @@
 /// A watch would transfer each configuration of a series in full, to each entry.
 #[test]
 fn each_configuration_of_a_series_is_transferred() {
-    let mut debounce = ChangeCoalescer::default();
+    let mut coalescer = ChangeCoalescer::default();
     let update_with =
         |generation| fleet_update(vec![FleetChange::Configured(document(generation, &["key-1"]))]);
-    let first = debounce.next_read(START, &update_with(2));
+    let first = coalescer.next_read(START, &update_with(2));
     assert!(!first.is_snapshot && first.pause <= Millis(150), "a single change is read soon");
     // Eight more follow at intervals of 330 ms; only some of them are read.
     let (mut now, mut read, mut latest) = (START, 1, Millis(0));
@@ -806,7 +806,7 @@
         if written < now {
             continue;
         }
-        let next = debounce.next_read(written, &update_with(generation));
+        let next = coalescer.next_read(written, &update_with(generation));
         assert!(next.is_snapshot, "configurations in between are not transferred");
         now = written + next.pause;
         latest = next.pause;
@@ -814,7 +814,7 @@
     }
     assert!(read <= 4, "{read} of 9 configurations are transferred");
     assert!(latest <= Millis(1_500), "a change takes effect well within the tightest bound");
-    let later = debounce.next_read(START + Millis(20_000), &update_with(11));
+    let later = coalescer.next_read(START + Millis(20_000), &update_with(11));
     assert!(!later.is_snapshot, "the series is over");
 }
 
@@ -1006,11 +1006,11 @@
 }
 
 #[test]
-fn agents_nearby_are_not_notified_of_an_announced_version() {
-    let far =
+fn local_agents_are_not_notified_of_an_announced_version() {
+    let remote =
         UpstreamRecord { data_centre: "hall-b".parse().unwrap(), ..upstream("u3", "pool", 1) };
-    let near = UpstreamRecord { address: ([10, 0, 0, 7], 80).into(), ..upstream("u1", "pool", 1) };
-    let mut reducer = entry(&[near, far, upstream("d1", "desk", 0)]);
+    let local = UpstreamRecord { address: ([10, 0, 0, 7], 80).into(), ..upstream("u1", "pool", 1) };
+    let mut reducer = entry(&[local, remote, upstream("d1", "desk", 0)]);
     let announced = || vec![FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2))];
     let notified = |effects: &[DirectEffect]| -> Vec<Vec<std::net::IpAddr>> {
         let notices = effects.iter().filter_map(|effect| match effect {
@@ -1031,16 +1031,16 @@
 #[test]
 fn starting_entry_does_not_notify_agents_of_the_version_that_it_finds() {
     let announced = FleetChange::VersionAnnounced("m".parse().unwrap(), WeightVersion(2));
-    let near = UpstreamRecord { address: ([10, 0, 0, 7], 80).into(), ..upstream("u1", "pool", 1) };
+    let local = UpstreamRecord { address: ([10, 0, 0, 7], 80).into(), ..upstream("u1", "pool", 1) };
     let changes = vec![
         announced,
         FleetChange::Configured(document(1, &["key-1"])),
-        FleetChange::Upstream(near),
+        FleetChange::Upstream(local),
         FleetChange::Upstream(upstream("d1", "desk", 0)),
     ];
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
-    let whole = FleetUpdate { is_snapshot: true, ..fleet_update(changes) };
-    let effects = reducer.reduce(START, DirectEvent::StoreAnswered(whole, START));
+    let snapshot = FleetUpdate { is_snapshot: true, ..fleet_update(changes) };
+    let effects = reducer.reduce(START, DirectEvent::StoreAnswered(snapshot, START));
     let model = "m".parse().unwrap();
     let machines = vec![std::net::IpAddr::from([10, 0, 0, 7])];
     let notification = DirectEffect::NotifyAgents(model, WeightVersion(2), machines);
--- a/mustardrill_core/tests/policies.rs
+++ b/mustardrill_core/tests/policies.rs
@@ -52,11 +52,11 @@
 fn lower_classes_start_one_by_one_while_a_higher_class_is_active() {
     // The initial run time is 100 ms, so one of ten slots becomes free every 10 ms.
     let mut queue = queue(10, 100, 1_000);
-    let far = Moment(1_000_000);
-    let urgent = queue.offer(Moment(1_000), AttemptId(0), RequestClass::Urgent, far);
+    let deadline = Moment(1_000_000);
+    let urgent = queue.offer(Moment(1_000), AttemptId(0), RequestClass::Urgent, deadline);
     assert_eq!(urgent, Admission::Run);
     for number in 1..=5 {
-        let low = queue.offer(Moment(1_000), AttemptId(number), RequestClass::Background, far);
+        let low = queue.offer(Moment(1_000), AttemptId(number), RequestClass::Background, deadline);
         assert_eq!(low, Admission::Queued, "it would finish together with the urgent one");
     }
     assert_eq!(queue.start_next(Moment(1_004)), None);
@@ -64,7 +64,7 @@
     assert_eq!(queue.start_next(Moment(1_005)), Some(AttemptId(1)));
     assert_eq!(queue.start_next(Moment(1_006)), None, "starts are spaced");
     // A request of the higher class starts at once where a slot is free.
-    let urgent = queue.offer(Moment(1_006), AttemptId(9), RequestClass::Urgent, far);
+    let urgent = queue.offer(Moment(1_006), AttemptId(9), RequestClass::Urgent, deadline);
     assert_eq!(urgent, Admission::Run);
     assert_eq!(queue.start_next(Moment(1_011)), Some(AttemptId(2)));
     // Long after the last request of the higher class, starts are no longer spaced.
@@ -76,12 +76,12 @@
 #[test]
 fn requests_that_overtake_a_held_one_count_towards_its_turn() {
     let mut queue = queue(10, 100, 8);
-    let far = Moment(1_000_000);
-    queue.offer(Moment(1_000), AttemptId(0), RequestClass::Urgent, far);
-    queue.offer(Moment(1_000), AttemptId(1), RequestClass::Background, far);
+    let deadline = Moment(1_000_000);
+    queue.offer(Moment(1_000), AttemptId(0), RequestClass::Urgent, deadline);
+    queue.offer(Moment(1_000), AttemptId(1), RequestClass::Background, deadline);
     for number in 2..10 {
         assert_eq!(queue.start_next(Moment(1_000)), None, "the background request is held");
-        let urgent = queue.offer(Moment(1_000), AttemptId(number), RequestClass::Urgent, far);
+        let urgent = queue.offer(Moment(1_000), AttemptId(number), RequestClass::Urgent, deadline);
         assert_eq!(urgent, Admission::Run);
     }
     assert_eq!(
--- a/mustardrill_core/tests/provisioning.rs
+++ b/mustardrill_core/tests/provisioning.rs
@@ -112,7 +112,7 @@
 
 fn started_fetches(effects: &[ProvisioningEffect]) -> Vec<(ChunkIndex, ChunkSource)> {
     let fetches = effects.iter().filter_map(|effect| match effect {
-        ProvisioningEffect::FetchChunk(_, draw, _) => Some((draw.index, draw.source.clone())),
+        ProvisioningEffect::FetchChunk(_, fetch, _) => Some((fetch.index, fetch.source.clone())),
         _ => None,
     });
     fetches.collect()
@@ -129,7 +129,7 @@
 
 /// An agent alone in its service, whose engine serves version 1.
 fn agent() -> ProvisioningReducer {
-    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::provisioning_settings(), 3);
     let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
     reducer.reduce(START, fleet(changes, true));
     reducer.reduce(START, engine_state(1, 0));
@@ -177,7 +177,7 @@
 #[test]
 fn an_agent_that_starts_with_outdated_announcements_keeps_newer_weights() {
     for announcements in [vec![announced(2)], Vec::new()] {
-        let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
+        let mut reducer = ProvisioningReducer::new(common::provisioning_settings(), 3);
         let mut changes = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
         changes.extend(announcements);
         reducer.reduce(START, fleet(changes, true));
@@ -197,7 +197,7 @@
 /// As above, but the newer version is never announced here: the engine's own report is sufficient.
 #[test]
 fn a_restarted_engine_gets_no_older_version_than_it_served() {
-    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::provisioning_settings(), 3);
     let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1), announced(2)];
     reducer.reduce(START, fleet(changes, true));
     reducer.reduce(START, engine_state(3, 1));
@@ -208,7 +208,7 @@
 
 #[test]
 fn an_empty_engine_loads_without_waiting_for_a_slot() {
-    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::provisioning_settings(), 3);
     let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1)];
     reducer.reduce(START, fleet(changes, true));
     let effects = reducer.reduce(START, engine_state(0, 0));
@@ -264,7 +264,7 @@
 /// that slot.
 fn agent_with_load_order() -> (ProvisioningReducer, Moment) {
     let mut reducer = agent_with_staged_version();
-    let slot = START + common::TURNS.first;
+    let slot = START + common::ROLLOUT.first;
     reducer.reduce(slot, ProvisioningEvent::Tick);
     reducer.reduce(slot, ProvisioningEvent::StagedVerified(version(2), all_chunks()));
     (reducer, slot)
@@ -285,7 +285,7 @@
         !before.is_empty() && before.iter().all(is_report),
         "only reports are sent: {before:?}"
     );
-    let slot = START + common::TURNS.first;
+    let slot = START + common::ROLLOUT.first;
     let effects = reducer.reduce(slot, ProvisioningEvent::Tick);
     assert!(effects.contains(&ProvisioningEffect::VerifyStaged(version(2))), "{effects:?}");
     let pause = ProvisioningEffect::NotifyEntries("m".parse().unwrap(), EngineNotice::Loading);
@@ -314,19 +314,19 @@
 #[test]
 fn entries_are_notified_of_a_load_slot_only_shortly_before_it() {
     let mut reducer = agent_with_staged_version();
-    let slot = START + common::TURNS.first;
-    let closing = |effects: &[ProvisioningEffect]| {
+    let slot = START + common::ROLLOUT.first;
+    let notified_time = |effects: &[ProvisioningEffect]| {
         effects.iter().find_map(|effect| match effect {
             ProvisioningEffect::NotifyEntries(_, EngineNotice::LoadingIn(after)) => Some(*after),
             _ => None,
         })
     };
     let early = reducer.reduce(slot - Millis(2_000), ProvisioningEvent::Tick);
-    assert_eq!(closing(&early), None, "most answers complete by then");
-    let near = reducer.reduce(slot - Millis(1_000), ProvisioningEvent::Tick);
-    assert_eq!(closing(&near), Some(Millis(1_000)));
+    assert_eq!(notified_time(&early), None, "most answers complete by then");
+    let before_slot = reducer.reduce(slot - Millis(1_000), ProvisioningEvent::Tick);
+    assert_eq!(notified_time(&before_slot), Some(Millis(1_000)));
     assert_eq!(
-        closing(&reducer.reduce(slot - Millis(900), ProvisioningEvent::Tick)),
+        notified_time(&reducer.reduce(slot - Millis(900), ProvisioningEvent::Tick)),
         None,
         "notified once"
     );
@@ -335,7 +335,7 @@
 #[test]
 fn a_damaged_staged_chunk_is_fetched_again_before_any_order() {
     let mut reducer = agent_with_staged_version();
-    let slot = START + common::TURNS.first;
+    let slot = START + common::ROLLOUT.first;
     reducer.reduce(slot, ProvisioningEvent::Tick);
     let mut with_damaged_chunk = all_chunks();
     with_damaged_chunk.remove(ChunkIndex(5));
@@ -436,7 +436,7 @@
 /// A version announced after an engine's slot has to wait until the engine has accepted the order.
 #[test]
 fn a_version_whose_slot_has_come_is_loaded_although_a_newer_one_can_be_fetched() {
-    let slot = START + common::TURNS.first;
+    let slot = START + common::ROLLOUT.first;
     let mut reducer = agent_with_staged_version();
     reducer.reduce(slot, ProvisioningEvent::Tick);
     reducer.reduce(slot + Millis(20), fleet(vec![announced(3)], false));
@@ -458,7 +458,7 @@
     reducer.reduce(second.max(slot + Millis(901)), fleet(vec![announced(3)], false));
     let effects = reducer.reduce(slot + Millis(950), manifest_received(3));
     complete_fetches(&mut reducer, slot + Millis(1_000), 3, effects);
-    let peers_done = START + common::TURNS.last + common::TURNS.load_duration;
+    let peers_done = START + common::ROLLOUT.last + common::ROLLOUT.load_duration;
     let early = reducer.reduce(peers_done - Millis(50), ProvisioningEvent::Tick);
     assert!(!early.contains(&ProvisioningEffect::VerifyStaged(version(3))), "{early:?}");
     let due = reducer.reduce(peers_done + Millis(50), ProvisioningEvent::Tick);
@@ -510,7 +510,7 @@
     let window = RolloutWindow { first: Moment(1_000), last: Moment(3_000) };
     let mut slots: Vec<_> = ids.iter().map(|own| window.slot(b"m", &ids, own)).collect();
     slots.sort_unstable();
-    let expected: Vec<_> = (0..20).map(|place| Moment(1_000 + place * 100)).collect();
+    let expected: Vec<_> = (0..20).map(|rank| Moment(1_000 + rank * 100)).collect();
     assert_eq!(slots, expected);
 }
 
@@ -546,7 +546,7 @@
                 stall_after: Millis(500),
                 ..TransferSettings::default()
             },
-            ..common::stock_settings()
+            ..common::provisioning_settings()
         },
         3,
     );
@@ -618,7 +618,7 @@
     for host in 1..=FLEET {
         let own = format!("10.0.0.{host}").parse().unwrap();
         let mut reducer = ProvisioningReducer::new(
-            ProvisioningSettings { own, ..common::stock_settings() },
+            ProvisioningSettings { own, ..common::provisioning_settings() },
             u64::from(host),
         );
         reducer.reduce(START, fleet(changes.clone(), true));
@@ -640,7 +640,7 @@
 /// delay it.
 #[test]
 fn a_version_announced_before_the_agent_started_is_loaded_without_a_slot() {
-    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::provisioning_settings(), 3);
     let changes = vec![FleetChange::Configured(document()), upstream("i-1", 1), announced(2)];
     reducer.reduce(START, fleet(changes, true));
     reducer.reduce(START, engine_state(1, 0));
@@ -744,10 +744,13 @@
                 // As many as the chunks of which each agent is primary holder, so that all are
                 // requested at their due times.
                 origin_window: 2,
-                ..common::stock_settings().transfer
+                ..common::provisioning_settings().transfer
+            };
+            let settings = ProvisioningSettings {
+                own: own.clone(),
+                transfer,
+                ..common::provisioning_settings()
             };
-            let settings =
-                ProvisioningSettings { own: own.clone(), transfer, ..common::stock_settings() };
             let mut reducer = ProvisioningReducer::new(settings, u64::from(host));
             reducer.reduce(START, fleet(changes.to_vec(), true));
             reducer.reduce(START, engine_state(1, 0));
@@ -761,36 +764,36 @@
         all
     }
 
-    fn carry_out(&mut self, now: Moment, place: usize, effects: &[ProvisioningEffect]) {
+    fn carry_out(&mut self, now: Moment, agent: usize, effects: &[ProvisioningEffect]) {
         for (index, source) in started_fetches(effects) {
             match source {
-                ChunkSource::Origin => self.requested.push_back((place, index)),
+                ChunkSource::Origin => self.requested.push_back((agent, index)),
                 ChunkSource::Peer(_) | ChunkSource::Relay(_) => {
-                    self.ended(now, place, index, source)
+                    self.ended(now, agent, index, source)
                 }
             }
         }
     }
 
-    fn ended(&mut self, now: Moment, place: usize, index: ChunkIndex, source: ChunkSource) {
-        self.held[place].insert(index);
+    fn ended(&mut self, now: Moment, agent: usize, index: ChunkIndex, source: ChunkSource) {
+        self.held[agent].insert(index);
         let ended =
             ProvisioningEvent::FetchEnded(version(2), index, source, FetchOutcome::Verified);
-        let effects = self.agents[place].1.reduce(now, ended);
-        self.carry_out(now, place, &effects);
+        let effects = self.agents[agent].1.reduce(now, ended);
+        self.carry_out(now, agent, &effects);
     }
 
     fn wake(&mut self, now: Moment) {
-        for place in 0..self.agents.len() {
-            let effects = self.agents[place].1.reduce(now, ProvisioningEvent::Tick);
-            self.carry_out(now, place, &effects);
+        for agent in 0..self.agents.len() {
+            let effects = self.agents[agent].1.reduce(now, ProvisioningEvent::Tick);
+            self.carry_out(now, agent, &effects);
         }
     }
 
     fn origin_sends_next(&mut self, now: Moment) {
-        let Some((place, index)) = self.requested.pop_front() else { return };
+        let Some((agent, index)) = self.requested.pop_front() else { return };
         self.sent += 1;
-        self.ended(now, place, index, ChunkSource::Origin);
+        self.ended(now, agent, index, ChunkSource::Origin);
     }
 
     fn exchange_holdings(&mut self, now: Moment) {
@@ -802,10 +805,10 @@
                 queue: 0,
                 wants_reply: false,
             };
-            for place in (0..self.agents.len()).filter(|place| *place != sender) {
+            for agent in (0..self.agents.len()).filter(|agent| *agent != sender) {
                 let event = ProvisioningEvent::HoldingsReceived(report.clone());
-                let effects = self.agents[place].1.reduce(now, event);
-                self.carry_out(now, place, &effects);
+                let effects = self.agents[agent].1.reduce(now, event);
+                self.carry_out(now, agent, &effects);
             }
         }
     }
--- a/mustardrill_core/tests/quarantine.rs
+++ b/mustardrill_core/tests/quarantine.rs
@@ -24,13 +24,13 @@
 fn entry(upstreams: u16) -> DirectReducer {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = common::desk_fleet(upstreams);
-    let page = FleetUpdate {
+    let update = FleetUpdate {
         changes,
         revision: StoreRevision(1),
         is_snapshot: false,
         ..FleetUpdate::default()
     };
-    reducer.reduce(START, DirectEvent::StoreAnswered(page, START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(update, START));
     reducer
 }
 
@@ -235,33 +235,33 @@
 #[test]
 fn two_requests_always_present_together_are_quarantined_in_the_end() {
     let mut table = QuarantineTable::new(SETTLED);
-    let mut begun = Vec::new();
-    for turn in 0..5 {
-        let (sent, ended) = (turn * 400, turn * 400 + 100);
+    let mut quarantined = Vec::new();
+    for round in 0..5 {
+        let (sent, ended) = (round * 400, round * 400 + 100);
         let now = START + Millis(ended);
-        table.record_crash(now, crashed_run("/one", turn as usize, sent, ended));
-        table.record_crash(now, crashed_run("/other", turn as usize, sent, ended));
-        begun = table.take_verdicts(now + SETTLED);
-        assert_eq!(begun.is_empty(), turn < 4, "turn {turn}");
+        table.record_crash(now, crashed_run("/one", round as usize, sent, ended));
+        table.record_crash(now, crashed_run("/other", round as usize, sent, ended));
+        quarantined = table.take_verdicts(now + SETTLED);
+        assert_eq!(quarantined.is_empty(), round < 4, "round {round}");
     }
-    assert!(!begun.is_empty());
+    assert!(!quarantined.is_empty());
 }
 
 #[test]
 fn after_a_quarantine_one_crash_ends_the_trial() {
     let mut table = QuarantineTable::new(SETTLED);
-    for turn in 0..3 {
-        let ended = turn * 400 + 100;
+    for round in 0..3 {
+        let ended = round * 400 + 100;
         table.record_crash(
             START + Millis(ended),
-            crashed_run("/cause", turn as usize, turn * 400, ended),
+            crashed_run("/cause", round as usize, round * 400, ended),
         );
     }
     let digest = RequestDigest::of(&[b"/cause"]);
-    let begun = START + Millis(900) + SETTLED;
-    assert_eq!(table.take_verdicts(begun), [digest]);
-    assert_eq!(table.remaining(begun, digest), Some(QUARANTINE_SPAN));
-    let trial = begun + QUARANTINE_SPAN;
+    let verdict_at = START + Millis(900) + SETTLED;
+    assert_eq!(table.take_verdicts(verdict_at), [digest]);
+    assert_eq!(table.remaining(verdict_at, digest), Some(QUARANTINE_SPAN));
+    let trial = verdict_at + QUARANTINE_SPAN;
     assert_eq!(table.remaining(trial, digest), None);
     let sent = trial.since(START).0;
     table.record_crash(trial + Millis(100), crashed_run("/cause", 7, sent, sent + 100));
@@ -387,9 +387,9 @@
             runs.into_iter().for_each(|run| {
                 table.record_crash(now, run);
             });
-            let mut begun = table.take_verdicts(now + SETTLED);
-            begun.sort_unstable();
-            begun
+            let mut quarantined = table.take_verdicts(now + SETTLED);
+            quarantined.sort_unstable();
+            quarantined
         };
         prop_assert_eq!(verdicts(runs), verdicts(shuffled));
     }
--- a/mustardrill_core/tests/relays.rs
+++ b/mustardrill_core/tests/relays.rs
@@ -121,9 +121,9 @@
     }
 }
 
-fn relayed_indexes(draws: &[ChunkFetch]) -> Vec<u32> {
-    let is_relay = |draw: &&ChunkFetch| matches!(draw.source, ChunkSource::Relay(_));
-    draws.iter().filter(is_relay).map(|draw| draw.index.0).collect()
+fn relayed_indexes(fetches: &[ChunkFetch]) -> Vec<u32> {
+    let is_relay = |fetch: &&ChunkFetch| matches!(fetch.source, ChunkSource::Relay(_));
+    fetches.iter().filter(is_relay).map(|fetch| fetch.index.0).collect()
 }
 
 #[test]
@@ -134,12 +134,12 @@
     plan.record_holdings(START, &id, ChunkBitmap::full(TOTAL), 0);
     let mut fetched = Vec::new();
     while !plan.is_complete() {
-        let draws = plan.next_fetches(START);
-        assert_eq!(relayed_indexes(&draws).len(), draws.len(), "{draws:?}");
-        assert!(!draws.is_empty() && draws.len() <= 3);
-        for draw in draws {
-            fetched.push(draw.index.0);
-            plan.record_outcome(START, draw.index, &draw.source, &FetchOutcome::Verified);
+        let fetches = plan.next_fetches(START);
+        assert_eq!(relayed_indexes(&fetches).len(), fetches.len(), "{fetches:?}");
+        assert!(!fetches.is_empty() && fetches.len() <= 3);
+        for fetch in fetches {
+            fetched.push(fetch.index.0);
+            plan.record_outcome(START, fetch.index, &fetch.source, &FetchOutcome::Verified);
         }
     }
     assert_eq!(fetched, (0..TOTAL).collect::<Vec<_>>());
@@ -159,9 +159,9 @@
     let mut from_entries = Vec::new();
     for step in 0..TOTAL {
         let now = later + Millis(u64::from(step));
-        for draw in plan.next_fetches(now) {
-            from_entries.extend(relayed_indexes(std::slice::from_ref(&draw)));
-            plan.record_outcome(now, draw.index, &draw.source, &FetchOutcome::Verified);
+        for fetch in plan.next_fetches(now) {
+            from_entries.extend(relayed_indexes(std::slice::from_ref(&fetch)));
+            plan.record_outcome(now, fetch.index, &fetch.source, &FetchOutcome::Verified);
         }
     }
     assert!(plan.is_complete());
@@ -176,9 +176,9 @@
         let mut plan = plan(own, settings(true), &relays);
         let now = START + Millis(400);
         for _ in 0..TOTAL {
-            for draw in plan.next_fetches(now) {
-                relayed.extend(relayed_indexes(std::slice::from_ref(&draw)));
-                plan.record_outcome(now, draw.index, &draw.source, &FetchOutcome::Verified);
+            for fetch in plan.next_fetches(now) {
+                relayed.extend(relayed_indexes(std::slice::from_ref(&fetch)));
+                plan.record_outcome(now, fetch.index, &fetch.source, &FetchOutcome::Verified);
             }
         }
     }
@@ -189,12 +189,12 @@
 #[test]
 fn after_entries_fail_chunks_are_fetched_from_the_origin() {
     let mut plan = plan("10.0.0.1", settings(true), &[relay("e-1", "hall-a", 100)]);
-    for draw in plan.next_fetches(START) {
-        plan.record_outcome(START, draw.index, &draw.source, &FetchOutcome::Failed);
+    for fetch in plan.next_fetches(START) {
+        plan.record_outcome(START, fetch.index, &fetch.source, &FetchOutcome::Failed);
     }
-    let draws = plan.next_fetches(START + Millis(300));
-    assert!(draws.iter().any(|draw| draw.source == ChunkSource::Origin), "{draws:?}");
-    assert!(relayed_indexes(&draws).is_empty());
+    let fetches = plan.next_fetches(START + Millis(300));
+    assert!(fetches.iter().any(|fetch| fetch.source == ChunkSource::Origin), "{fetches:?}");
+    assert!(relayed_indexes(&fetches).is_empty());
 }
 
 /// If each agent asked the origin itself, the origin would send every chunk many times on its
@@ -205,16 +205,16 @@
     let mut call_count = 0;
     for step in 0..60 {
         let now = START + Millis(step * 100);
-        for draw in plan.next_fetches(now) {
-            assert!(matches!(draw.source, ChunkSource::Relay(_)), "{draw:?}");
+        for fetch in plan.next_fetches(now) {
+            assert!(matches!(fetch.source, ChunkSource::Relay(_)), "{fetch:?}");
             call_count += 1;
-            plan.record_outcome(now, draw.index, &draw.source, &FetchOutcome::Busy(Vec::new()));
+            plan.record_outcome(now, fetch.index, &fetch.source, &FetchOutcome::Busy(Vec::new()));
         }
     }
     assert!((30..=100).contains(&call_count), "{call_count} calls in 6 s");
     let now = START + Millis(6_200);
-    let draws = plan.next_fetches(now);
-    assert_eq!(relayed_indexes(&draws), [0, 1, 2], "the window of chunks is requested again");
+    let fetches = plan.next_fetches(now);
+    assert_eq!(relayed_indexes(&fetches), [0, 1, 2], "the window of chunks is requested again");
 }
 
 #[test]
@@ -244,8 +244,8 @@
         in_flight.extend(plan.next_fetches(now));
         in_flight_counts.push(in_flight.len());
         now = now + Millis(645);
-        let draw = in_flight.remove(0);
-        plan.record_outcome(now, draw.index, &draw.source, &FetchOutcome::Verified);
+        let fetch = in_flight.remove(0);
+        plan.record_outcome(now, fetch.index, &fetch.source, &FetchOutcome::Verified);
     }
     assert_eq!(in_flight_counts[0], 3);
     assert!(in_flight_counts[6..].iter().all(|count| *count == 1), "{in_flight_counts:?}");
@@ -253,8 +253,8 @@
     while !plan.is_complete() {
         in_flight.extend(plan.next_fetches(now));
         now = now + Millis(30);
-        let Some(draw) = in_flight.pop() else { break };
-        plan.record_outcome(now, draw.index, &draw.source, &FetchOutcome::Verified);
+        let Some(fetch) = in_flight.pop() else { break };
+        plan.record_outcome(now, fetch.index, &fetch.source, &FetchOutcome::Verified);
     }
     assert!(plan.is_complete());
 }
--- a/mustardrill_core/tests/restarts.rs
+++ b/mustardrill_core/tests/restarts.rs
@@ -161,7 +161,7 @@
 
 /// An agent whose engine has accepted the order to load version 2.
 fn agent_with_accepted_order() -> (ProvisioningReducer, Moment) {
-    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::provisioning_settings(), 3);
     let changes = vec![FleetChange::Configured(document())];
     let snapshot = FleetUpdate {
         changes,
@@ -182,10 +182,10 @@
         let mut next = Vec::new();
         for effect in std::mem::take(&mut effects) {
             let event = match effect {
-                ProvisioningEffect::FetchChunk(version, draw, _) => ProvisioningEvent::FetchEnded(
+                ProvisioningEffect::FetchChunk(version, fetch, _) => ProvisioningEvent::FetchEnded(
                     version,
-                    draw.index,
-                    draw.source,
+                    fetch.index,
+                    fetch.source,
                     FetchOutcome::Verified,
                 ),
                 ProvisioningEffect::VerifyStaged(version) => {
@@ -243,7 +243,7 @@
 
 /// An agent that has just started and has fetched version 1, while its engine does not answer yet.
 fn agent_without_engine() -> ProvisioningReducer {
-    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::provisioning_settings(), 3);
     reducer.reduce(START, ProvisioningEvent::EnginePolled(None));
     let changes = vec![FleetChange::Configured(document())];
     let snapshot = FleetUpdate {
@@ -259,11 +259,11 @@
     for step in 1..100 {
         let now = START + Millis(step * 10);
         for effect in std::mem::take(&mut effects) {
-            let ProvisioningEffect::FetchChunk(version, draw, _) = effect else { continue };
+            let ProvisioningEffect::FetchChunk(version, fetch, _) = effect else { continue };
             let ended = ProvisioningEvent::FetchEnded(
                 version,
-                draw.index,
-                draw.source,
+                fetch.index,
+                fetch.source,
                 FetchOutcome::Verified,
             );
             effects.extend(reducer.reduce(now, ended));
@@ -304,7 +304,7 @@
 
 #[test]
 fn a_restarted_peer_stays_when_its_former_registration_ends() {
-    let mut reducer = ProvisioningReducer::new(common::stock_settings(), 3);
+    let mut reducer = ProvisioningReducer::new(common::provisioning_settings(), 3);
     let peer = |id| UpstreamRecord {
         address: SocketAddr::from(([10, 0, 0, 7], 8_001)),
         ..record(id, 1, 1)
--- a/mustardrill_core/tests/silent_peers.rs
+++ b/mustardrill_core/tests/silent_peers.rs
@@ -10,7 +10,7 @@
 
 const START: Moment = Moment(100_000);
 
-fn page(changes: Vec<FleetChange>) -> FleetUpdate {
+fn fleet_update(changes: Vec<FleetChange>) -> FleetUpdate {
     FleetUpdate { changes, ..FleetUpdate::default() }
 }
 
@@ -35,7 +35,7 @@
         FleetChange::Peer(common::peer(&"entry-2".parse().unwrap())),
     ];
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
-    reducer.reduce(START, DirectEvent::StoreAnswered(page(changes), START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(fleet_update(changes), START));
     reducer.reduce(START + Millis(10), DirectEvent::GenerationReceived(Generation(1)));
     reducer
 }
@@ -59,10 +59,10 @@
     let mut reducer = entry();
     reducer.reduce(START + Millis(500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::StoreAnswered(page(vec![version_announced()]), back));
+    reducer.reduce(back, DirectEvent::StoreAnswered(fleet_update(vec![version_announced()]), back));
     reducer.reduce(back + Millis(300), DirectEvent::TimerFired);
     let bound_end = START + common::direct_settings().version_bound;
-    reducer.reduce(bound_end, DirectEvent::StoreAnswered(page(Vec::new()), bound_end));
+    reducer.reduce(bound_end, DirectEvent::StoreAnswered(fleet_update(Vec::new()), bound_end));
     assert!(!is_sent(&mut reducer, bound_end));
 }
 
@@ -71,7 +71,7 @@
     let mut reducer = entry();
     reducer.reduce(START + Millis(500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::StoreAnswered(page(vec![version_announced()]), back));
+    reducer.reduce(back, DirectEvent::StoreAnswered(fleet_update(vec![version_announced()]), back));
     reducer.reduce(back + Millis(300), DirectEvent::TimerFired);
     assert!(reducer.peer_query_interval(back + Millis(500)).is_some());
     assert!(
@@ -89,7 +89,7 @@
     // The call was sent before the entry was suspended, and answered while it was.
     reducer.reduce(
         resumed,
-        DirectEvent::StoreAnswered(page(vec![version_announced()]), START + Millis(10)),
+        DirectEvent::StoreAnswered(fleet_update(vec![version_announced()]), START + Millis(10)),
     );
     assert!(reducer.peer_query_interval(resumed + Millis(500)).is_some());
     assert!(
--- a/mustardrill_core/tests/unobserved_announcements.rs
+++ b/mustardrill_core/tests/unobserved_announcements.rs
@@ -12,7 +12,7 @@
 
 const START: Moment = Moment(100_000);
 
-fn page(changes: Vec<FleetChange>) -> FleetUpdate {
+fn fleet_update(changes: Vec<FleetChange>) -> FleetUpdate {
     FleetUpdate { changes, ..FleetUpdate::default() }
 }
 
@@ -58,7 +58,7 @@
 fn entry_at(now: Moment) -> DirectReducer {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = vec![configured(), engine(1), peer()];
-    reducer.reduce(now, DirectEvent::StoreAnswered(page(changes), now));
+    reducer.reduce(now, DirectEvent::StoreAnswered(fleet_update(changes), now));
     reducer
 }
 
@@ -76,7 +76,7 @@
 fn keep_store_answering(reducer: &mut DirectReducer, until: Moment) {
     for after in (0..until.since(START).0).step_by(1_000).chain([until.since(START).0]) {
         let now = START + Millis(after);
-        reducer.reduce(now, DirectEvent::StoreAnswered(page(Vec::new()), now));
+        reducer.reduce(now, DirectEvent::StoreAnswered(fleet_update(Vec::new()), now));
     }
 }
 
@@ -94,7 +94,7 @@
     let started = Moment::CLOCK_START + Millis(300);
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = vec![configured(), version_announced(1), peer(), engine(1), version_announced(2)];
-    let snapshot = FleetUpdate { is_snapshot: true, ..page(changes) };
+    let snapshot = FleetUpdate { is_snapshot: true, ..fleet_update(changes) };
     reducer
         .reduce(started, DirectEvent::StoreAnswered(snapshot, Moment::CLOCK_START + Millis(280)));
     assert_eq!(
@@ -109,12 +109,12 @@
 fn a_version_announced_before_an_entry_started_counts_from_that_start() {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = vec![configured(), peer(), engine(1), version_announced(2)];
-    let snapshot = FleetUpdate { is_snapshot: true, ..page(changes) };
+    let snapshot = FleetUpdate { is_snapshot: true, ..fleet_update(changes) };
     reducer.reduce(
         Moment::CLOCK_START + Millis(300),
         DirectEvent::StoreAnswered(snapshot, Moment::CLOCK_START + Millis(280)),
     );
-    // What `NamingRow::word` makes of an age of 6.5 s that is received at 320 ms.
+    // The report that an entry derives from an age of 6.5 s in a datagram that it receives at 320 ms.
     let now = Moment::CLOCK_START + Millis(320);
     let moment_of_age = |age: u64| now - Millis(10) - Millis(age);
     let time = AnnouncementTime {
@@ -124,7 +124,7 @@
     };
     reducer.reduce(now, DirectEvent::AnnouncementsReceived(vec![announcement_report(2, time)]));
     let late = Moment::CLOCK_START + Millis(1_320);
-    reducer.reduce(late, DirectEvent::StoreAnswered(page(Vec::new()), late));
+    reducer.reduce(late, DirectEvent::StoreAnswered(fleet_update(Vec::new()), late));
     assert_eq!(
         send_request(&mut reducer, 1, late),
         None,
@@ -136,7 +136,7 @@
 fn an_entry_started_after_the_announcement_grants_superseded_weights_a_second_bound() {
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes = vec![configured(), peer(), engine(1), version_announced(2)];
-    let snapshot = FleetUpdate { is_snapshot: true, ..page(changes) };
+    let snapshot = FleetUpdate { is_snapshot: true, ..fleet_update(changes) };
     reducer.reduce(START, DirectEvent::StoreAnswered(snapshot, START));
     assert_eq!(send_request(&mut reducer, 1, START + Millis(300)), None);
 }
@@ -146,16 +146,17 @@
 #[test]
 fn a_request_is_left_in_an_engine_whose_registration_is_gone() {
     let mut reducer = entry_at(START);
-    reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
+    reducer
+        .reduce(START, DirectEvent::StoreAnswered(fleet_update(vec![version_announced(2)]), START));
     let sent = START + Millis(bound().0 - 800);
     keep_store_answering(&mut reducer, sent);
-    let begin_by =
+    let start_by =
         send_request(&mut reducer, 1, sent).unwrap().expect("the attempt has a time limit");
     let gone = FleetChange::UpstreamGone("u1".parse().unwrap());
-    let soon = begin_by - Millis(100);
-    reducer.reduce(soon, DirectEvent::StoreAnswered(page(vec![gone]), soon));
+    let soon = start_by - Millis(100);
+    reducer.reduce(soon, DirectEvent::StoreAnswered(fleet_update(vec![gone]), soon));
     assert!(
-        is_withdrawn(&reducer.reduce(begin_by, DirectEvent::TimerFired)),
+        is_withdrawn(&reducer.reduce(start_by, DirectEvent::TimerFired)),
         "left in an engine where it may still start"
     );
 }
@@ -164,18 +165,19 @@
 #[test]
 fn a_request_is_left_in_an_engine_that_reports_no_weights() {
     let mut reducer = entry_at(START);
-    reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
+    reducer
+        .reduce(START, DirectEvent::StoreAnswered(fleet_update(vec![version_announced(2)]), START));
     let sent = START + Millis(bound().0 - 800);
     keep_store_answering(&mut reducer, sent);
-    let begin_by =
+    let start_by =
         send_request(&mut reducer, 1, sent).unwrap().expect("the attempt has a time limit");
     let FleetChange::Upstream(mut record) = engine(1) else { unreachable!() };
     record.serving.clear();
-    let soon = begin_by - Millis(100);
+    let soon = start_by - Millis(100);
     let changes = vec![FleetChange::Upstream(record)];
-    reducer.reduce(soon, DirectEvent::StoreAnswered(page(changes), soon));
+    reducer.reduce(soon, DirectEvent::StoreAnswered(fleet_update(changes), soon));
     assert!(
-        is_withdrawn(&reducer.reduce(begin_by, DirectEvent::TimerFired)),
+        is_withdrawn(&reducer.reduce(start_by, DirectEvent::TimerFired)),
         "left in an engine where it may still start"
     );
 }
@@ -186,10 +188,12 @@
     let mut reducer = entry_at(START);
     // The answer dates from START and is processed at 4,000 ms.
     let resumed = START + Millis(4_000);
-    reducer.reduce(resumed, DirectEvent::StoreAnswered(page(Vec::new()), START));
+    reducer.reduce(resumed, DirectEvent::StoreAnswered(fleet_update(Vec::new()), START));
     let (sent_at, answered_at) = (resumed + Millis(20), resumed + Millis(30));
-    reducer
-        .reduce(answered_at, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), sent_at));
+    reducer.reduce(
+        answered_at,
+        DirectEvent::StoreAnswered(fleet_update(vec![version_announced(2)]), sent_at),
+    );
     // A peer found the version in a short call, too: after 250 ms, known at 310 ms.
     let time = AnnouncementTime::bounded(START + Millis(250), START + Millis(310));
     reducer.reduce(
@@ -197,7 +201,7 @@
         DirectEvent::AnnouncementsReceived(vec![announcement_report(2, time)]),
     );
     let bound_end = START + Millis(310) + bound();
-    reducer.reduce(bound_end, DirectEvent::StoreAnswered(page(Vec::new()), bound_end));
+    reducer.reduce(bound_end, DirectEvent::StoreAnswered(fleet_update(Vec::new()), bound_end));
     assert_eq!(
         send_request(&mut reducer, 1, bound_end),
         None,
@@ -224,12 +228,12 @@
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
     let changes = vec![configured(), engine(1), version_announced(2), peer()];
-    let snapshot = FleetUpdate { is_snapshot: true, ..page(changes) };
+    let snapshot = FleetUpdate { is_snapshot: true, ..fleet_update(changes) };
     reducer.reduce(back, DirectEvent::StoreAnswered(snapshot, back));
     let span = AvailabilitySpan { since: Moment(0), until: back - Millis(10) };
     reducer.reduce(back + Millis(20), DirectEvent::AvailabilityReceived(span));
     let bound_end = START + bound();
-    reducer.reduce(bound_end, DirectEvent::StoreAnswered(page(Vec::new()), bound_end));
+    reducer.reduce(bound_end, DirectEvent::StoreAnswered(fleet_update(Vec::new()), bound_end));
     assert_eq!(
         send_request(&mut reducer, 1, bound_end),
         None,
@@ -243,7 +247,8 @@
     let mut reducer = entry_at(START);
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), back));
+    reducer
+        .reduce(back, DirectEvent::StoreAnswered(fleet_update(vec![version_announced(2)]), back));
     reducer.reduce(back + Millis(200), DirectEvent::TimerFired);
     let span = AvailabilitySpan { since: Moment(0), until: back - Millis(10) };
     reducer.reduce(back + Millis(300), DirectEvent::AvailabilityReceived(span));
@@ -254,7 +259,7 @@
         DirectEvent::AnnouncementsReceived(vec![announcement_report(2, time)]),
     );
     let bound_end = START + Millis(2_000) + bound();
-    reducer.reduce(bound_end, DirectEvent::StoreAnswered(page(Vec::new()), bound_end));
+    reducer.reduce(bound_end, DirectEvent::StoreAnswered(fleet_update(Vec::new()), bound_end));
     assert_eq!(
         send_request(&mut reducer, 1, bound_end),
         None,
@@ -283,12 +288,13 @@
     let mut reducer = entry_at(START);
     let changes =
         vec![FleetChange::UpstreamGone("u1".parse().unwrap()), engine(2), version_announced(2)];
-    reducer.reduce(START, DirectEvent::StoreAnswered(page(changes), START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(fleet_update(changes), START));
     let third = START + Millis(bound().0 - 1_000);
     keep_store_answering(&mut reducer, third);
-    reducer.reduce(third, DirectEvent::StoreAnswered(page(vec![version_announced(3)]), third));
+    reducer
+        .reduce(third, DirectEvent::StoreAnswered(fleet_update(vec![version_announced(3)]), third));
     let now = START + bound() + Millis(500);
-    reducer.reduce(now, DirectEvent::StoreAnswered(page(Vec::new()), now));
+    reducer.reduce(now, DirectEvent::StoreAnswered(fleet_update(Vec::new()), now));
     assert!(send_request(&mut reducer, 1, now).is_some());
     let version = Some(WeightVersion(1));
     reducer.reduce(now, DirectEvent::AnswerStarted(RequestNumber(1), None, version));
@@ -308,17 +314,21 @@
     use mustardrill_types::RequestDigest;
     let is_sent_after = |outcome: AttemptOutcome| {
         let mut reducer = entry_at(START);
-        reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
+        reducer.reduce(
+            START,
+            DirectEvent::StoreAnswered(fleet_update(vec![version_announced(2)]), START),
+        );
         let sent = START + Millis(bound().0 - 800);
         keep_store_answering(&mut reducer, sent);
-        let begin_by = send_request(&mut reducer, 1, sent).unwrap().unwrap();
-        reducer.reduce(begin_by, DirectEvent::StoreAnswered(page(vec![engine(2)]), begin_by));
+        let start_by = send_request(&mut reducer, 1, sent).unwrap().unwrap();
+        reducer
+            .reduce(start_by, DirectEvent::StoreAnswered(fleet_update(vec![engine(2)]), start_by));
         let content = RequestDigest::of(&[b"/x"]).0.to_be_bytes();
         let digest = RequestDigest::of(&[b"drafts.example", b"", &content]);
         let report = CrashReport::Quarantined(digest, Millis(10_000));
-        reducer.reduce(begin_by, DirectEvent::CrashReportReceived(report));
+        reducer.reduce(start_by, DirectEvent::CrashReportReceived(report));
         let effects =
-            reducer.reduce(begin_by, DirectEvent::AttemptEnded(RequestNumber(1), outcome));
+            reducer.reduce(start_by, DirectEvent::AttemptEnded(RequestNumber(1), outcome));
         effects.iter().any(|effect| matches!(effect, DirectEffect::Send(..)))
     };
     assert!(
--- a/mustardrill_core/tests/versions.rs
+++ b/mustardrill_core/tests/versions.rs
@@ -14,7 +14,7 @@
 
 const START: Moment = Moment(100_000);
 
-fn page(changes: Vec<FleetChange>) -> FleetUpdate {
+fn fleet_update(changes: Vec<FleetChange>) -> FleetUpdate {
     FleetUpdate { changes, ..FleetUpdate::default() }
 }
 
@@ -34,7 +34,7 @@
     let mut reducer = DirectReducer::new(common::direct_settings(), 7);
     let changes =
         vec![FleetChange::Configured(document.into()), FleetChange::Upstream(engine_with(1))];
-    reducer.reduce(START, DirectEvent::StoreAnswered(page(changes), START));
+    reducer.reduce(START, DirectEvent::StoreAnswered(fleet_update(changes), START));
     reducer
 }
 
@@ -54,7 +54,8 @@
 /// The same entry after a second version was announced at `START`.
 fn entry_after_announcement() -> DirectReducer {
     let mut reducer = entry_before_announcement();
-    reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
+    reducer
+        .reduce(START, DirectEvent::StoreAnswered(fleet_update(vec![version_announced(2)]), START));
     reducer
 }
 
@@ -62,7 +63,7 @@
 fn is_sent_under_load(after: Millis, load: UpstreamLoad, size: WorkSize) -> bool {
     let mut reducer = entry_after_announcement();
     let now = START + after;
-    reducer.reduce(now, DirectEvent::StoreAnswered(page(Vec::new()), now));
+    reducer.reduce(now, DirectEvent::StoreAnswered(fleet_update(Vec::new()), now));
     let rows = vec![("u1".parse().unwrap(), load)];
     let update = LoadUpdate { rows, is_snapshot: true, waiting: Vec::new() };
     reducer.reduce(
@@ -124,16 +125,20 @@
     let bound = common::direct_settings().version_bound;
     let mut reducer = entry_before_announcement();
     let other = common::peer(&"entry-2".parse().unwrap());
-    reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![FleetChange::Peer(other)]), START));
+    reducer.reduce(
+        START,
+        DirectEvent::StoreAnswered(fleet_update(vec![FleetChange::Peer(other)]), START),
+    );
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
     // Two versions were announced in the meantime; the store shows only the second of them.
-    reducer.reduce(back, DirectEvent::StoreAnswered(page(vec![version_announced(3)]), back));
+    reducer
+        .reduce(back, DirectEvent::StoreAnswered(fleet_update(vec![version_announced(3)]), back));
     let span = AvailabilitySpan { since: Moment(0), until: back - Millis(10) };
     reducer.reduce(back + Millis(20), DirectEvent::AvailabilityReceived(span));
     let bound_end = START + bound;
     for now in [bound_end, bound_end + Millis(1_000), back + bound - Millis(1_000)] {
-        reducer.reduce(now, DirectEvent::StoreAnswered(page(Vec::new()), now));
+        reducer.reduce(now, DirectEvent::StoreAnswered(fleet_update(Vec::new()), now));
         assert!(
             !is_sent(&mut reducer, now.0, now),
             "{} after the last confirmation",
@@ -149,7 +154,7 @@
     let bound = common::direct_settings().version_bound;
     let mut reducer = entry_after_announcement();
     let sent = START + Millis(bound.0 - 800);
-    reducer.reduce(sent, DirectEvent::StoreAnswered(page(Vec::new()), sent));
+    reducer.reduce(sent, DirectEvent::StoreAnswered(fleet_update(Vec::new()), sent));
     assert!(is_sent(&mut reducer, 1, sent));
     let bound_end = START + bound;
     let effects = reducer.reduce(bound_end, DirectEvent::TimerFired);
@@ -164,9 +169,10 @@
 /// the time by which the request must have started.
 fn entry_with_attempt_shortly_before_bound(repeat: RepeatRule) -> (DirectReducer, Moment) {
     let mut reducer = entry_with_route(repeat);
-    reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
+    reducer
+        .reduce(START, DirectEvent::StoreAnswered(fleet_update(vec![version_announced(2)]), START));
     let sent = START + Millis(common::direct_settings().version_bound.0 - 800);
-    reducer.reduce(sent, DirectEvent::StoreAnswered(page(Vec::new()), sent));
+    reducer.reduce(sent, DirectEvent::StoreAnswered(fleet_update(Vec::new()), sent));
     let request =
         common::direct_request(1, "/x", WorkSize { prompt_tokens: 300, answer_tokens: 120 }, sent);
     let effects = reducer.reduce(sent, DirectEvent::RequestArrived(request));
@@ -187,7 +193,7 @@
         entry_with_attempt_shortly_before_bound(RepeatRule::StreamResumable);
     let newer = FleetChange::Upstream(engine_with(2));
     let soon = start_by - Millis(1);
-    let effects = reducer.reduce(soon, DirectEvent::StoreAnswered(page(vec![newer]), soon));
+    let effects = reducer.reduce(soon, DirectEvent::StoreAnswered(fleet_update(vec![newer]), soon));
     assert!(!is_withdrawn(&effects));
     assert!(is_withdrawn(&reducer.reduce(start_by, DirectEvent::TimerFired)));
     assert!(
@@ -208,7 +214,7 @@
 fn a_request_that_may_run_only_once_is_retried_after_its_withdrawal() {
     let (mut reducer, start_by) = entry_with_attempt_shortly_before_bound(RepeatRule::StreamOnce);
     let newer = FleetChange::Upstream(engine_with(2));
-    reducer.reduce(start_by, DirectEvent::StoreAnswered(page(vec![newer]), start_by));
+    reducer.reduce(start_by, DirectEvent::StoreAnswered(fleet_update(vec![newer]), start_by));
     let ended =
         DirectEvent::AttemptEnded(RequestNumber(1), AttemptOutcome::Withdrawn { sent: true });
     let effects = reducer.reduce(start_by, ended);
@@ -245,7 +251,7 @@
 fn a_request_sent_before_its_entry_learned_of_the_version_is_left_past_the_bound() {
     let mut reducer = entry_before_announcement();
     let now = START + Millis(8_000);
-    reducer.reduce(now, DirectEvent::StoreAnswered(page(Vec::new()), now));
+    reducer.reduce(now, DirectEvent::StoreAnswered(fleet_update(Vec::new()), now));
     assert!(is_sent(&mut reducer, 1, now));
     let reports =
         vec![announcement_report(2, AnnouncementTime::observed(START, START + Millis(500)))];
@@ -257,10 +263,14 @@
 fn entry_back_from_outage() -> (DirectReducer, Moment) {
     let mut reducer = entry_before_announcement();
     let other = common::peer(&"entry-2".parse().unwrap());
-    reducer.reduce(START, DirectEvent::StoreAnswered(page(vec![FleetChange::Peer(other)]), START));
+    reducer.reduce(
+        START,
+        DirectEvent::StoreAnswered(fleet_update(vec![FleetChange::Peer(other)]), START),
+    );
     reducer.reduce(START + Millis(1_500), DirectEvent::StoreFailed);
     let back = START + Millis(6_000);
-    reducer.reduce(back, DirectEvent::StoreAnswered(page(vec![version_announced(3)]), back));
+    reducer
+        .reduce(back, DirectEvent::StoreAnswered(fleet_update(vec![version_announced(3)]), back));
     (reducer, back)
 }
 
@@ -273,7 +283,7 @@
 fn superseded_from(mut reducer: DirectReducer) -> Moment {
     let moments = (0..40_000).step_by(50).map(|after| START + Millis(after));
     let dropped_at = moments.filter(|now| *now > START + Millis(6_100)).find(|now| {
-        reducer.reduce(*now, DirectEvent::StoreAnswered(page(Vec::new()), *now));
+        reducer.reduce(*now, DirectEvent::StoreAnswered(fleet_update(Vec::new()), *now));
         let sent = is_sent(&mut reducer, now.0, *now);
         reducer.reduce(*now, DirectEvent::CallerGone(RequestNumber(now.0)));
         !sent
@@ -313,7 +323,10 @@
 fn an_entry_suspended_during_an_announcement_counts_from_its_resumption() {
     let mut reducer = entry_before_announcement();
     let resumed = START + Millis(4_000);
-    reducer.reduce(resumed, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
+    reducer.reduce(
+        resumed,
+        DirectEvent::StoreAnswered(fleet_update(vec![version_announced(2)]), START),
+    );
     let announced_at = START + Millis(300);
     let reports = vec![announcement_report(2, AnnouncementTime::observed(START, announced_at))];
     reducer.reduce(resumed + Millis(20), DirectEvent::AnnouncementsReceived(reports));
@@ -321,7 +334,10 @@
     assert!(dropped_at <= announced_at + common::direct_settings().version_bound, "{dropped_at}");
     // The same with a report from a peer that did not observe the announcement.
     let mut reducer = entry_before_announcement();
-    reducer.reduce(resumed, DirectEvent::StoreAnswered(page(vec![version_announced(2)]), START));
+    reducer.reduce(
+        resumed,
+        DirectEvent::StoreAnswered(fleet_update(vec![version_announced(2)]), START),
+    );
     let reports = vec![announcement_report(2, AnnouncementTime::bounded(START, announced_at))];
     reducer.reduce(resumed + Millis(20), DirectEvent::AnnouncementsReceived(reports));
     assert!(superseded_from(reducer) <= announced_at + common::direct_settings().version_bound);
@@ -355,7 +371,7 @@
     let mut reducer = entry_after_announcement();
     let bound_end = START + common::direct_settings().version_bound;
     let changes = vec![version_announced(3), FleetChange::Upstream(engine_with(2))];
-    reducer.reduce(bound_end, DirectEvent::StoreAnswered(page(changes), bound_end));
+    reducer.reduce(bound_end, DirectEvent::StoreAnswered(fleet_update(changes), bound_end));
     let pinned = |reducer: &mut DirectReducer, number| {
         let request = common::direct_request(
             number,
