--- a/mustardrill_agent/src/provisioning/peers.rs
+++ b/mustardrill_agent/src/provisioning/peers.rs
@@ -11,7 +11,7 @@
 use mustardrill_core::manifest::ChunkBitmap;
 use mustardrill_core::provisioning::{HoldingsReport, ProvisioningEvent, VersionId};
 use mustardrill_runtime::datagram::{DATAGRAM_LIMIT, Datagram, HoldingRow};
-use mustardrill_runtime::http::{AnyResponse, HttpHandler, text_response, whole_body};
+use mustardrill_runtime::http::{AnyResponse, HttpHandler, buffered_body, text_response};
 use mustardrill_runtime::peer_call::PeerCall;
 use mustardrill_types::{ChunkIndex, Millis, WeightVersion};
 
@@ -60,7 +60,7 @@
 async fn serve_chunk_list(actor: &ActorRef<ProvisioningActor>, version: VersionId) -> AnyResponse {
     let list = actor.ask(ChunkListQuery(version.clone())).await.ok().and_then(|reply| reply.0);
     if let Some(list) = list {
-        return Response::new(whole_body(list.published.clone()));
+        return Response::new(buffered_body(list.published.clone()));
     }
     // The peer retries shortly; this event makes the agent fetch the list until then.
     let _ = actor.tell(Event(ProvisioningEvent::ManifestRequested(version))).await;
@@ -86,7 +86,7 @@
     }
     let bytes = context.platform.engine.staged(&model, index).await;
     match bytes {
-        Some(bytes) => Response::new(whole_body(bytes)),
+        Some(bytes) => Response::new(buffered_body(bytes)),
         None => text_response(StatusCode::NOT_FOUND, "not staged\n"),
     }
 }
@@ -97,7 +97,7 @@
     version: &VersionId,
     to: Vec<SocketAddr>,
     bitmap: &ChunkBitmap,
-    asks: bool,
+    wants_reply: bool,
 ) {
     let mut datagram = Datagram::new(&context.config.settings.own);
     datagram.holding = Some(HoldingRow {
@@ -105,7 +105,7 @@
         version: version.version.0,
         bitmap: bitmap.to_bytes(),
         queue: context.uploads.waiting(context.clock.now(), TYPICAL_CHUNK_BYTES),
-        asks,
+        wants_reply,
     });
     send(context, datagram, to);
 }
@@ -151,7 +151,7 @@
 }
 
 fn event_of(datagram: Datagram) -> Option<ProvisioningEvent> {
-    if let Some(announced) = datagram.named {
+    if let Some(announced) = datagram.announced_version {
         let version = WeightVersion(announced.version);
         return Some(ProvisioningEvent::VersionReported(announced.model.parse().ok()?, version));
     }
@@ -166,6 +166,6 @@
         version,
         bitmap: row.bitmap.into(),
         queue: row.queue,
-        wants_reply: row.asks,
+        wants_reply: row.wants_reply,
     })
 }
--- a/mustardrill_agent/src/server.rs
+++ b/mustardrill_agent/src/server.rs
@@ -13,8 +13,8 @@
 use mustardrill_proto::agent_server::{Agent, AgentServer};
 use mustardrill_runtime::agents::{MESSAGE_LIMIT, STREAM_WINDOW};
 use mustardrill_runtime::wire::{
-    attempt_of, catalogue_of, claim_message, crash_message, crash_word, demand_message, demand_row,
-    digest_bytes, digest_of, key_of,
+    attempt_of, catalogue_of, claim_message, crash_message, crash_report, demand_message,
+    demand_row, digest_bytes, digest_of, key_of,
 };
 use mustardrill_types::{ByteSize, ChunkIndex, ManifestDigest};
 use tokio::net::TcpListener;
@@ -85,7 +85,7 @@
     /// Passes the crash reports of an entry to the reducer.
     async fn record_crashes(&self, rows: &[proto::CrashRow]) {
         let now = self.context.clock.now();
-        let reports: Vec<_> = rows.iter().filter_map(|row| crash_word(now, row)).collect();
+        let reports: Vec<_> = rows.iter().filter_map(|row| crash_report(now, row)).collect();
         if !reports.is_empty() {
             let _ = self.actor.tell(Event(AgentEvent::CrashesReported(reports))).await;
         }
--- a/mustardrill_standins/tests/crashes.rs
+++ b/mustardrill_standins/tests/crashes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{MODEL, serving_lab};
-use mustardrill_runtime::http::WholeAnswer;
+use mustardrill_runtime::http::BufferedResponse;
 use mustardrill_standins::engine::CRASH_PROMPT;
 use mustardrill_standins::lab::{Lab, LabOptions, caller_request};
 
@@ -13,7 +13,12 @@
 /// may reach.
 const BOUND: usize = 3 + 3;
 
-async fn draft(lab: &Lab, entry: usize, key: Option<&str>, prompt: &str) -> Option<WholeAnswer> {
+async fn draft(
+    lab: &Lab,
+    entry: usize,
+    key: Option<&str>,
+    prompt: &str,
+) -> Option<BufferedResponse> {
     let path = format!("/v1/models/{MODEL}/draft");
     let mut sent = caller_request(lab.entries[entry].address, &path, prompt);
     if let Some(key) = key {
@@ -43,7 +48,7 @@
     let before = ended(&mut lab);
     lab.restart_entry(1);
     let path = format!("/v1/models/{MODEL}/x");
-    assert!(lab.wait_ready(&path, Duration::from_secs(20)).await, "{}", lab.logs());
+    assert!(lab.wait_until_ready(&path, Duration::from_secs(20)).await, "{}", lab.logs());
     for entry in [0, 1] {
         for key in [None, Some("a-new-key")] {
             let answer = draft(&lab, entry, key, CRASH_PROMPT).await.expect("it is told at once");
