--- a/mustardrill_agent/src/actor.rs
+++ b/mustardrill_agent/src/actor.rs
@@ -224,7 +224,7 @@
         let now = self.context.clock.now();
         StatusReply {
             generation: self.reducer.generation(),
-            leaving: self.reducer.is_leaving(),
+            leaving: self.reducer.is_draining(),
             drained: self.reducer.is_drained(),
             outstanding: self.reducer.outstanding(),
             capacity: self.reducer.capacity(),
--- a/mustardrill_agent/src/config.rs
+++ b/mustardrill_agent/src/config.rs
@@ -113,8 +113,8 @@
     AdmissionSettings {
         capacity: reader.bounded("upstream", "capacity", default.capacity, 1, 100_000),
         queue: reader.bounded("upstream", "queue", default.queue, 0, 100_000),
-        turns: reader.bounded("upstream", "turns", default.turns, 1, 1_000),
-        spread: reader.bounded("upstream", "spread", default.spread, 0, 100),
+        max_starts_ahead: reader.bounded("upstream", "turns", default.max_starts_ahead, 1, 1_000),
+        spacing_percent: reader.bounded("upstream", "spread", default.spacing_percent, 0, 100),
     }
 }
 
--- a/mustardrill_agent/src/provisioning/config.rs
+++ b/mustardrill_agent/src/provisioning/config.rs
@@ -49,7 +49,7 @@
     let _: Option<PlatformKind> = reader.optional("agent", "platform");
     let version_bound = reader.value("bounds", "version", Millis(8_000));
     let listen: SocketAddr = reader.required("agent", "listen", "IP:PORT", local());
-    let own = listen.ip().to_string().parse().expect("an address is a valid name");
+    let own_id = listen.ip().to_string().parse().expect("an address is a valid name");
     let config = ProvisioningConfig {
         instance: reader.required("agent", "instance", "NAME", String::new()).into(),
         listen,
@@ -60,7 +60,7 @@
         engine_poll_interval: reader.value("upstream", "look_every", Millis(250)),
         link_mbps: reader.bounded("weights", "link_mbps", 1_000.0, 0.1, 1_000_000.0),
         settings: ProvisioningSettings {
-            own,
+            own_id,
             data_centre: name(&mut reader, "agent", "data_centre"),
             service: name(&mut reader, "agent", "service"),
             engine: reader.required("upstream", "address", "IP:PORT", local()),
--- a/mustardrill_agent/src/provisioning/effects.rs
+++ b/mustardrill_agent/src/provisioning/effects.rs
@@ -298,7 +298,7 @@
     const REPEAT_DELAY: Duration = Duration::from_millis(60);
     let notice_number = context.engine_notices.fetch_add(1, Ordering::Relaxed) + 1;
     tokio::spawn(async move {
-        let mut datagram = Datagram::new(&context.config.settings.own);
+        let mut datagram = Datagram::new(&context.config.settings.own_id);
         let address = context.config.settings.engine;
         datagram.engine = Some(EngineRow::new(address, &model, notice));
         let addresses =
--- a/mustardrill_agent/src/provisioning/fleet.rs
+++ b/mustardrill_agent/src/provisioning/fleet.rs
@@ -112,7 +112,7 @@
     let mut table = RelayTable::default();
     table.set_relays(entries);
     // The subject spreads the agents over the entries, and picks another entry in each round.
-    let subject = format!("{}/{round}", context.config.settings.own);
+    let subject = format!("{}/{round}", context.config.settings.own_id);
     let entry = table.nearest(context.clock.now(), &subject, RelayItem::List, data_centre)?;
     let uri = format!("http://{}{}", entry.address, PeerCall::Fleet(service.clone()));
     let call = context.peer_client.call(
--- a/mustardrill_agent/src/provisioning/peers.rs
+++ b/mustardrill_agent/src/provisioning/peers.rs
@@ -99,7 +99,7 @@
     bitmap: &ChunkBitmap,
     wants_reply: bool,
 ) {
-    let mut datagram = Datagram::new(&context.config.settings.own);
+    let mut datagram = Datagram::new(&context.config.settings.own_id);
     datagram.holding = Some(HoldingRow {
         model: version.model.to_string(),
         version: version.version.0,
--- a/mustardrill_agent/tests/engine_notices.rs
+++ b/mustardrill_agent/tests/engine_notices.rs
@@ -204,7 +204,7 @@
         engine_poll_interval: Millis(25),
         link_mbps: 1_000.0,
         settings: ProvisioningSettings {
-            own: listen.ip().to_string().parse().unwrap(),
+            own_id: listen.ip().to_string().parse().unwrap(),
             data_centre: "hall-a".parse().unwrap(),
             service: "pool".parse().unwrap(),
             engine: SocketAddr::from(([127, 0, 0, 1], 1)),
--- a/mustardrill_core/examples/admission.rs
+++ b/mustardrill_core/examples/admission.rs
@@ -1,4 +1,4 @@
-//! Latency of urgent requests at an overloaded upstream, for several values of `spread`.
+//! Latency of urgent requests at an overloaded upstream, for several values of the setting `spread`.
 //!
 //! Simulates the admission queue of one upstream with 8 slots and runs of 200 to 220 ms. Urgent
 //! requests arrive at a quarter of its capacity and background requests at three times its capacity,
@@ -43,14 +43,14 @@
         "{:>7} {:>5} {:>10} {:>8} {:>8} {:>6} {:>8}",
         "spread", "seed", "alone p99", "p50", "p99", "ratio", "goodput"
     );
-    for spread in [0, 35, 50, 80] {
+    for spacing_percent in [0, 35, 50, 80] {
         for seed in 1..=3 {
-            let urgent_only = QueueSimulation::run_to_end(seed, spread, 0.0);
-            let overloaded = QueueSimulation::run_to_end(seed, spread, BACKGROUND_LOAD);
+            let urgent_only = QueueSimulation::run_to_end(seed, spacing_percent, 0.0);
+            let overloaded = QueueSimulation::run_to_end(seed, spacing_percent, BACKGROUND_LOAD);
             let (baseline_p99, overloaded_p99) =
                 (urgent_only.quantile(0.99), overloaded.quantile(0.99));
             println!(
-                "{spread:>6}% {seed:>5} {baseline_p99:>10} {:>8} {overloaded_p99:>8} {:>6.2} {:>7.1}%",
+                "{spacing_percent:>6}% {seed:>5} {baseline_p99:>10} {:>8} {overloaded_p99:>8} {:>6.2} {:>7.1}%",
                 overloaded.quantile(0.5),
                 overloaded_p99 as f64 / baseline_p99 as f64,
                 overloaded.utilisation() * 100.0
@@ -60,8 +60,9 @@
 }
 
 impl QueueSimulation {
-    fn run_to_end(seed: u64, spread: u32, background: f64) -> Self {
-        let settings = AdmissionSettings { capacity: SLOTS, queue: 32, turns: 8, spread };
+    fn run_to_end(seed: u64, spacing_percent: u32, background: f64) -> Self {
+        let settings =
+            AdmissionSettings { capacity: SLOTS, queue: 32, max_starts_ahead: 8, spacing_percent };
         let mut simulation = Self {
             now: 0,
             random: SmallRng::seed_from_u64(seed),
--- a/mustardrill_core/src/admission.rs
+++ b/mustardrill_core/src/admission.rs
@@ -23,11 +23,11 @@
     pub queue: u32,
     /// After this many consecutive starts of a higher class, a waiting request of a lower one
     /// starts.
-    pub turns: u32,
+    pub max_starts_ahead: u32,
     /// Minimum time from any start to one of a lower class while requests of a higher class arrive,
     /// in percent of the average time in which one slot becomes free (run time / capacity). With 0
     /// nothing is spaced; towards 100 the higher class waits less and more capacity is unused.
-    pub spread: u32,
+    pub spacing_percent: u32,
 }
 
 /// The decision on a request that arrives.
@@ -68,7 +68,7 @@
 
 impl Default for AdmissionSettings {
     fn default() -> Self {
-        Self { capacity: 8, queue: 32, turns: 8, spread: 50 }
+        Self { capacity: 8, queue: 32, max_starts_ahead: 8, spacing_percent: 50 }
     }
 }
 
@@ -101,7 +101,7 @@
         self.last_arrival[class.rank()] = Some(now);
         let ahead = self.queued_ahead_of(class);
         if self.has_free_slot() && ahead == 0 && !self.is_held(now, class.rank()) {
-            // It overtakes waiting requests of lower classes, which counts towards `turns`.
+            // It overtakes waiting requests of lower classes, which counts towards `max_starts_ahead`.
             self.starts_ahead += u32::from(self.queued() > 0);
             self.start(now, attempt);
             return Admission::Run;
@@ -205,7 +205,7 @@
         let mut ranks = (0..self.waiting.len()).filter(|rank| !self.waiting[*rank].is_empty());
         let first = ranks.next()?;
         let lower = ranks.next();
-        if self.starts_ahead >= self.settings.turns {
+        if self.starts_ahead >= self.settings.max_starts_ahead {
             // This start is not spaced, or frequent starts of the higher class would starve the
             // lower.
             self.starts_ahead = 0;
@@ -238,7 +238,7 @@
 
     fn spacing(&self) -> Millis {
         let slot_interval_ms = self.average_run_ms / f64::from(self.settings.capacity.max(1));
-        Millis((slot_interval_ms * f64::from(self.settings.spread) / 100.0) as u64)
+        Millis((slot_interval_ms * f64::from(self.settings.spacing_percent) / 100.0) as u64)
     }
 
     /// Removes the newest waiting request of the lowest class, where that is below `class`.
--- a/mustardrill_core/src/agent/reducer.rs
+++ b/mustardrill_core/src/agent/reducer.rs
@@ -38,7 +38,7 @@
     claims: ClaimBatch,
     /// When the last claim arrived and the wall clock in seconds that it carried.
     claim_wall_clock: Option<(Moment, u64)>,
-    leaving: bool,
+    is_draining: bool,
     /// When a delayed request may start, if a wake-up is scheduled for it.
     wake_at: Option<Moment>,
     is_engine: bool,
@@ -73,7 +73,7 @@
             crashes: CrashReportRelay::default(),
             claims: ClaimBatch::new(settings.claim.clone()),
             claim_wall_clock: None,
-            leaving: false,
+            is_draining: false,
             wake_at: None,
             is_engine: settings.is_engine,
             random: SmallRng::seed_from_u64(seed),
@@ -170,8 +170,8 @@
     }
 
     /// Whether the agent is shutting down and accepts no new requests.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_draining(&self) -> bool {
+        self.is_draining
     }
 
     /// Whether no request is queued or running, and every claim is settled or released.
@@ -265,7 +265,7 @@
         if self.attempts.contains_key(&attempt) {
             return refusal(attempt, ResultCode::AlreadyClaimed, Millis(0));
         }
-        if self.leaving {
+        if self.is_draining {
             return refusal(attempt, ResultCode::Leaving, Millis(1));
         }
         if !self.serves(pinned) {
@@ -365,7 +365,7 @@
         self.attempts.retain(|_, state| {
             !state.is_finished || now.since(state.arrived_at) < ATTEMPT_RETENTION
         });
-        if self.is_engine && !self.leaving {
+        if self.is_engine && !self.is_draining {
             effects.extend(self.owner.due(now).map(AgentEffect::CallOwner));
         }
         if now >= self.next_refresh {
@@ -385,7 +385,7 @@
 
     fn stop(&mut self) -> Vec<AgentEffect> {
         info!("stop queued={} running={}", self.queue.queued(), self.queue.running());
-        self.leaving = true;
+        self.is_draining = true;
         let drained = self.queue.drain();
         drained
             .into_iter()
--- a/mustardrill_core/src/direct/event.rs
+++ b/mustardrill_core/src/direct/event.rs
@@ -246,7 +246,7 @@
     pub silence_timeout: Millis,
     /// The shortest store outage after which the store may have lost registrations of running
     /// upstreams.
-    pub forgetting_outage: Millis,
+    pub registration_expiry: Millis,
     /// How long after the store's return an upstream whose registration it may have lost stays
     /// listed.
     pub expiry_grace: Millis,
--- a/mustardrill_core/src/direct/reducer.rs
+++ b/mustardrill_core/src/direct/reducer.rs
@@ -161,7 +161,7 @@
             }
             DirectEvent::AvailabilityReceived(span) => {
                 self.announcement_inquiry.record_answer();
-                self.store_availability.merge_peer_span(span, self.settings.forgetting_outage);
+                self.store_availability.merge_peer_span(span, self.settings.registration_expiry);
                 self.remove_unreturned(now);
                 self.settle_announcements(now);
                 Vec::new()
--- a/mustardrill_core/src/direct/store/fleet_updates.rs
+++ b/mustardrill_core/src/direct/store/fleet_updates.rs
@@ -56,7 +56,7 @@
 
     /// Records that the store was available at `sent`.
     fn record_availability(&mut self, now: Moment, sent: Moment, was_unavailable: bool) {
-        self.store_availability.record_answer(now, sent, self.settings.forgetting_outage);
+        self.store_availability.record_answer(now, sent, self.settings.registration_expiry);
         if was_unavailable {
             let answering = self.store_availability.span().map_or(now, |span| span.since);
             info!(
--- a/mustardrill_core/src/entry/event.rs
+++ b/mustardrill_core/src/entry/event.rs
@@ -180,7 +180,7 @@
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
     /// This entry's instance id; it also seeds the choice of agents.
-    pub own: InstanceId,
+    pub own_id: InstanceId,
     /// This entry's data centre; upstreams in it are preferred.
     pub data_centre: DataCentre,
     /// Settings of the choice of an upstream.
--- a/mustardrill_core/src/entry/reducer.rs
+++ b/mustardrill_core/src/entry/reducer.rs
@@ -328,7 +328,7 @@
         for record in self.members.records() {
             services.entry(record.service.clone()).or_default().push(record);
         }
-        let own = self.settings.own.as_str().as_bytes();
+        let own = self.settings.own_id.as_str().as_bytes();
         let select = |records: Vec<&InstanceRecord>| {
             let ranked = rendezvous::ranked(own, &records, |record| record.id.as_str());
             ranked.iter().take(self.settings.subset).map(|record| record.id.clone()).collect()
--- a/mustardrill_core/src/provisioning/event.rs
+++ b/mustardrill_core/src/provisioning/event.rs
@@ -149,7 +149,7 @@
 #[derive(Debug, Clone)]
 pub struct ProvisioningSettings {
     /// This agent's id among its peers: the IP address of its machine.
-    pub own: InstanceId,
+    pub own_id: InstanceId,
     /// Its data centre.
     pub data_centre: DataCentre,
     /// Its engine's service.
--- a/mustardrill_core/src/provisioning/load_order.rs
+++ b/mustardrill_core/src/provisioning/load_order.rs
@@ -82,7 +82,7 @@
 
     fn slot_in(&self, wanted: &VersionId, window: RolloutWindow) -> Moment {
         let ids: Vec<_> = self.transfer_peers().into_iter().map(|peer| peer.id).collect();
-        window.slot(wanted.model.as_str().as_bytes(), &ids, &self.settings.own)
+        window.slot(wanted.model.as_str().as_bytes(), &ids, &self.settings.own_id)
     }
 
     /// Starts the load once this engine's slot is reached, and notifies the entries beforehand.
--- a/mustardrill_core/src/provisioning/reducer.rs
+++ b/mustardrill_core/src/provisioning/reducer.rs
@@ -297,8 +297,8 @@
     /// All agents of the service, this one included.
     pub(super) fn transfer_peers(&self) -> Vec<TransferPeer> {
         let mut peers: Vec<_> = self.peers.values().cloned().collect();
-        if !self.peers.contains_key(&self.settings.own) {
-            let id = self.settings.own.clone();
+        if !self.peers.contains_key(&self.settings.own_id) {
+            let id = self.settings.own_id.clone();
             peers.push(TransferPeer { id, data_centre: self.settings.data_centre.clone() });
         }
         peers.sort_by(|left, right| left.id.cmp(&right.id));
@@ -442,7 +442,7 @@
     ) -> Vec<ProvisioningEffect> {
         let peers = self.transfer_peers();
         let own = TransferPeer {
-            id: self.settings.own.clone(),
+            id: self.settings.own_id.clone(),
             data_centre: self.settings.data_centre.clone(),
         };
         let mut transfer = self.settings.transfer.clone();
--- a/mustardrill_core/src/provisioning/sources.rs
+++ b/mustardrill_core/src/provisioning/sources.rs
@@ -61,8 +61,8 @@
         let ids: Vec<_> = self.transfer_peers().into_iter().map(|peer| peer.id).collect();
         let subject = wanted.to_string();
         let ranked = rendezvous::ranked(subject.as_bytes(), &ids, |id| id.as_str());
-        let own_rank = ranked.iter().position(|id| **id == self.settings.own).unwrap_or(0);
-        let other_ids = ranked.iter().filter(|id| ***id != self.settings.own);
+        let own_rank = ranked.iter().position(|id| **id == self.settings.own_id).unwrap_or(0);
+        let other_ids = ranked.iter().filter(|id| ***id != self.settings.own_id);
         let mut peers: Vec<_> = other_ids
             .take(MANIFEST_SEEDERS)
             .map(|id| ManifestSource::Peer((*id).clone()))
--- a/mustardrill_core/src/routing.rs
+++ b/mustardrill_core/src/routing.rs
@@ -27,7 +27,7 @@
     /// How far the load of an upstream chosen by affinity may exceed the mean, in percent.
     pub affinity_bound: u32,
     /// Requests added to the load of an upstream in another data centre when loads are compared.
-    pub near_bonus: f64,
+    pub remote_penalty: f64,
     /// An upstream without a load report for longer than this is not chosen.
     pub silent_for: Millis,
 }
@@ -102,7 +102,7 @@
             eject_for: Millis(2_000),
             slow_start: Millis(5_000),
             affinity_bound: 25,
-            near_bonus: 1.0,
+            remote_penalty: 1.0,
             silent_for: Millis(3_000),
         }
     }
@@ -258,7 +258,7 @@
         // The report lags, so attempts that this entry sent since are added.
         let estimated = view.report.outstanding + view.attempts_since_report;
         let outstanding = f64::from(estimated.max(view.own_attempts));
-        let remote_penalty = if view.is_local { 0.0 } else { self.settings.near_bonus };
+        let remote_penalty = if view.is_local { 0.0 } else { self.settings.remote_penalty };
         let share = view.traffic_share(now, self.settings.slow_start);
         (outstanding + 1.0 + remote_penalty) / (f64::from(view.report.capacity.max(1)) * share)
     }
--- a/mustardrill_core/tests/agents.rs
+++ b/mustardrill_core/tests/agents.rs
@@ -78,7 +78,12 @@
         region: record.region,
         transfer: TransferSettings { stall_after: Millis(200), ..TransferSettings::default() },
         copy_per_region: false,
-        admission: AdmissionSettings { capacity: 1, queue: 8, turns: 2, ..Default::default() },
+        admission: AdmissionSettings {
+            capacity: 1,
+            queue: 8,
+            max_starts_ahead: 2,
+            ..Default::default()
+        },
         claim: ClaimSettings::default(),
         owner: OwnerSettings::default(),
         members: MemberSettings::default(),
--- a/mustardrill_core/tests/common/mod.rs
+++ b/mustardrill_core/tests/common/mod.rs
@@ -93,7 +93,7 @@
         late_slots_percent: 75,
         wait_limit: Millis(1_000),
         silence_timeout: Millis(1_200),
-        forgetting_outage: Millis(2_400),
+        registration_expiry: Millis(2_400),
         expiry_grace: Millis(2_000),
         peer_load_timeout: Millis(1_500),
         base_ejection: Millis(500),
@@ -103,7 +103,7 @@
 /// Settings of the agent in these tests.
 pub fn provisioning_settings() -> ProvisioningSettings {
     ProvisioningSettings {
-        own: "10.0.0.1".parse().unwrap(),
+        own_id: "10.0.0.1".parse().unwrap(),
         data_centre: "hall-a".parse().unwrap(),
         service: "pool".parse().unwrap(),
         engine: SocketAddr::from(([10, 0, 0, 1], 8001)),
--- a/mustardrill_core/tests/limits.rs
+++ b/mustardrill_core/tests/limits.rs
@@ -28,7 +28,7 @@
 impl EntryFixture {
     fn new(entries: usize) -> Self {
         let settings = EntrySettings {
-            own: "entry-0".parse().unwrap(),
+            own_id: "entry-0".parse().unwrap(),
             data_centre: "gc-hall-a".parse().unwrap(),
             routing: RoutingSettings { silent_for: Millis(100_000), ..RoutingSettings::default() },
             retry: RetrySettings::default(),
--- a/mustardrill_core/tests/policies.rs
+++ b/mustardrill_core/tests/policies.rs
@@ -12,8 +12,13 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn queue(capacity: u32, length: u32, turns: u32) -> AdmissionQueue {
-    AdmissionQueue::new(AdmissionSettings { capacity, queue: length, turns, ..Default::default() })
+fn queue(capacity: u32, length: u32, max_starts_ahead: u32) -> AdmissionQueue {
+    AdmissionQueue::new(AdmissionSettings {
+        capacity,
+        queue: length,
+        max_starts_ahead,
+        ..Default::default()
+    })
 }
 
 fn offer(queue: &mut AdmissionQueue, attempt: u128, class: RequestClass) -> Admission {
--- a/mustardrill_core/tests/provisioning.rs
+++ b/mustardrill_core/tests/provisioning.rs
@@ -616,9 +616,9 @@
     changes.extend(members);
     let mut asking = 0;
     for host in 1..=FLEET {
-        let own = format!("10.0.0.{host}").parse().unwrap();
+        let own_id = format!("10.0.0.{host}").parse().unwrap();
         let mut reducer = ProvisioningReducer::new(
-            ProvisioningSettings { own, ..common::provisioning_settings() },
+            ProvisioningSettings { own_id, ..common::provisioning_settings() },
             u64::from(host),
         );
         reducer.reduce(START, fleet(changes.clone(), true));
@@ -737,7 +737,7 @@
         let held = vec![ChunkBitmap::empty(TOTAL); count];
         let mut all = Self { agents: Vec::new(), requested: VecDeque::new(), held, sent: 0 };
         for host in 1..=members {
-            let own: InstanceId = format!("10.0.0.{host}").parse().unwrap();
+            let own_id: InstanceId = format!("10.0.0.{host}").parse().unwrap();
             let transfer = TransferSettings {
                 stall_after: Millis(500),
                 chunk_timeout: Millis(10_000),
@@ -747,7 +747,7 @@
                 ..common::provisioning_settings().transfer
             };
             let settings = ProvisioningSettings {
-                own: own.clone(),
+                own_id: own_id.clone(),
                 transfer,
                 ..common::provisioning_settings()
             };
@@ -758,7 +758,7 @@
             let empty = ChunkBitmap::empty(TOTAL);
             let effects =
                 reducer.reduce(START, ProvisioningEvent::StagedVerified(version(2), empty));
-            all.agents.push((own, reducer));
+            all.agents.push((own_id, reducer));
             all.carry_out(START, all.agents.len() - 1, &effects);
         }
         all
--- a/mustardrill_core/tests/requests.rs
+++ b/mustardrill_core/tests/requests.rs
@@ -228,7 +228,12 @@
         region: record.region,
         transfer: TransferSettings::default(),
         copy_per_region: false,
-        admission: AdmissionSettings { capacity: 2, queue: 4, turns: 4, ..Default::default() },
+        admission: AdmissionSettings {
+            capacity: 2,
+            queue: 4,
+            max_starts_ahead: 4,
+            ..Default::default()
+        },
         claim: ClaimSettings {
             shards: 2,
             write_every: Millis(5),
@@ -252,7 +257,7 @@
 
 fn entry_reducer(now: u64, index: usize, document: &Arc<CatalogueDocument>) -> EntryReducer {
     let settings = EntrySettings {
-        own: format!("entry-{index}").parse().unwrap(),
+        own_id: format!("entry-{index}").parse().unwrap(),
         data_centre: "gc-hall-a".parse().unwrap(),
         routing: RoutingSettings { silent_for: Millis(1_000), ..RoutingSettings::default() },
         retry: RetrySettings::default(),
@@ -723,7 +728,7 @@
             outstanding: simulated.reducer.outstanding(),
             capacity: simulated.reducer.capacity(),
             serving,
-            leaving: simulated.reducer.is_leaving(),
+            leaving: simulated.reducer.is_draining(),
         };
         let generation = simulated.reducer.generation();
         let sync = AgentSync {
--- a/mustardrill_entry/src/actor.rs
+++ b/mustardrill_entry/src/actor.rs
@@ -246,7 +246,7 @@
     let (address, operator_address) = (caller_server.address, operator_server.address);
     log::info!(
         "start instance={} address={address} operators={operator_address}",
-        config.entry.own
+        config.entry.own_id
     );
     Ok(EntryHandle { address, operator_address, actor, caller_server, stop_callers, halt })
 }
@@ -279,7 +279,7 @@
     let client = HttpClient::open(CONNECT_TIMEOUT);
     let (platform, timeout) = (&config.platform, config.platform.timeout);
     Ok(EntryContext {
-        own: config.entry.own.clone(),
+        own: config.entry.own_id.clone(),
         clock: ProcessClock::start(),
         key_value: Box::new(HttpKeyValue::open(client.clone(), &platform.key_value, timeout)),
         instances: Box::new(HttpInstanceList::open(client.clone(), &platform.instances, timeout)),
--- a/mustardrill_entry/src/config.rs
+++ b/mustardrill_entry/src/config.rs
@@ -117,7 +117,7 @@
             staging_limit: reader.value("edits", "staging_limit", ByteSize(64_000_000_000)),
         },
         entry: EntrySettings {
-            own: name(&mut reader, "entry", "instance"),
+            own_id: name(&mut reader, "entry", "instance"),
             data_centre: name(&mut reader, "entry", "data_centre"),
             routing: routing(&mut reader),
             retry: retry(&mut reader),
@@ -183,7 +183,7 @@
         eject_for: reader.value("routing", "eject_for", default.eject_for),
         slow_start: reader.value("routing", "slow_start", default.slow_start),
         affinity_bound: reader.bounded("routing", "affinity_bound", default.affinity_bound, 0, 400),
-        near_bonus: reader.bounded("routing", "near_bonus", default.near_bonus, 0.0, 100.0),
+        remote_penalty: reader.bounded("routing", "near_bonus", default.remote_penalty, 0.0, 100.0),
         silent_for: reader.value("routing", "silent_for", default.silent_for),
     }
 }
--- a/mustardrill_entry/src/direct/config.rs
+++ b/mustardrill_entry/src/direct/config.rs
@@ -91,7 +91,7 @@
             late_slots_percent: reader.bounded("admission", "late_percent", 75, 0, 100),
             wait_limit: reader.value("admission", "late_wait", Millis(1_000)),
             silence_timeout: reader.value("upstream", "silence", Millis(1_200)),
-            forgetting_outage: Millis(heartbeat.0 * SURVIVED_HEARTBEATS),
+            registration_expiry: Millis(heartbeat.0 * SURVIVED_HEARTBEATS),
             expiry_grace: reader.value("platform", "lapse_grace", Millis(2_000)),
             peer_load_timeout: reader.value("entry", "peer_patience", Millis(1_500)),
             base_ejection: reader.value("upstream", "ejection", Millis(500)),
--- a/mustardrill_entry/src/main.rs
+++ b/mustardrill_entry/src/main.rs
@@ -156,7 +156,7 @@
 }
 
 fn run_own(config: EntryConfig) -> ExitCode {
-    logging::init(config.entry.own.as_str(), config.log);
+    logging::init(config.entry.own_id.as_str(), config.log);
     let runtime = build_runtime();
     let code = runtime.block_on(serve_own(config));
     runtime.shutdown_background();
--- a/mustardrill_standins/examples/slopes.rs
+++ b/mustardrill_standins/examples/slopes.rs
@@ -92,7 +92,7 @@
 
 fn entry_reducer(workers: usize, subset: usize) -> EntryReducer {
     let settings = EntrySettings {
-        own: "entry-0".parse().expect("a valid name"),
+        own_id: "entry-0".parse().expect("a valid name"),
         data_centre: "centre-0".parse().expect("a valid name"),
         routing: RoutingSettings { silent_for: Millis(u64::MAX / 2), ..RoutingSettings::default() },
         retry: RetrySettings::default(),
@@ -184,7 +184,7 @@
         admission: AdmissionSettings {
             capacity: 8,
             queue: 100_000,
-            turns: 8,
+            max_starts_ahead: 8,
             ..Default::default()
         },
         claim: ClaimSettings::default(),
--- a/mustardrill_standins/tests/deployment.rs
+++ b/mustardrill_standins/tests/deployment.rs
@@ -57,7 +57,7 @@
     assert_eq!(config.direct.own_id.as_str(), "edge-hall-a-1");
     assert_eq!(config.direct.freshness_limit, Millis(4_500), "below the bound of revocation");
     assert_eq!(config.direct.version_bound, Millis(8_000), "forecasts take off what engines need");
-    assert_eq!(config.direct.forgetting_outage, Millis(3_000), "two heartbeats of upstreams");
+    assert_eq!(config.direct.registration_expiry, Millis(3_000), "two heartbeats of upstreams");
     assert!(config.linger < config.grace);
     assert_ne!(config.metrics, None);
 }
@@ -82,7 +82,7 @@
     let outcome = mustardrill_agent::provisioning::read(rendered("deploy/agent.ini"));
     assert_eq!(outcome.warnings, []);
     let config = outcome.settings.unwrap();
-    assert_eq!(config.settings.own.as_str(), "10.1.0.40");
+    assert_eq!(config.settings.own_id.as_str(), "10.1.0.40");
     assert_eq!(config.link_mbps, 7.3);
     assert!(config.settings.rollout.first < config.settings.rollout.last);
 }
