--- a/mustardrill_core/tests/agents.rs
+++ b/mustardrill_core/tests/agents.rs
@@ -78,7 +78,12 @@
         region: record.region,
         transfer: TransferSettings { stall_after: Millis(200), ..TransferSettings::default() },
         copy_per_region: false,
-        admission: AdmissionSettings { capacity: 1, queue: 8, turns: 2, ..Default::default() },
+        admission: AdmissionSettings {
+            capacity: 1,
+            queue: 8,
+            max_starts_ahead: 2,
+            ..Default::default()
+        },
         claim: ClaimSettings::default(),
         owner: OwnerSettings::default(),
         members: MemberSettings::default(),
@@ -166,12 +171,12 @@
                     AgentEvent::ManifestLoaded(manifest(version.as_str()), digest),
                 );
             }
-            AgentEffect::FetchChunk(digest, draw) => {
+            AgentEffect::FetchChunk(digest, fetch) => {
                 let is_corrupt =
-                    draw.source == ChunkSource::Origin && self.now < self.corrupt_until;
+                    fetch.source == ChunkSource::Origin && self.now < self.corrupt_until;
                 let outcome =
                     if is_corrupt { FetchOutcome::Corrupt } else { FetchOutcome::Verified };
-                let (index, source) = (draw.index, draw.source);
+                let (index, source) = (fetch.index, fetch.source);
                 self.schedule(
                     agent_index,
                     AgentEvent::FetchEnded { digest, index, source, outcome },
