--- a/mustardrill_core/src/agent/reducer.rs
+++ b/mustardrill_core/src/agent/reducer.rs
@@ -38,7 +38,7 @@
     claims: ClaimBatch,
     /// When the last claim arrived and the wall clock in seconds that it carried.
     claim_wall_clock: Option<(Moment, u64)>,
-    leaving: bool,
+    is_draining: bool,
     /// When a delayed request may start, if a wake-up is scheduled for it.
     wake_at: Option<Moment>,
     is_engine: bool,
@@ -49,8 +49,8 @@
 #[derive(Debug, Clone, Copy)]
 struct AttemptState {
     pinned: Option<ManifestDigest>,
-    arrived: Moment,
-    finished: bool,
+    arrived_at: Moment,
+    is_finished: bool,
 }
 
 /// How long a finished attempt is kept, so that a delayed duplicate of it is not run.
@@ -73,7 +73,7 @@
             crashes: CrashReportRelay::default(),
             claims: ClaimBatch::new(settings.claim.clone()),
             claim_wall_clock: None,
-            leaving: false,
+            is_draining: false,
             wake_at: None,
             is_engine: settings.is_engine,
             random: SmallRng::seed_from_u64(seed),
@@ -170,8 +170,8 @@
     }
 
     /// Whether the agent is shutting down and accepts no new requests.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_draining(&self) -> bool {
+        self.is_draining
     }
 
     /// Whether no request is queued or running, and every claim is settled or released.
@@ -265,7 +265,7 @@
         if self.attempts.contains_key(&attempt) {
             return refusal(attempt, ResultCode::AlreadyClaimed, Millis(0));
         }
-        if self.leaving {
+        if self.is_draining {
             return refusal(attempt, ResultCode::Leaving, Millis(1));
         }
         if !self.serves(pinned) {
@@ -280,7 +280,7 @@
         if let Admission::Refused(code, retry_after) = admission {
             return refusal(attempt, code, retry_after);
         }
-        let state = AttemptState { pinned, arrived: now, finished: false };
+        let state = AttemptState { pinned, arrived_at: now, is_finished: false };
         self.attempts.insert(attempt, state);
         match admission {
             Admission::Run => vec![AgentEffect::Dispatch(attempt)],
@@ -311,7 +311,7 @@
 
     fn mark_finished(&mut self, attempt: AttemptId) {
         if let Some(state) = self.attempts.get_mut(&attempt) {
-            state.finished = true;
+            state.is_finished = true;
         }
     }
 
@@ -362,9 +362,10 @@
             effects.extend(refusal(attempt, ResultCode::DeadlinePassed, Millis(0)));
         }
         effects.extend(self.run_next(now));
-        self.attempts
-            .retain(|_, state| !state.finished || now.since(state.arrived) < ATTEMPT_RETENTION);
-        if self.is_engine && !self.leaving {
+        self.attempts.retain(|_, state| {
+            !state.is_finished || now.since(state.arrived_at) < ATTEMPT_RETENTION
+        });
+        if self.is_engine && !self.is_draining {
             effects.extend(self.owner.due(now).map(AgentEffect::CallOwner));
         }
         if now >= self.next_refresh {
@@ -384,7 +385,7 @@
 
     fn stop(&mut self) -> Vec<AgentEffect> {
         info!("stop queued={} running={}", self.queue.queued(), self.queue.running());
-        self.leaving = true;
+        self.is_draining = true;
         let drained = self.queue.drain();
         drained
             .into_iter()
--- a/mustardrill_core/src/direct/event.rs
+++ b/mustardrill_core/src/direct/event.rs
@@ -228,7 +228,7 @@
     /// How long after the announcement of a newer version requests may still start on older
     /// weights.
     pub version_bound: Millis,
-    /// The budget for repeating requests.
+    /// The budget for retries.
     pub retry_share: RetryShare,
     /// Requests beyond its slots that an upstream may have, counted over all entries, so that no
     /// slot idles for a network round trip.
@@ -246,7 +246,7 @@
     pub silence_timeout: Millis,
     /// The shortest store outage after which the store may have lost registrations of running
     /// upstreams.
-    pub forgetting_outage: Millis,
+    pub registration_expiry: Millis,
     /// How long after the store's return an upstream whose registration it may have lost stays
     /// listed.
     pub expiry_grace: Millis,
--- a/mustardrill_standins/tests/deployment.rs
+++ b/mustardrill_standins/tests/deployment.rs
@@ -63,7 +63,7 @@
         "the whole bound: forecasts subtract the time that engines need"
     );
     assert_eq!(
-        config.direct.forgetting_outage,
+        config.direct.registration_expiry,
         Millis(3_000),
         "must be two heartbeats of upstreams"
     );
@@ -91,7 +91,7 @@
     let outcome = mustardrill_agent::provisioning::read(render_template("deploy/agent.ini"));
     assert_eq!(outcome.warnings, []);
     let config = outcome.settings.unwrap();
-    assert_eq!(config.settings.own.as_str(), "10.1.0.40");
+    assert_eq!(config.settings.own_id.as_str(), "10.1.0.40");
     assert_eq!(config.link_mbps, 7.3);
     assert!(config.settings.rollout.first < config.settings.rollout.last);
 }
