--- a/mustardrill_standins/src/experiment/callers.rs
+++ b/mustardrill_standins/src/experiment/callers.rs
@@ -35,8 +35,8 @@
 
     pub(super) fn handle_arrival(&mut self, kind: usize) {
         let caller = &self.pattern.kinds[kind];
-        let prompt = caller.prompt / 2 + self.caller_rng.random_range(0..=caller.prompt);
-        let size = WorkSize { prompt_tokens: prompt, answer_tokens: caller.answer };
+        let prompt_tokens = caller.prompt / 2 + self.caller_rng.random_range(0..=caller.prompt);
+        let size = WorkSize { prompt_tokens, answer_tokens: caller.answer };
         let call = self.calls.len();
         self.calls.push(CallState {
             kind,
--- a/mustardrill_standins/src/experiment/simulation.rs
+++ b/mustardrill_standins/src/experiment/simulation.rs
@@ -369,11 +369,11 @@
         let state = &mut self.entries[entry];
         let (outstanding, waiting) =
             (state.reducer.outstanding_load(), state.reducer.waiting_counts());
-        let load_update = state.broadcaster.next_update(now, outstanding, waiting);
+        let update = state.broadcaster.next_update(now, outstanding, waiting);
         let reports = state.reducer.due_crash_reports(now);
         for other in (0..self.entries.len()).filter(|other| *other != entry) {
-            if let Some(load_update) = load_update.clone().filter(|_| self.draw_delivery()) {
-                let load = PeerLoad { from: entry_id(entry), update: load_update };
+            if let Some(update) = update.clone().filter(|_| self.draw_delivery()) {
+                let load = PeerLoad { from: entry_id(entry), update };
                 self.schedule(
                     self.pattern.one_way_delay,
                     SimulationEvent::PeerLoadArrives { entry: other, load },
