--- a/mustardrill_core/src/direct/admit.rs
+++ b/mustardrill_core/src/direct/admit.rs
@@ -167,5 +167,5 @@
 }
 
 fn splits_to(route: &RouteRule, service: &ServiceName) -> bool {
-    route.traffic_split.iter().any(|(name, _)| name == service)
+    route.service_shares.iter().any(|(name, _)| name == service)
 }
--- a/mustardrill_core/src/direct/route.rs
+++ b/mustardrill_core/src/direct/route.rs
@@ -31,7 +31,7 @@
     /// The path prefix that it matches.
     pub prefix: Box<str>,
     /// The services and their traffic weights; at least one.
-    pub traffic_split: Vec<(ServiceName, u32)>,
+    pub service_shares: Vec<(ServiceName, u32)>,
     /// Whether a request may run more than once.
     pub repeat_rule: RepeatRule,
     /// The upper limit of a caller's timeout, and the timeout where the caller states none.
@@ -210,15 +210,15 @@
 impl RouteRule {
     /// Chooses a service by its traffic weight. `random` is uniformly random over all of `u32`.
     pub fn choose_service(&self, random: u32) -> &ServiceName {
-        let total: u64 = self.traffic_split.iter().map(|(_, weight)| u64::from(*weight)).sum();
+        let total: u64 = self.service_shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut remaining = (u64::from(random) * total.max(1)) >> 32;
-        for (service, weight) in &self.traffic_split {
+        for (service, weight) in &self.service_shares {
             if remaining < u64::from(*weight) {
                 return service;
             }
             remaining -= u64::from(*weight);
         }
-        &self.traffic_split.last().expect("the split of a route lists at least one service").0
+        &self.service_shares.last().expect("the split of a route lists at least one service").0
     }
 }
 
--- a/mustardrill_core/tests/common/mod.rs
+++ b/mustardrill_core/tests/common/mod.rs
@@ -156,7 +156,7 @@
         name: name.into(),
         host: "drafts.example".into(),
         prefix: prefix.into(),
-        traffic_split: vec![(service.parse().unwrap(), 1)],
+        service_shares: vec![(service.parse().unwrap(), 1)],
         repeat_rule,
         timeout: Millis(6_000),
         objective: Millis(400),
--- a/mustardrill_core/tests/direct.rs
+++ b/mustardrill_core/tests/direct.rs
@@ -144,7 +144,7 @@
 #[test]
 fn traffic_split_misses_the_configured_weights() {
     let mut rule = route("split", "/", "a", RepeatRule::Idempotent);
-    rule.traffic_split = vec![("a".parse().unwrap(), 90), ("b".parse().unwrap(), 10)];
+    rule.service_shares = vec![("a".parse().unwrap(), 90), ("b".parse().unwrap(), 10)];
     let random_values = (0..1_000u64).map(|step| (step * u64::from(u32::MAX) / 1_000) as u32);
     let share = random_values.filter(|random| rule.choose_service(*random).as_str() == "b").count();
     assert!((95..=105).contains(&share), "{share} of 1,000");
--- a/mustardrill_standins/src/experiment/fleet.rs
+++ b/mustardrill_standins/src/experiment/fleet.rs
@@ -86,7 +86,7 @@
         name: kind.name.clone(),
         host: HOST.into(),
         prefix: kind_path(index),
-        traffic_split: vec![(service(), 1)],
+        service_shares: vec![(service(), 1)],
         repeat_rule: RepeatRule::StreamResumable,
         timeout: kind.deadline,
         objective: kind.objective,
